--- a/crates/sender/src/discovery/mod.rs
+++ b/crates/sender/src/discovery/mod.rs
@@ -28,7 +28,7 @@
 use serde_json::Value;
 use tracing::warn;
 
-pub use snapshot::ConnectionSnapshot;
+pub use snapshot::EndpointDirectorySnapshot;
 
 use crate::cordons::{CordonError, Cordons};
 use crate::event_source::Handle;
--- a/crates/sender/src/discovery/snapshot.rs
+++ b/crates/sender/src/discovery/snapshot.rs
@@ -12,7 +12,7 @@
 /// The endpoint list for a successor process, without the cordons, which are read from their file. Passed between
 /// processes of different versions: the order of the fields is fixed.
 #[derive(Serialize, Deserialize)]
-pub struct ConnectionSnapshot {
+pub struct EndpointDirectorySnapshot {
     /// The version of the list.
     pub(super) version: u64,
     /// Destinations that were ever listed.
@@ -29,9 +29,9 @@
 
 impl EndpointDirectory {
     /// The state for a successor process.
-    pub fn snapshot(&self) -> ConnectionSnapshot {
+    pub fn snapshot(&self) -> EndpointDirectorySnapshot {
         let endpoints = self.list.endpoints.iter();
-        ConnectionSnapshot {
+        EndpointDirectorySnapshot {
             version: self.version,
             destinations: self.list.destinations.clone(),
             discovery_heard: self.discovery_heard,
@@ -44,7 +44,7 @@
     }
 
     /// Takes over what a predecessor process has passed on. The watch is opened anew, from the version of its list.
-    pub fn restore_state(&mut self, snapshot: ConnectionSnapshot) {
+    pub fn restore_state(&mut self, snapshot: EndpointDirectorySnapshot) {
         self.version = snapshot.version;
         self.discovery_heard = snapshot.discovery_heard;
         self.list.destinations = snapshot.destinations;
--- a/crates/sender/src/discovery/tests/snapshot.rs
+++ b/crates/sender/src/discovery/tests/snapshot.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn a_snapshot_of_an_earlier_version_is_read_and_written_in_the_same_form() {
-    let snapshot: ConnectionSnapshot = postcard::from_bytes(EARLIER_SNAPSHOT).unwrap();
+    let snapshot: EndpointDirectorySnapshot = postcard::from_bytes(EARLIER_SNAPSHOT).unwrap();
     assert_eq!(postcard::to_allocvec(&snapshot).unwrap(), EARLIER_SNAPSHOT);
     assert_eq!((snapshot.version, snapshot.next_id), (6, 2));
     assert!(snapshot.discovery_heard);
--- a/crates/sender/src/egress/mod.rs
+++ b/crates/sender/src/egress/mod.rs
@@ -35,7 +35,7 @@
 use tracing::{debug, warn};
 
 pub use attempt::{AttemptRequest, AttemptResult};
-pub use snapshot::ConnectionSnapshot;
+pub use snapshot::EgressSnapshot;
 
 use crate::event_source::Handle;
 use attempt::ActiveAttempt;
--- a/crates/sender/src/egress/snapshot.rs
+++ b/crates/sender/src/egress/snapshot.rs
@@ -15,7 +15,7 @@
 /// The state of all connections to endpoints, without their descriptors. Passed between processes of different
 /// versions: the order of the fields is fixed.
 #[derive(Serialize, Deserialize)]
-pub struct ConnectionSnapshot {
+pub struct EgressSnapshot {
     /// Each connection with the snapshot of its socket state.
     pub(super) connections: Vec<EndpointConnection<http::ConnectionSnapshot>>,
     /// The places of the idle ones among them, the most recently used last.
@@ -30,7 +30,7 @@
 
 impl Egress {
     /// The state for a successor process, and the descriptors of the connections in the same order.
-    pub fn snapshot(&self) -> (ConnectionSnapshot, Vec<BorrowedFd<'_>>) {
+    pub fn snapshot(&self) -> (EgressSnapshot, Vec<BorrowedFd<'_>>) {
         let places: HashMap<usize, usize> = self
             .connections
             .slots
@@ -48,7 +48,7 @@
             .iter()
             .map(|connection| connection.connection.as_fd())
             .collect();
-        let snapshot = ConnectionSnapshot {
+        let snapshot = EgressSnapshot {
             connections,
             idle: self
                 .connections
@@ -70,7 +70,7 @@
     /// The system's error if a connection cannot be taken over.
     pub fn restore_state(
         &mut self,
-        snapshot: ConnectionSnapshot,
+        snapshot: EgressSnapshot,
         descriptors: &mut InheritedDescriptors,
     ) -> std::io::Result<Vec<EventSource>> {
         let mut keys = Vec::new();
--- a/crates/sender/src/egress/tests/snapshot.rs
+++ b/crates/sender/src/egress/tests/snapshot.rs
@@ -22,7 +22,7 @@
 #[test]
 fn a_snapshot_of_an_earlier_version_is_read_and_written_in_the_same_form() {
     let bytes = decode_hex(EARLIER_SNAPSHOT);
-    let snapshot: ConnectionSnapshot = postcard::from_bytes(&bytes).unwrap();
+    let snapshot: EgressSnapshot = postcard::from_bytes(&bytes).unwrap();
     assert_eq!(postcard::to_allocvec(&snapshot).unwrap(), bytes);
     let [held_back, begun, idle] = snapshot.connections.as_slice() else {
         panic!("three connections")
--- a/crates/sender/src/pipeline/process_state.rs
+++ b/crates/sender/src/pipeline/process_state.rs
@@ -65,9 +65,9 @@
     log_position: L,
     /// Messages whose status reports the platform has not confirmed.
     unconfirmed: Vec<u64>,
-    directory: discovery::ConnectionSnapshot,
+    directory: discovery::EndpointDirectorySnapshot,
     clients: Vec<Client<martenlatch_http::ConnectionSnapshot>>,
-    egress: egress::ConnectionSnapshot,
+    egress: egress::EgressSnapshot,
 }
 
 /// What is left of the state once the decision module and the log's position have been taken out.
@@ -205,7 +205,7 @@
         Ok((bytes, descriptors))
     }
 
-    fn snapshot(&self, egress: egress::ConnectionSnapshot) -> ProcessState<&Policy> {
+    fn snapshot(&self, egress: egress::EgressSnapshot) -> ProcessState<&Policy> {
         let held = self.store.messages.values().map(|message| HeldMessage {
             record: message.record.clone(),
             state: message.state,
