--- a/crates/sender/src/egress/attempt.rs
+++ b/crates/sender/src/egress/attempt.rs
@@ -43,7 +43,7 @@
     /// How long it took from its start, in milliseconds.
     pub took: Millis,
     /// The endpoint answered with status 410: the message is finished, and no final status is owed.
-    pub message_over: bool,
+    pub message_finished: bool,
 }
 
 /// An attempt in flight. Serialized for a process replacement: the order of the fields is fixed.
@@ -87,7 +87,7 @@
             endpoint: None,
             outcome,
             took: now - self.started_at,
-            message_over: false,
+            message_finished: false,
         }
     }
 }
--- a/crates/sender/src/egress/exchange.rs
+++ b/crates/sender/src/egress/exchange.rs
@@ -101,7 +101,7 @@
         );
         self.results.push(AttemptResult {
             endpoint: Some(connection.endpoint),
-            message_over: meaning.message_over,
+            message_finished: meaning.message_finished,
             ..attempt.result(meaning.outcome, now)
         });
         self.record_response(idle_before);
--- a/crates/sender/src/egress/mod.rs
+++ b/crates/sender/src/egress/mod.rs
@@ -62,7 +62,7 @@
     /// It is recorded, and begins.
     Granted,
     /// It cannot be recorded now: it is asked again later.
-    Later,
+    RetryLater,
     /// It must not be sent.
     Denied,
 }
@@ -187,7 +187,7 @@
     ///
     /// The record is not written earlier, before the connection is established: if the process was killed meanwhile,
     /// a message that must not be repeated would count as sent, and end without an attempt.
-    pub fn begin_established(
+    pub fn begin_established_requests(
         &mut self,
         mut permit: impl FnMut(MessageId, u32, EndpointId) -> SendPermission,
         now: Millis,
@@ -214,7 +214,7 @@
             match permission {
                 SendPermission::Granted => self.begin_request(slot, now),
                 SendPermission::Denied => self.end_exchange(slot, EndCause::Withdrawn, now),
-                SendPermission::Later => {
+                SendPermission::RetryLater => {
                     self.established.push(slot);
                     self.record_retry_at = now + RECORD_RETRY_INTERVAL;
                 }
--- a/crates/sender/src/egress/response.rs
+++ b/crates/sender/src/egress/response.rs
@@ -96,7 +96,7 @@
     /// How the attempt ended.
     pub outcome: Outcome,
     /// The message is finished, and no final status is owed.
-    pub message_over: bool,
+    pub message_finished: bool,
     /// How long no request may be sent to the destination; zero if the response does not say.
     pub retry_after: Nanos,
 }
@@ -115,7 +115,7 @@
         };
         ResponseMeaning {
             outcome,
-            message_over: response.status == 410,
+            message_finished: response.status == 410,
             retry_after,
         }
     }
--- a/crates/sender/src/egress/tests/last_byte.rs
+++ b/crates/sender/src/egress/tests/last_byte.rs
@@ -69,7 +69,7 @@
             break;
         }
         egress.on_ready(0, 100.0);
-        egress.begin_established(|_, _, _| SendPermission::Granted, 100.0);
+        egress.begin_established_requests(|_, _, _| SendPermission::Granted, 100.0);
         egress.on_ready(0, 100.0 + LAST_BYTE_DELAY);
     }
     assert_eq!(
@@ -100,7 +100,7 @@
             break;
         }
         egress.on_ready(0, 1.0);
-        egress.begin_established(|_, _, _| SendPermission::Granted, 1.0);
+        egress.begin_established_requests(|_, _, _| SendPermission::Granted, 1.0);
     }
     peer.read_exact(&mut [0]).unwrap();
     peer.write_all(
--- a/crates/sender/src/egress/tests/mod.rs
+++ b/crates/sender/src/egress/tests/mod.rs
@@ -41,7 +41,7 @@
 /// Handles a connection; requests begin whose connections are established.
 fn step(egress: &mut Egress, slot: usize, now: Millis) -> bool {
     let more = egress.on_ready(slot, now);
-    egress.begin_established(|_, _, _| SendPermission::Granted, now);
+    egress.begin_established_requests(|_, _, _| SendPermission::Granted, now);
     more
 }
 
--- a/crates/sender/src/pipeline/completion.rs
+++ b/crates/sender/src/pipeline/completion.rs
@@ -41,10 +41,10 @@
     let in_time = read_by < message.record.deadline - LATE_SUCCESS_GUARD;
     if succeeded && !in_time {
         end_by_late_success(result.id, store, status_reporter);
-    } else if (succeeded || result.message_over)
+    } else if (succeeded || result.message_finished)
         && is_unreported(message, result.outcome, status_reporter)
     {
-        close_message(number, result.message_over, store);
+        close_message(number, result.message_finished, store);
     } else {
         store.remove_if_finished(number);
     }
--- a/crates/sender/src/pipeline/dispatch.rs
+++ b/crates/sender/src/pipeline/dispatch.rs
@@ -93,7 +93,7 @@
         endpoint: None,
         outcome: Outcome::NotSent,
         took: 0.0,
-        message_over: false,
+        message_finished: false,
     }
 }
 
@@ -118,7 +118,7 @@
     gate: &SendGate,
     now: Millis,
 ) {
-    egress.begin_established(
+    egress.begin_established_requests(
         |id, attempt, endpoint| {
             let permitted = store
                 .messages
@@ -151,7 +151,7 @@
         return SendPermission::Denied;
     }
     if !store.wal.append_attempt(id.0, attempt, now) {
-        return SendPermission::Later;
+        return SendPermission::RetryLater;
     }
     *record = AttemptRecord {
         sent: now,
