--- a/crates/sender/src/egress/exchange.rs
+++ b/crates/sender/src/egress/exchange.rs
@@ -65,7 +65,7 @@
             && fully_sent
         {
             attempt.fully_sent = true;
-            self.sent.push(attempt.id);
+            self.sent_messages.push(attempt.id);
         }
         has_more
     }
--- a/crates/sender/src/egress/mod.rs
+++ b/crates/sender/src/egress/mod.rs
@@ -70,7 +70,7 @@
 /// All connections to endpoints, with the attempts on them.
 pub struct Egress {
     /// The buffers of the connections.
-    pub(crate) pool: BufferPool,
+    pub(crate) buffers: BufferPool,
     connections: ConnectionPool,
     /// How long a connection may take to be established.
     connect_timeout: Millis,
@@ -86,7 +86,7 @@
     /// When the attempts that could not be recorded are tried again.
     record_retry_at: Millis,
     /// The messages whose requests were completely written, for the caller to take.
-    pub sent: Vec<MessageId>,
+    pub sent_messages: Vec<MessageId>,
     /// Connections opened so far.
     pub connections_opened: u64,
 }
@@ -96,14 +96,14 @@
     /// `idle_limit` are in milliseconds.
     pub fn new(
         handle: &Handle,
-        pool: &BufferPool,
+        buffers: &BufferPool,
         max_connections: usize,
         connect_timeout: Millis,
         idle_limit: Millis,
     ) -> Egress {
         Egress {
-            pool: pool.clone(),
-            connections: ConnectionPool::new(handle, pool, max_connections),
+            buffers: buffers.clone(),
+            connections: ConnectionPool::new(handle, buffers, max_connections),
             connect_timeout,
             idle_limit: idle_limit * IDLE_LIMIT_SHARE,
             stale_connections: StaleConnectionDetector::default(),
@@ -112,7 +112,7 @@
             results: Vec::new(),
             established: Vec::new(),
             record_retry_at: f64::INFINITY,
-            sent: Vec::new(),
+            sent_messages: Vec::new(),
             connections_opened: 0,
         }
     }
--- a/crates/sender/src/egress/snapshot.rs
+++ b/crates/sender/src/egress/snapshot.rs
@@ -80,7 +80,7 @@
                 descriptors.stream()?,
                 &passed.connection,
                 &self.connections.handle,
-                &self.pool,
+                &self.buffers,
                 key,
             )?;
             let restored = passed.with_connection(connection);
--- a/crates/sender/src/egress/tests/connection_reuse.rs
+++ b/crates/sender/src/egress/tests/connection_reuse.rs
@@ -102,10 +102,10 @@
     // An endpoint that has rejected a request has ended the connection.
     assert_eq!(fixture.egress.connections_opened, opened + 1);
     let (mut peer, _) = listener.accept().unwrap();
-    while fixture.egress.sent.is_empty() {
+    while fixture.egress.sent_messages.is_empty() {
         fixture.step_all(0.0);
     }
-    fixture.egress.sent.clear();
+    fixture.egress.sent_messages.clear();
     peer.read_exact(&mut [0; 2]).unwrap();
     peer.write_all(response).unwrap();
     fixture.outcome(0.0);
--- a/crates/sender/src/egress/tests/last_byte.rs
+++ b/crates/sender/src/egress/tests/last_byte.rs
@@ -65,7 +65,7 @@
     let (mut fixture, peer) = one_request(latest);
     let egress = &mut fixture.egress;
     for _ in 0..100_000 {
-        if !egress.results.is_empty() || !egress.sent.is_empty() {
+        if !egress.results.is_empty() || !egress.sent_messages.is_empty() {
             break;
         }
         egress.on_ready(0, 100.0);
--- a/crates/sender/src/egress/tests/responses.rs
+++ b/crates/sender/src/egress/tests/responses.rs
@@ -46,7 +46,7 @@
     fixture.start(&two_byte_request(true), 0.0);
     let mut peer = fixture.accept();
     peer.set_nodelay(true).unwrap();
-    while fixture.egress.sent.is_empty() {
+    while fixture.egress.sent_messages.is_empty() {
         step(&mut fixture.egress, 0, 0.0);
     }
     peer.read_exact(&mut [0; 2]).unwrap();
--- a/crates/sender/src/pipeline/driver.rs
+++ b/crates/sender/src/pipeline/driver.rs
@@ -344,7 +344,7 @@
     /// Whether a pool has no buffer left, so that what is unfinished has to wait for one.
     fn lacks_buffers(&self) -> bool {
         self.ingress.pool.is_exhausted()
-            || self.egress.pool.is_exhausted()
+            || self.egress.buffers.is_exhausted()
             || self.control_buffers.is_exhausted()
     }
 
--- a/crates/sender/src/pipeline/metrics.rs
+++ b/crates/sender/src/pipeline/metrics.rs
@@ -45,7 +45,7 @@
     /// Counts what egress and ingress have noted since the last time: attempts whose last byte was sent, and messages
     /// that were rejected before they were complete.
     pub(super) fn count_metrics(&mut self) {
-        for id in std::mem::take(&mut self.egress.sent) {
+        for id in std::mem::take(&mut self.egress.sent_messages) {
             if let Some(message) = self.store.messages.get(&id.0) {
                 let class = &message.record.class;
                 self.store.class_metrics.count_sent(class);
--- a/crates/sender/src/pipeline/tests/attempts.rs
+++ b/crates/sender/src/pipeline/tests/attempts.rs
@@ -213,7 +213,7 @@
     let endpoint = TcpListener::bind("127.0.0.1:0").unwrap();
     let (mut driver, clock, _events) = resumed("spin", endpoint.local_addr().unwrap());
     let mut peer = receive_request(&mut driver, &clock, &endpoint);
-    let taken_buffers: Vec<_> = std::iter::from_fn(|| driver.egress.pool.take()).collect();
+    let taken_buffers: Vec<_> = std::iter::from_fn(|| driver.egress.buffers.take()).collect();
     peer.write_all(b"HTTP/1.1 2").unwrap();
     let sources = || (0..9).map(EventSource::Endpoint).collect();
     until(|| {
--- a/crates/sender/src/pipeline/tests/status_reports.rs
+++ b/crates/sender/src/pipeline/tests/status_reports.rs
@@ -8,7 +8,7 @@
     use std::io::Read;
     let platform = TcpListener::bind("127.0.0.1:0").unwrap();
     let (mut driver, clock, _events) = resumed("buffers", platform.local_addr().unwrap());
-    let taken_buffers: Vec<_> = std::iter::from_fn(|| driver.egress.pool.take()).collect();
+    let taken_buffers: Vec<_> = std::iter::from_fn(|| driver.egress.buffers.take()).collect();
     assert!(!taken_buffers.is_empty());
     clock.set(START + 2_000.0 + OVERDUE_AFTER + 1.0);
     let mut asked = std::collections::BTreeSet::new();
