--- a/crates/sender/src/discovery/mod.rs
+++ b/crates/sender/src/discovery/mod.rs
@@ -58,7 +58,7 @@
     /// Something that the watch brought could not be read.
     unreadable: bool,
     /// Discovery has sent something to this process or to its predecessors.
-    discovery_heard: bool,
+    discovery_responded: bool,
     watch: Option<Watch>,
     /// When the watch was opened or has brought something.
     last_heard: Millis,
@@ -87,7 +87,7 @@
             list: EndpointList::new(names, cordons),
             version: 0,
             unreadable: false,
-            discovery_heard: false,
+            discovery_responded: false,
             watch: None,
             last_heard: 0.0,
             schedule: WatchSchedule::new(source, platform_settings.settings.senders, jitter),
@@ -166,15 +166,15 @@
     }
 
     /// Whether any endpoint serves a destination; none while discovery has sent nothing, and it cannot be known.
-    pub fn serves(&self, destination: u64) -> Option<bool> {
+    pub fn is_known_destination(&self, destination: u64) -> Option<bool> {
         let destinations = &self.list.destinations;
         let listed = destinations.contains(&destination) || destinations.is_empty();
-        (listed || self.discovery_heard).then_some(listed)
+        (listed || self.discovery_responded).then_some(listed)
     }
 
     /// Whether discovery has answered this process.
-    pub fn has_heard_discovery(&self) -> bool {
-        self.discovery_heard
+    pub fn has_discovery_responded(&self) -> bool {
+        self.discovery_responded
     }
 
     /// Discovery has another address from now on. Its versions may differ there, so the complete list is requested;
@@ -246,7 +246,7 @@
         let closed = watch.is_closed();
         let (changes, unreadable) = self.apply_objects(&input.objects);
         if !input.objects.is_empty() {
-            self.discovery_heard = true;
+            self.discovery_responded = true;
             self.last_heard = now;
             if !unreadable {
                 self.schedule.reset_backoff();
--- a/crates/sender/src/discovery/snapshot.rs
+++ b/crates/sender/src/discovery/snapshot.rs
@@ -18,7 +18,7 @@
     /// Destinations that were ever listed.
     pub(super) destinations: BTreeSet<u64>,
     /// Discovery has sent something.
-    pub(super) discovery_heard: bool,
+    pub(super) discovery_responded: bool,
     /// The endpoints that are listed, in no order.
     pub(super) endpoints: Vec<(EndpointId, ListedEndpoint)>,
     /// The number of the next new endpoint.
@@ -34,7 +34,7 @@
         EndpointDirectorySnapshot {
             version: self.version,
             destinations: self.list.destinations.clone(),
-            discovery_heard: self.discovery_heard,
+            discovery_responded: self.discovery_responded,
             endpoints: endpoints
                 .map(|(id, listed)| (*id, listed.clone()))
                 .collect(),
@@ -46,7 +46,7 @@
     /// Takes over what a predecessor process has passed on. The watch is opened anew, from the version of its list.
     pub fn restore_state(&mut self, snapshot: EndpointDirectorySnapshot) {
         self.version = snapshot.version;
-        self.discovery_heard = snapshot.discovery_heard;
+        self.discovery_responded = snapshot.discovery_responded;
         self.list.destinations = snapshot.destinations;
         self.list.ids = snapshot
             .endpoints
--- a/crates/sender/src/discovery/tests/snapshot.rs
+++ b/crates/sender/src/discovery/tests/snapshot.rs
@@ -12,7 +12,7 @@
     let snapshot: EndpointDirectorySnapshot = postcard::from_bytes(EARLIER_SNAPSHOT).unwrap();
     assert_eq!(postcard::to_allocvec(&snapshot).unwrap(), EARLIER_SNAPSHOT);
     assert_eq!((snapshot.version, snapshot.next_id), (6, 2));
-    assert!(snapshot.discovery_heard);
+    assert!(snapshot.discovery_responded);
     let platform_settings = platform_settings(Settings::default(), false);
     let discovery = "127.0.0.1:9".parse().unwrap();
     let mut directory =
@@ -20,7 +20,7 @@
     directory.restore_state(snapshot);
     assert_eq!(directory.endpoint_name(EndpointId(1)).as_deref(), Some("b"));
     assert_eq!(directory.address(EndpointId(1)), Some(discovery));
-    assert_eq!(directory.serves(9), Some(false));
+    assert_eq!(directory.is_known_destination(9), Some(false));
     assert_eq!(
         postcard::to_allocvec(&directory.snapshot()).unwrap(),
         EARLIER_SNAPSHOT
--- a/crates/sender/src/discovery/tests/watch_schedule.rs
+++ b/crates/sender/src/discovery/tests/watch_schedule.rs
@@ -30,7 +30,7 @@
         .unwrap();
     assert!((0..200_000).any(|_| {
         directory.on_ready(1_000.0);
-        directory.discovery_heard
+        directory.discovery_responded
     }));
     directory.run_due(3_000.0, &handle, &pool);
     assert!(directory.watch.is_some() && directory.next_deadline() < 1_000.0 + 6_000.0);
--- a/crates/sender/src/pipeline/admission.rs
+++ b/crates/sender/src/pipeline/admission.rs
@@ -67,7 +67,7 @@
             store.counters.duplicates += 1;
             return self.decide_on_duplicate(message, store);
         }
-        match directory.serves(message.destination) {
+        match directory.is_known_destination(message.destination) {
             Some(true) => self.record(message, store, stopped),
             Some(false) => {
                 store.counters.bad_requests += 1;
--- a/crates/sender/src/pipeline/known_list.rs
+++ b/crates/sender/src/pipeline/known_list.rs
@@ -43,7 +43,7 @@
 
     /// Uses the deferred list once discovery has been silent for long enough.
     pub(super) fn apply_deferred_list(&mut self, now: Millis) {
-        if self.directory.has_heard_discovery() {
+        if self.directory.has_discovery_responded() {
             self.deferred_list = None;
         }
         if let Some(deferred) = self.deferred_list.take_if(|list| list.use_at <= now) {
