--- a/crates/sender/src/egress/attempt.rs
+++ b/crates/sender/src/egress/attempt.rs
@@ -1,27 +1,27 @@
-//! Attempts: one request each, from its start on a connection to its outcome.
+//! Attempts, each of which sends one request, from the choice of a connection to the outcome.
 
 use martenlatch_clock::Millis;
 use martenlatch_policy::interface::{EndpointId, MessageId, Outcome};
 use serde::{Deserialize, Serialize};
 
-/// An attempt to start. Instants and spans are in milliseconds.
+/// An attempt to start. Instants and durations are in milliseconds.
 pub struct AttemptRequest<'a> {
     /// The message.
     pub id: MessageId,
-    /// The number of the message's attempt, from 0.
+    /// The number of this attempt within the message, from 0.
     pub attempt: u32,
-    /// The endpoint that the request goes to.
+    /// The endpoint that the request is sent to.
     pub endpoint: EndpointId,
     /// The endpoint's kind, by its index in the settings.
     pub kind: usize,
     /// The destination that the endpoint serves.
     pub destination: u64,
-    /// How long the attempt may take from now on.
+    /// The time limit of the attempt, from its start.
     pub timeout: Millis,
-    /// The last instant at which the request may begin to be written.
+    /// The last instant at which the first byte of the request may be written.
     pub latest_start: Millis,
-    /// The message is non-idempotent or this is a retry: the request must not be lost on a connection that may be
-    /// stale.
+    /// Whether the message is non-idempotent or this is a retry, so that the request must not be lost on a stale
+    /// connection.
     pub must_not_be_lost: bool,
     /// The head of the HTTP request.
     pub head: &'a [u8],
@@ -29,20 +29,20 @@
     pub body: &'a [u8],
 }
 
-/// An attempt that has ended.
+/// The result of an attempt that has ended.
 #[derive(Debug)]
 pub struct AttemptResult {
     /// The message.
     pub id: MessageId,
-    /// The number of the message's attempt, from 0.
+    /// The number of the attempt within the message, from 0.
     pub attempt: u32,
-    /// The endpoint that it went to; none if it never came to a connection.
+    /// The endpoint, if the attempt ended with a response whose headers were read; `None` otherwise.
     pub endpoint: Option<EndpointId>,
-    /// How it ended.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
-    /// How long it took from its start, in milliseconds.
+    /// The time from the start of the attempt to its end, in milliseconds.
     pub took: Millis,
-    /// The endpoint answered with status 410: the message is finished, and no final status is owed.
+    /// Whether the endpoint responded with status 410: the message is finished, and no final status is due.
     pub message_finished: bool,
 }
 
@@ -51,22 +51,22 @@
 pub(super) struct ActiveAttempt {
     /// The message.
     pub id: MessageId,
-    /// The number of the message's attempt, from 0.
+    /// The number of the attempt within the message, from 0.
     pub attempt: u32,
     /// The destination that the endpoint serves.
     pub destination: u64,
-    /// When it was started.
+    /// When the attempt was started.
     pub started_at: Millis,
-    /// When it times out.
+    /// When the attempt times out.
     pub deadline: Millis,
-    /// The last instant at which the request may begin to be written.
+    /// The last instant at which the first byte of the request may be written.
     pub latest_start: Millis,
-    /// The last byte of the request has been written.
+    /// Whether the last byte of the request has been written.
     pub fully_sent: bool,
 }
 
 impl ActiveAttempt {
-    /// An attempt that starts now.
+    /// Creates an attempt that starts now.
     pub fn new(request: &AttemptRequest, now: Millis) -> ActiveAttempt {
         ActiveAttempt {
             id: request.id,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The result of the attempt if it ends now.
+    /// The result of the attempt if it ends now, before the headers of a response were read.
     pub fn result(&self, outcome: Outcome, now: Millis) -> AttemptResult {
         AttemptResult {
             id: self.id,
--- a/crates/sender/src/egress/attempt_end.rs
+++ b/crates/sender/src/egress/attempt_end.rs
@@ -1,34 +1,34 @@
-//! The outcome of an attempt that ends without a complete response: a pure function of what was written and what
-//! came back.
+//! The outcome of an attempt that ends without a complete response, as a pure function of the bytes that were written
+//! and received.
 
 use martenlatch_clock::Millis;
 use martenlatch_policy::interface::Outcome;
 
-/// A reused connection that ends this soon under a new request, in milliseconds and without a byte of a response, was
-/// stale before the request.
+/// A reused connection was stale before its new request if it ends within this time after the attempt has started and
+/// without a byte of a response, in milliseconds.
 pub(super) const STALE_DETECTION_WINDOW: Millis = 50.0;
 
 /// Why an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EndCause {
-    /// The request was withdrawn before its first byte.
+    /// The request was withdrawn before its last byte was written.
     Withdrawn,
-    /// The decision module called the attempt off.
+    /// The decision module cancelled the attempt.
     Cancelled,
-    /// The attempt, or the setting up of its connection, took too long.
+    /// The attempt, or establishing its connection, exceeded its time limit.
     TimedOut,
     /// The connection ended without a response.
     ConnectionLost,
-    /// What came is no complete HTTP response.
+    /// The received bytes are not a complete HTTP response.
     MalformedResponse,
-    /// A response of 200 came before the request had been sent: it belongs to an earlier request.
+    /// A response with status 200 arrived before the request had been sent: it belongs to an earlier request.
     PrematureSuccess,
-    /// The status line says 200, and the connection ended behind it.
+    /// A status line of 200 was received, but the request had not been sent completely or the connection has ended.
     SuccessStatusLine,
 }
 
 impl EndCause {
-    /// The outcome if the whole request had been sent, so that it may have run.
+    /// The outcome if the request had been sent completely, so that it may have run.
     fn outcome_if_sent(self) -> Outcome {
         match self {
             EndCause::Withdrawn => Outcome::NotSent,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The outcome if a part of the request had not been sent, so that it cannot have run.
+    /// The outcome if the request had not been sent completely, so that it cannot have run.
     fn outcome_if_unsent(self) -> Outcome {
         match self {
             EndCause::TimedOut | EndCause::ConnectionLost | EndCause::MalformedResponse => {
@@ -54,44 +54,44 @@
     }
 }
 
-/// What had been written and received when an attempt ended.
+/// The state of an attempt and its connection when the attempt ended.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EndedAttempt {
     /// Why the attempt ended.
     pub cause: EndCause,
-    /// The connection was established.
+    /// Whether the connection was established.
     pub connected: bool,
-    /// Nothing of the request waited in the output buffer.
+    /// Whether the output buffer was empty.
     pub flushed: bool,
-    /// The last byte of the request was still held back.
+    /// Whether the last byte of the request was still held back.
     pub last_byte_held_back: bool,
-    /// The last byte of the request was known to be written when the connection was looked at last.
+    /// Whether the last byte of the request had been written when the connection was last handled.
     pub fully_sent: bool,
-    /// At least one byte of a response had come.
+    /// Whether at least one byte of a response had been received.
     pub response_begun: bool,
-    /// A whole status line had come, and says 200.
+    /// Whether a complete status line with status 200 had been received.
     pub status_line_is_200: bool,
     /// How long the connection had been idle before the request, if it was reused.
     pub idle_before: Option<Millis>,
     /// When the attempt was started, in milliseconds.
     pub started_at: Millis,
-    /// When it ended, in milliseconds.
+    /// When the attempt ended, in milliseconds.
     pub ended_at: Millis,
 }
 
-/// What the end of an attempt says about it and about its connection.
+/// The consequences of the end of an attempt for the attempt and for its connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct EndClassification {
-    /// How the attempt ended, for the decision module.
+    /// The outcome of the attempt, for the decision module.
     pub outcome: Outcome,
-    /// The connection was lost under the request.
+    /// Whether the connection was lost during the request.
     pub connection_lost: bool,
-    /// The connection was stale; how long it had been idle.
+    /// How long the connection had been idle before the request, if it was stale.
     pub stale_after: Option<Millis>,
 }
 
 impl EndedAttempt {
-    /// Judges the end of an attempt.
+    /// Determines the outcome of the attempt and whether its connection was stale or lost.
     pub fn classify(&self) -> EndClassification {
         let connection_lost = self.cause == EndCause::ConnectionLost;
         let stale_after = self.idle_before.filter(|_| self.is_stale());
@@ -102,8 +102,9 @@
         }
     }
 
-    /// A connection that was closed or dropped while idle, by the endpoint or on the way, ends at once under the next
-    /// request. This must not be taken for a fault of the endpoint: one that has gone shows on a new connection.
+    /// Whether the connection was closed or dropped while idle, by the endpoint or on the network path, and therefore
+    /// ended at the start of the next request. That must not count as a fault of the endpoint: one that is down also
+    /// fails on a new connection.
     fn is_stale(&self) -> bool {
         self.cause == EndCause::ConnectionLost
             && self.idle_before.is_some()
@@ -112,7 +113,7 @@
     }
 
     fn outcome(&self, stale: bool) -> Outcome {
-        // A malformed response must not have a message repeated, or called failed, that its status line has confirmed.
+        // A status line of 200 has confirmed the message. A malformed rest must not cause it to be retried or to fail.
         if self.fully_sent && self.status_line_is_200 {
             return Outcome::Success;
         }
@@ -122,7 +123,7 @@
             true if self.cause == EndCause::TimedOut && self.response_begun => Outcome::Failure,
             true => self.cause.outcome_if_sent(),
             false if stale => Outcome::NotSent,
-            // The connection was established, and its end says nothing of the endpoint.
+            // The connection was established, so its end does not show that the endpoint is unreachable.
             false if self.connected && self.last_byte_held_back => Outcome::NotSent,
             false => self.cause.outcome_if_unsent(),
         }
--- a/crates/sender/src/egress/connection_faults.rs
+++ b/crates/sender/src/egress/connection_faults.rs
@@ -1,37 +1,38 @@
-//! Detection of stale connections and of connection resets, from how recent exchanges ended.
+//! Detection of stale connections and connection resets from the ends of recent exchanges.
 //!
-//! Both are weighted counts: a bad end adds one, and every good exchange makes the count smaller by a factor. They
-//! know no sockets, and are passed to a successor process.
+//! Each detector keeps a weighted count: a fault adds one, and every successful exchange multiplies the count by a
+//! factor below one. The detectors are independent of sockets and are passed to a successor process.
 
 use martenlatch_clock::Millis;
 use serde::{Deserialize, Serialize};
 
-/// From this weighted count of stale connections on, idle connections are suspected of being stale.
-const SUSPECT_FROM: f64 = 2.0;
-/// Below this weighted count they are trusted again.
-const TRUST_BELOW: f64 = 0.5;
-/// What a good exchange on a reused connection leaves of the count of stale connections.
+/// Once the weighted count of stale connections reaches this value, connections that have been idle for long are
+/// suspected to be stale.
+const SUSPICION_THRESHOLD: f64 = 2.0;
+/// Once the weighted count falls below this value, they are trusted again.
+const TRUST_THRESHOLD: f64 = 0.5;
+/// The factor by which a successful exchange on a reused connection reduces the count of stale connections.
 const STALE_DECAY: f64 = 0.98;
-/// The idle time that is taken to be safe, as a part of the shortest one after which a connection was stale.
+/// The safe idle time as a fraction of the shortest idle time after which a connection was stale.
 const SAFE_IDLE_FACTOR: f64 = 0.8;
-/// How the safe idle time grows with each good exchange on a connection that had been idle for longer.
+/// The factor by which the safe idle time grows with each successful exchange on a connection that was idle for longer.
 const SAFE_IDLE_GROWTH: f64 = 1.01;
 
-/// From this weighted count of resets on, a further one is expected.
-pub(super) const RESETS_EXPECTED_FROM: f64 = 0.5;
-/// What a good exchange leaves of the count of resets.
+/// While the weighted count of resets is at least this value, another reset is expected.
+pub(super) const RESET_EXPECTED_THRESHOLD: f64 = 0.5;
+/// The factor by which a successful exchange reduces the count of resets.
 const RESET_DECAY: f64 = 0.98;
 
-/// How long connections may be idle before they are probably stale.
+/// Estimates how long a connection may be idle before it is probably stale.
 ///
 /// Serialized as a part of the egress state: the order of the fields is fixed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct StaleConnectionDetector {
-    /// Weighted count of connections that were stale.
+    /// The weighted count of stale connections.
     pub recent_stale: f64,
-    /// Connections that have been idle for long are suspected of being stale.
+    /// Whether connections that have been idle for longer than `safe_idle` are suspected to be stale.
     pub suspects_idle: bool,
-    /// The idle time that is safe, in milliseconds; infinite while nothing is known.
+    /// The idle time that is considered safe, in milliseconds; infinite if no stale connection is remembered.
     pub safe_idle: Millis,
 }
 
@@ -46,25 +47,25 @@
 }
 
 impl StaleConnectionDetector {
-    /// A connection was stale that had been idle for so long, in milliseconds.
-    pub fn record_stale(&mut self, idle: Millis) {
+    /// Records a stale connection that had been idle for `idle_time` milliseconds.
+    pub fn record_stale(&mut self, idle_time: Millis) {
         self.recent_stale += 1.0;
-        self.suspects_idle |= self.recent_stale >= SUSPECT_FROM;
-        self.safe_idle = self.safe_idle.min(idle * SAFE_IDLE_FACTOR);
+        self.suspects_idle |= self.recent_stale >= SUSPICION_THRESHOLD;
+        self.safe_idle = self.safe_idle.min(idle_time * SAFE_IDLE_FACTOR);
     }
 
-    /// A connection carried a response that had been idle for so long before, in milliseconds.
-    pub fn record_response(&mut self, idle: Millis) {
+    /// Records a response on a connection that had been idle for `idle_time` milliseconds before the request.
+    pub fn record_response(&mut self, idle_time: Millis) {
         self.recent_stale *= STALE_DECAY;
-        if self.recent_stale < TRUST_BELOW {
+        if self.recent_stale < TRUST_THRESHOLD {
             self.suspects_idle = false;
             self.safe_idle = f64::INFINITY;
-        } else if idle > self.safe_idle {
+        } else if idle_time > self.safe_idle {
             self.safe_idle *= SAFE_IDLE_GROWTH;
         }
     }
 
-    /// How long a connection may have been idle, in milliseconds, for a request that must not be lost on it.
+    /// The longest idle time, in milliseconds, of a connection that may carry a request that must not be lost.
     pub fn max_safe_idle(&self) -> Millis {
         if self.suspects_idle {
             self.safe_idle
@@ -74,26 +75,26 @@
     }
 }
 
-/// Whether connections are being reset under requests.
+/// Detects whether connections are being reset during requests.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct ResetDetector {
-    /// Weighted count of connections that were lost under a request.
+    /// The weighted count of connections that were lost during a request.
     pub recent_resets: f64,
 }
 
 impl ResetDetector {
-    /// A connection was lost under a request.
+    /// Records that a connection was lost during a request.
     pub fn record_reset(&mut self) {
         self.recent_resets += 1.0;
     }
 
-    /// A connection carried a response.
+    /// Records that a connection carried a response.
     pub fn record_response(&mut self) {
         self.recent_resets *= RESET_DECAY;
     }
 
-    /// Whether the next connection may well be reset too.
+    /// Whether a connection is likely to be reset during the next request.
     pub fn expects_reset(&self) -> bool {
-        self.recent_resets >= RESETS_EXPECTED_FROM
+        self.recent_resets >= RESET_EXPECTED_THRESHOLD
     }
 }
--- a/crates/sender/src/egress/connection_pool.rs
+++ b/crates/sender/src/egress/connection_pool.rs
@@ -1,4 +1,4 @@
-//! The pool of connections to endpoints: opening, reuse, and the closing of idle connections.
+//! The pool of connections to endpoints: opening, reusing and closing them.
 
 use std::net::SocketAddr;
 use std::ops::{Index, IndexMut};
@@ -12,22 +12,23 @@
 use super::endpoint_connection::EndpointConnection;
 use crate::event_source::{Connection, EventSource, Handle};
 
-/// All connections to endpoints, each in a numbered slot under which the event loop reports it.
+/// All connections to endpoints, each in a slot whose number identifies it in the event loop.
 pub(super) struct ConnectionPool {
     /// The event loop in which the connections are registered.
     pub handle: Handle,
     /// The buffers of the connections.
     pub buffers: BufferPool,
-    /// Most connections, idle ones included, before a new one replaces the one that has been idle the longest.
+    /// The limit on connections, idle ones included. At the limit, a new connection replaces the one that has been idle
+    /// the longest; without an idle one, the limit is exceeded.
     pub max_connections: usize,
-    /// The connections by their slots.
+    /// The connections by slot.
     pub slots: Slab<EndpointConnection>,
     /// The slots of idle connections, the most recently used last.
     pub idle: Vec<usize>,
 }
 
 impl ConnectionPool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(handle: &Handle, buffers: &BufferPool, max_connections: usize) -> ConnectionPool {
         ConnectionPool {
             handle: handle.clone(),
@@ -43,50 +44,51 @@
         self.slots.contains(slot)
     }
 
-    /// The connection in a slot, if there is one.
+    /// The connection in a slot; `None` if the slot is empty.
     pub fn get(&self, slot: usize) -> Option<&EndpointConnection> {
         self.slots.get(slot)
     }
 
-    /// All connections in the order of their slots.
+    /// All connections in slot order.
     pub fn iter(&self) -> impl Iterator<Item = &EndpointConnection> {
         self.slots.iter().map(|(_, connection)| connection)
     }
 
-    /// The slot of the first connection for which a condition holds.
-    pub fn slot_where(&self, condition: impl Fn(&EndpointConnection) -> bool) -> Option<usize> {
+    /// The slot of the first connection that matches `predicate`.
+    pub fn find_slot(&self, predicate: impl Fn(&EndpointConnection) -> bool) -> Option<usize> {
         self.slots
             .iter()
-            .find(|(_, connection)| condition(connection))
+            .find(|(_, connection)| predicate(connection))
             .map(|(slot, _)| slot)
     }
 
-    /// The slots of the connections for which a condition holds.
-    pub fn slots_where(&self, condition: impl Fn(&EndpointConnection) -> bool) -> Vec<usize> {
+    /// The slots of all connections that match `predicate`.
+    pub fn find_slots(&self, predicate: impl Fn(&EndpointConnection) -> bool) -> Vec<usize> {
         self.slots
             .iter()
-            .filter(|(_, connection)| condition(connection))
+            .filter(|(_, connection)| predicate(connection))
             .map(|(slot, _)| slot)
             .collect()
     }
 
-    /// Takes the most recently used idle connection to the endpoint that still works, if it was used since an
-    /// instant. One that the endpoint has closed is found here, before a request is lost on it.
+    /// Takes the most recently used idle connection to the endpoint that still works, unless it became idle before
+    /// `earliest_idle_since`. A connection that the endpoint has closed is detected and removed here, before a request
+    /// is lost on it.
     pub fn take_idle(
         &mut self,
         endpoint: EndpointId,
         address: SocketAddr,
-        used_since: Millis,
+        earliest_idle_since: Millis,
     ) -> Option<usize> {
-        while let Some(place) = self
+        while let Some(position) = self
             .idle
             .iter()
             .rposition(|slot| self.slots[*slot].endpoint == endpoint)
         {
-            if self.slots[self.idle[place]].idle_since < used_since {
+            if self.slots[self.idle[position]].idle_since < earliest_idle_since {
                 return None;
             }
-            let slot = self.idle.remove(place);
+            let slot = self.idle.remove(position);
             let candidate = &mut self.slots[slot];
             candidate.connection.receive();
             if candidate.address == address
@@ -100,8 +102,8 @@
         None
     }
 
-    /// Opens a connection. Where the limit on connections is reached, or the process has no descriptor left, the
-    /// connection that has been idle the longest makes room for it.
+    /// Opens a connection. If the limit on connections is reached, or the process lacks descriptors or ports, the
+    /// connection that has been idle the longest is closed to make room.
     ///
     /// # Errors
     /// The system's error if no connection can be opened.
@@ -119,56 +121,61 @@
             Err(error) if http::is_local_shortage(&error) && self.close_longest_idle() => {
                 self.connect(address)
             }
-            connected => connected,
+            result => result,
         }?;
         let connection = EndpointConnection::new(connection, endpoint, kind, address, now);
         Ok(self.slots.insert(connection))
     }
 
     fn connect(&self, address: SocketAddr) -> std::io::Result<Connection> {
-        Connection::connect(address, &self.handle, &self.buffers, self.next_key())
+        Connection::connect(
+            address,
+            &self.handle,
+            &self.buffers,
+            self.next_event_source(),
+        )
     }
 
-    /// The key under which the event loop will report the next connection of this pool.
-    pub fn next_key(&self) -> EventSource {
+    /// The event source that will identify the next connection of this pool in the event loop.
+    pub fn next_event_source(&self) -> EventSource {
         EventSource::Endpoint(self.slots.vacant_key())
     }
 
-    /// Puts a connection that has carried its exchange among the idle ones.
+    /// Marks a connection as idle after its exchange.
     pub fn mark_idle(&mut self, slot: usize, now: Millis) {
         self.slots[slot].idle_since = now;
         self.idle.push(slot);
     }
 
-    /// Takes a connection out of the pool; it is closed when it is dropped.
+    /// Removes a connection from the pool. It is closed when the returned value is dropped.
     pub fn remove(&mut self, slot: usize) -> Option<EndpointConnection> {
         let removed = self.slots.try_remove(slot)?;
         self.idle.retain(|idle| *idle != slot);
         Some(removed)
     }
 
-    /// Closes the connection that has been idle the longest; false if none is idle.
+    /// Closes the connection that has been idle the longest. Returns false if none is idle.
     fn close_longest_idle(&mut self) -> bool {
         if self.idle.is_empty() {
             return false;
         }
-        let oldest = self.idle.remove(0);
-        self.slots.remove(oldest);
+        let longest_idle = self.idle.remove(0);
+        self.slots.remove(longest_idle);
         true
     }
 
-    /// Closes idle connections, the longest idle first, until there are at most `max_connections`. Returns how many
-    /// connections are left.
+    /// Closes idle connections, the longest idle first, until at most `max_connections` connections are left or none
+    /// is idle. Returns the number of connections left.
     pub fn close_idle_above(&mut self, max_connections: usize) -> usize {
         while self.slots.len() > max_connections && self.close_longest_idle() {}
         self.slots.len()
     }
 
-    /// Closes the idle connections for which a condition holds.
-    pub fn close_idle_where(&mut self, condition: impl Fn(&EndpointConnection) -> bool) {
+    /// Closes the idle connections that match `predicate`.
+    pub fn close_idle_matching(&mut self, predicate: impl Fn(&EndpointConnection) -> bool) {
         let slots = &mut self.slots;
         self.idle.retain(|slot| {
-            let keep = !condition(&slots[*slot]);
+            let keep = !predicate(&slots[*slot]);
             if !keep {
                 slots.remove(*slot);
             }
--- a/crates/sender/src/egress/connection_scarcity.rs
+++ b/crates/sender/src/egress/connection_scarcity.rs
@@ -1,22 +1,22 @@
-//! Detection of endpoints that have no connections to spare, for each kind of endpoint.
+//! Detection of endpoints without spare connections, for each kind of endpoint.
 //!
-//! An endpoint holds few connections, and does not say how many. One whose connections are all taken rejects requests
-//! on new connections and serves those on the connections that it has. So a sender that holds a connection never meets
-//! a rejection, and one that holds none is never served. A sender that sees this at any endpoint of a kind keeps no
-//! idle connection to endpoints of that kind: each would keep another sender out.
+//! An endpoint accepts a small number of connections that it does not disclose. While all of them are in use, it
+//! rejects requests on new connections and serves those on existing ones. So a sender with a connection is never
+//! rejected, and a sender without one is never served. A sender that observes this at any endpoint of a kind keeps no
+//! idle connections to endpoints of that kind, as each of them would exclude another sender.
 //!
-//! It says nothing of an endpoint's health or load: those show on reused connections, too.
+//! Scarcity is independent of the health and load of an endpoint: those affect reused connections, too.
 
 use serde::{Deserialize, Serialize};
 
-/// What each response leaves of the weight of those before it.
+/// The factor by which each response reduces the weight of the earlier ones.
 const DECAY: f64 = 0.9;
-/// Scarcity: at least this part of the requests on new connections is rejected...
-const MIN_REJECTED_ON_NEW: f64 = 0.6;
-/// ...and at least this many of them, weighted, so that it is no chance...
+/// Connections are scarce if at least this fraction of the requests on new connections is rejected...
+const MIN_REJECTED_SHARE_ON_NEW: f64 = 0.6;
+/// ...and at least this weighted number of them, so that it is not by chance...
 const MIN_REJECTIONS_ON_NEW: f64 = 2.0;
-/// ...and at most this part of the requests on reused connections.
-const MAX_REJECTED_ON_REUSED: f64 = 0.2;
+/// ...and at most this fraction of the requests on reused connections.
+const MAX_REJECTED_SHARE_ON_REUSED: f64 = 0.2;
 
 /// Weighted counts of recent responses.
 #[derive(Clone, Copy, Default, Serialize, Deserialize)]
@@ -32,31 +32,32 @@
     }
 }
 
-/// Responses of the endpoints of one kind, by the connection that they came on.
+/// Counts of the responses from endpoints of one kind, on new and on reused connections.
 #[derive(Clone, Copy, Default, Serialize, Deserialize)]
 struct KindCounts {
     new_connections: ResponseCounts,
     reused_connections: ResponseCounts,
 }
 
-/// A response, as far as it says something of an endpoint's spare connections.
+/// The properties of a response that indicate whether the endpoint has spare connections.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct ConnectionResponse {
-    /// The connection had carried an admitted request before.
+pub(super) struct ResponseObservation {
+    /// Whether the endpoint had admitted an earlier request on the connection.
     pub reused: bool,
-    /// The endpoint rejected the request.
+    /// Whether the endpoint rejected the request.
     pub rejected: bool,
-    /// The rejection named a time to wait: it comes from a rate limit, and says nothing of connections.
+    /// Whether the response gave a retry-after time: such a rejection comes from a rate limit, not from a lack of
+    /// connections.
     pub retry_after_given: bool,
 }
 
-/// For each kind of endpoint, whether its endpoints lack spare connections. Serialized for a process replacement.
+/// Detects kinds of endpoints without spare connections. Serialized for a process replacement.
 #[derive(Clone, Default, Serialize, Deserialize)]
-pub(super) struct ConnectionScarcity(Vec<KindCounts>);
+pub(super) struct ConnectionScarcityDetector(Vec<KindCounts>);
 
-impl ConnectionScarcity {
-    /// Takes account of a response of an endpoint of the kind with that index in the settings.
-    pub fn record(&mut self, kind: usize, response: ConnectionResponse) {
+impl ConnectionScarcityDetector {
+    /// Records a response from an endpoint whose kind has the index `kind` in the settings.
+    pub fn record(&mut self, kind: usize, response: ResponseObservation) {
         if kind >= self.0.len() {
             self.0.resize_with(kind + 1, Default::default);
         }
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Whether an idle connection to an endpoint of the kind keeps other senders out.
+    /// Whether endpoints of the kind lack connections, so that an idle connection would exclude another sender.
     pub fn is_scarce(&self, kind: usize) -> bool {
         let Some(counts) = self.0.get(kind) else {
             return false;
@@ -76,7 +77,7 @@
         let new = counts.new_connections;
         let reused = counts.reused_connections;
         new.rejected >= MIN_REJECTIONS_ON_NEW
-            && new.rejected >= MIN_REJECTED_ON_NEW * new.total
-            && reused.rejected <= MAX_REJECTED_ON_REUSED * reused.total
+            && new.rejected >= MIN_REJECTED_SHARE_ON_NEW * new.total
+            && reused.rejected <= MAX_REJECTED_SHARE_ON_REUSED * reused.total
     }
 }
--- a/crates/sender/src/egress/endpoint_connection.rs
+++ b/crates/sender/src/egress/endpoint_connection.rs
@@ -1,4 +1,4 @@
-//! A connection to an endpoint, with the exchange that it carries.
+//! A connection to an endpoint and the exchange on it.
 
 use std::net::SocketAddr;
 
@@ -10,58 +10,58 @@
 use super::attempt::ActiveAttempt;
 use crate::event_source::Connection;
 
-/// What is still to be read of a response whose outcome has been reported.
+/// The unread remainder of a response whose outcome has been reported.
 #[derive(Clone, Serialize, Deserialize)]
 pub(super) enum RemainingResponse {
-    /// Its head, behind a status line of 200, and the body that the head announces.
+    /// The head after a status line of 200, and the body that follows it.
     Head,
-    /// Its body.
+    /// The body.
     Body(Body),
 }
 
-/// The last byte of a request, held back so that the request cannot run yet.
+/// The last byte of a request, which is held back so that the request cannot run yet.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 pub(super) struct HeldBackByte {
     /// The byte.
     pub byte: u8,
-    /// The instant from which it may be written; infinite until the bytes before it have been written.
+    /// When the byte may be written; infinite until the bytes before it have been written.
     pub release_at: Millis,
 }
 
 /// A connection to an endpoint. It carries one exchange at a time.
 ///
-/// `L` is the connection itself, or its snapshot when it is passed to a successor process. Serialized: the order of
-/// the fields is fixed.
+/// `C` is the connection itself, or its snapshot in the state for a successor process. Serialized: the order of the
+/// fields is fixed.
 #[derive(Serialize, Deserialize)]
-pub(super) struct EndpointConnection<L = Connection> {
+pub(super) struct EndpointConnection<C = Connection> {
     /// The connection, or its snapshot.
-    pub connection: L,
-    /// The endpoint it leads to.
+    pub connection: C,
+    /// The endpoint at the other end.
     pub endpoint: EndpointId,
     /// The endpoint's kind, by its index in the settings.
     pub kind: usize,
-    /// The endpoint's address when it was opened.
+    /// The address to which the connection was opened.
     pub address: SocketAddr,
-    /// The attempt in flight on it.
+    /// The attempt in flight on the connection.
     pub attempt: Option<ActiveAttempt>,
-    /// Bytes have been written to it: it is established.
+    /// Whether bytes have been written, which shows that the connection is established.
     pub connected: bool,
-    /// The endpoint has admitted a request on it.
+    /// Whether the endpoint has admitted a request on the connection.
     pub admitted: bool,
     /// The last byte of the request, while it is held back.
     pub held_back_byte: Option<HeldBackByte>,
-    /// How long it had been idle when its request came, if it had carried one before.
+    /// How long the connection had been idle before its latest request, if it was reused for that request.
     pub idle_before: Option<Millis>,
-    /// When it was opened.
+    /// When the connection was opened.
     pub opened_at: Millis,
-    /// What is still to be read of a response whose outcome has been reported.
+    /// The unread remainder of a response whose outcome has been reported.
     pub remaining_response: Option<RemainingResponse>,
-    /// When it became idle, or when the outcome of the response that remains was reported.
+    /// When the connection became idle, or when the outcome of the response in `remaining_response` was reported.
     pub idle_since: Millis,
 }
 
 impl EndpointConnection {
-    /// A new connection, which is not established yet.
+    /// Wraps a new connection, which is not established yet.
     pub fn new(
         connection: Connection,
         endpoint: EndpointId,
@@ -85,20 +85,20 @@
         }
     }
 
-    /// The endpoint has ended its sending, or the connection is gone.
+    /// Whether the endpoint has shut down its sending side, or the connection has failed.
     pub fn is_closed(&self) -> bool {
         self.connection.eof || self.connection.broken
     }
 
-    /// All bytes of the request have been written to an established connection.
+    /// Whether all bytes of the request have been written to an established connection.
     pub fn is_fully_sent(&self) -> bool {
         self.connected && self.held_back_byte.is_none() && self.connection.is_flushed()
     }
 }
 
-impl<L> EndpointConnection<L> {
-    /// The same state around another connection, or around its snapshot.
-    pub fn with_connection<M>(&self, connection: M) -> EndpointConnection<M> {
+impl<C> EndpointConnection<C> {
+    /// A copy of the state with `connection` in place of the connection or its snapshot.
+    pub fn with_connection<D>(&self, connection: D) -> EndpointConnection<D> {
         EndpointConnection {
             connection,
             endpoint: self.endpoint,
--- a/crates/sender/src/egress/exchange.rs
+++ b/crates/sender/src/egress/exchange.rs
@@ -1,4 +1,5 @@
-//! One exchange on a connection: the request out, the response in, and the rest of the response behind its outcome.
+//! One exchange on a connection: writing the request, reading the response up to its outcome, and then the rest of the
+//! response.
 
 use martenlatch_clock::Millis;
 use martenlatch_http::{self as http, Body};
@@ -7,18 +8,18 @@
 
 use super::attempt::AttemptResult;
 use super::attempt_end::{EndCause, EndedAttempt};
-use super::connection_scarcity::ConnectionResponse;
+use super::connection_scarcity::ResponseObservation;
 use super::endpoint_connection::{EndpointConnection, RemainingResponse};
 use super::response::{
-    RemainderProgress, ResponseMeaning, ResponseProgress, read_remainder, read_response,
+    RemainderProgress, ResponseClassification, ResponseProgress, read_remainder, read_response,
 };
-use super::timeouts::RESPONSE_BODY_TIMEOUT;
+use super::timeouts::RESPONSE_COMPLETION_TIMEOUT;
 use super::{Egress, LAST_BYTE_DELAY};
 
 impl Egress {
-    /// Takes an exchange as far as it goes now: writes, reads, and reports the outcome. Returns whether there may be
-    /// more to read.
-    pub(super) fn progress(&mut self, slot: usize, now: Millis) -> bool {
+    /// Advances an exchange as far as possible without blocking: writes, reads, and reports the outcome. Returns
+    /// whether there may be more to read.
+    pub(super) fn advance(&mut self, slot: usize, now: Millis) -> bool {
         let has_more = self.transfer(slot, now);
         let connection = &mut self.connections[slot];
         if let Some(fully_sent) = connection.attempt.map(|attempt| attempt.fully_sent) {
@@ -46,14 +47,14 @@
         has_more && self.connections.contains(slot)
     }
 
-    /// Writes and reads what the socket takes and gives. Returns whether there may be more to read.
+    /// Writes and reads as much as the socket allows. Returns whether there may be more to read.
     fn transfer(&mut self, slot: usize, now: Millis) -> bool {
         let connection = &mut self.connections[slot];
         if connection.connection.corked
             && connection.connection.is_connected()
-            && !self.established.contains(&slot)
+            && !self.awaiting_permission.contains(&slot)
         {
-            self.established.push(slot);
+            self.awaiting_permission.push(slot);
         }
         connection.connection.flush();
         connection.connected |= connection.connection.written > 0;
@@ -70,18 +71,18 @@
         has_more
     }
 
-    /// Reports the outcome of an attempt whose response has come.
+    /// Reports the outcome of an attempt whose response has been received.
     fn finish_attempt(&mut self, slot: usize, response: http::Response, now: Millis) {
         let connection = &mut self.connections[slot];
         let Some(attempt) = connection.attempt.take() else {
             return;
         };
         connection.connection.consume(response.consumed);
-        // After a response that came before the whole request was out, the connection cannot carry another one.
+        // After a response to an incompletely written request, the connection cannot be reused.
         let reusable = response.keep_alive
             && connection.connection.is_flushed()
             && connection.held_back_byte.is_none();
-        let meaning = ResponseMeaning::of(&response);
+        let classification = ResponseClassification::of(&response);
         let body = if reusable {
             response.body
         } else {
@@ -101,19 +102,19 @@
         );
         self.results.push(AttemptResult {
             endpoint: Some(connection.endpoint),
-            message_finished: meaning.message_finished,
-            ..attempt.result(meaning.outcome, now)
+            message_finished: classification.message_finished,
+            ..attempt.result(classification.outcome, now)
         });
         self.record_response(idle_before);
         self.record_admission(
             slot,
-            matches!(meaning.outcome, Outcome::Overloaded { .. }),
-            meaning.retry_after > 0,
+            matches!(classification.outcome, Outcome::Overloaded { .. }),
+            classification.retry_after > 0,
         );
     }
 
-    /// Reports success of an attempt whose response has a status line of 200, while the rest of its head is still to
-    /// come. The connection is kept, which saves opening another one after each response that comes in pieces.
+    /// Reports the success of an attempt whose response so far has a status line of 200 and an incomplete head. The
+    /// connection is kept, so that a response that arrives in pieces does not cost a new connection.
     fn finish_by_status_line(&mut self, slot: usize, now: Millis) {
         let connection = &mut self.connections[slot];
         let closed = connection.is_closed();
@@ -137,7 +138,7 @@
         self.record_admission(slot, false, false);
     }
 
-    /// Closes a connection, and reports the outcome of the attempt on it, if there is one.
+    /// Closes a connection and reports the outcome of the attempt on it, if it carries one.
     pub(super) fn end_exchange(&mut self, slot: usize, cause: EndCause, now: Millis) {
         let Some(connection) = self.connections.remove(slot) else {
             return;
@@ -167,8 +168,8 @@
             ended_at: now,
         }
         .classify();
-        if let Some(idle) = end.stale_after {
-            self.stale_connections.record_stale(idle);
+        if let Some(idle_time) = end.stale_after {
+            self.stale_connections.record_stale(idle_time);
         }
         if end.connection_lost {
             self.resets.record_reset();
@@ -176,20 +177,21 @@
         self.results.push(attempt.result(end.outcome, now));
     }
 
-    /// A connection has carried a response, after being idle for so long if it was reused.
+    /// Records that a connection has carried a response; `idle_before` is its idle time before the request, if it was
+    /// reused.
     fn record_response(&mut self, idle_before: Option<Millis>) {
         self.resets.record_response();
-        if let Some(idle) = idle_before {
-            self.stale_connections.record_response(idle);
+        if let Some(idle_time) = idle_before {
+            self.stale_connections.record_response(idle_time);
         }
     }
 
-    /// Takes account of what a response says of the endpoint's spare connections. Where there are none, idle
-    /// connections to endpoints of its kind are closed.
+    /// Records whether the endpoint has admitted or rejected a request. If a rejection shows that its kind lacks spare
+    /// connections, the idle connections to endpoints of that kind are closed.
     fn record_admission(&mut self, slot: usize, rejected: bool, retry_after_given: bool) {
         let connection = &mut self.connections[slot];
         let kind = connection.kind;
-        let response = ConnectionResponse {
+        let response = ResponseObservation {
             reused: connection.admitted,
             rejected,
             retry_after_given,
@@ -197,16 +199,17 @@
         connection.admitted |= !rejected;
         self.scarcity.record(kind, response);
         if rejected && self.scarcity.is_scarce(kind) {
-            self.connections.close_idle_where(|idle| idle.kind == kind);
+            self.connections
+                .close_idle_matching(|idle| idle.kind == kind);
         }
     }
 
-    /// Reads the rest of a response, and puts the connection among the idle ones, or closes it.
+    /// Reads the rest of a response. Once it is complete, the connection becomes idle or is closed.
     fn read_rest_of_response(&mut self, slot: usize, now: Millis) {
         let connection = &mut self.connections[slot];
         match read_remainder(connection) {
             RemainderProgress::Pending => {}
-            // Where connections are scarce, an idle one keeps another sender's request out.
+            // While connections are scarce, an idle one would exclude another sender.
             RemainderProgress::Done if self.scarcity.is_scarce(connection.kind) => {
                 self.connections.remove(slot);
             }
@@ -222,19 +225,23 @@
     }
 }
 
-/// Writes the last byte of a request, if it was held back and its time has come.
+/// Writes the held-back last byte of a request once its delay has passed.
 fn release_held_back_byte(connection: &mut EndpointConnection, now: Millis) {
-    let others_sent =
+    let bytes_before_sent =
         connection.connected && connection.connection.is_flushed() && !connection.connection.corked;
     let closed = connection.is_closed();
-    let Some(held_back) = connection.held_back_byte.as_mut().filter(|_| others_sent) else {
+    let Some(held_back) = connection
+        .held_back_byte
+        .as_mut()
+        .filter(|_| bytes_before_sent)
+    else {
         return;
     };
     held_back.release_at = held_back.release_at.min(now + LAST_BYTE_DELAY);
     if now < held_back.release_at || closed {
         return;
     }
-    // Where no buffer is free it is tried again after the delay, and not in a busy loop.
+    // If no buffer is free, the next try comes after the delay, not in a busy loop.
     held_back.release_at = now + LAST_BYTE_DELAY;
     if connection.connection.queue(&[held_back.byte]) {
         connection.held_back_byte = None;
@@ -242,13 +249,13 @@
     }
 }
 
-/// Once a response has begun it must soon be complete: one that never ends would hold a connection for all of the
-/// attempt's time.
+/// Limits the time for a response that has begun: one that never ends would occupy the connection until the attempt
+/// times out.
 fn limit_response_time(connection: &mut EndpointConnection, now: Millis) {
     if connection.connection.bytes().is_empty() {
         return;
     }
     if let Some(attempt) = connection.attempt.as_mut() {
-        attempt.deadline = attempt.deadline.min(now + RESPONSE_BODY_TIMEOUT);
+        attempt.deadline = attempt.deadline.min(now + RESPONSE_COMPLETION_TIMEOUT);
     }
 }
--- a/crates/sender/src/egress/mod.rs
+++ b/crates/sender/src/egress/mod.rs
@@ -1,17 +1,17 @@
-//! Connections to endpoints, and the attempts that they carry: one exchange at a time on each.
+//! Connections to endpoints and the attempts on them. Each connection carries one exchange at a time.
 //!
-//! [`Egress`] opens connections at need, reuses idle ones, writes requests, reads responses, and reports how each
-//! attempt ended. It never retries, chooses an endpoint, or judges an outcome: the decision module does. Whether an
-//! attempt can have run is decided here, by what was written and what came back.
+//! [`Egress`] opens connections as needed, reuses idle ones, writes requests, reads responses and reports the outcome
+//! of each attempt. It never retries, chooses an endpoint or reacts to an outcome: the decision module does that. It
+//! does determine whether an attempt may have run, from the bytes that were written and received.
 //!
 //! - [`connection_pool`]: opening, reusing and closing connections
 //! - [`exchange`]: one exchange on a connection
-//! - [`response`]: reading responses
+//! - [`response`]: parsing responses
 //! - [`attempt_end`]: the outcome of an attempt without a complete response
-//! - [`connection_faults`]: detection of stale connections and of resets
+//! - [`connection_faults`]: detection of stale connections and connection resets
 //! - [`connection_scarcity`]: detection of endpoints without spare connections
 //! - [`timeouts`]: time limits
-//! - [`snapshot`]: passing all connections to a successor process
+//! - [`snapshot`]: handing over all connections to a successor process
 
 mod attempt;
 mod attempt_end;
@@ -42,58 +42,58 @@
 use attempt_end::EndCause;
 use connection_faults::{ResetDetector, StaleConnectionDetector};
 use connection_pool::ConnectionPool;
-use connection_scarcity::ConnectionScarcity;
+use connection_scarcity::ConnectionScarcityDetector;
 use endpoint_connection::{EndpointConnection, HeldBackByte};
 
-/// Part of the endpoints' idle limit after which an idle connection is closed. The rest is for the time on the way:
-/// a request that crosses with the endpoint's closing ends as a reset.
+/// The fraction of the endpoints' idle limit after which an idle connection is closed. The rest allows for network
+/// latency: a request that crosses the endpoint's close on the way ends in a reset.
 const IDLE_LIMIT_SHARE: f64 = 0.9;
 
-/// While resets are expected, the last byte of a request that must not be lost is written this much later than the
-/// others, in milliseconds. A request whose connection ends before its last byte has been written never ran.
+/// While resets are expected, the last byte of a request that must not be lost is written after this delay, in
+/// milliseconds: a request whose connection ends before its last byte was written never ran.
 const LAST_BYTE_DELAY: Millis = 3.0;
 
-/// While attempts cannot be recorded, it is tried again so often, in milliseconds.
+/// The interval at which recording an attempt is retried after it has failed, in milliseconds.
 const RECORD_RETRY_INTERVAL: Millis = 20.0;
 
-/// Whether a request may begin.
+/// Whether a request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendPermission {
-    /// It is recorded, and begins.
+    /// The attempt is recorded and may be sent.
     Granted,
-    /// It cannot be recorded now: it is asked again later.
+    /// The attempt cannot be recorded now; permission is requested again later.
     RetryLater,
-    /// It must not be sent.
+    /// The request must not be sent.
     Denied,
 }
 
-/// All connections to endpoints, with the attempts on them.
+/// All connections to endpoints and the attempts on them.
 pub struct Egress {
     /// The buffers of the connections.
     pub(crate) buffers: BufferPool,
     connections: ConnectionPool,
-    /// How long a connection may take to be established.
+    /// The time limit for establishing a connection, in milliseconds.
     connect_timeout: Millis,
-    /// How long a connection may be idle.
+    /// The time after which an idle connection is closed, in milliseconds.
     idle_limit: Millis,
     stale_connections: StaleConnectionDetector,
     resets: ResetDetector,
-    scarcity: ConnectionScarcity,
-    /// The attempts that have ended, for the caller to take.
+    scarcity: ConnectionScarcityDetector,
+    /// The results of attempts that have ended, for the caller to take.
     pub results: Vec<AttemptResult>,
-    /// Connections that are established and whose request has not begun: the attempt has to be recorded first.
-    established: Vec<usize>,
-    /// When the attempts that could not be recorded are tried again.
+    /// The slots of established connections whose requests have not begun, as their attempts must be recorded first.
+    awaiting_permission: Vec<usize>,
+    /// When permission is requested again for attempts that could not be recorded; infinite if there are none.
     record_retry_at: Millis,
     /// The messages whose requests were completely written, for the caller to take.
     pub sent_messages: Vec<MessageId>,
-    /// Connections opened so far.
+    /// The number of connections opened so far.
     pub connections_opened: u64,
 }
 
 impl Egress {
-    /// An egress without connections. `max_connections` counts idle ones too; `connect_timeout` and the endpoints'
-    /// `idle_limit` are in milliseconds.
+    /// Creates an egress without connections. `max_connections` includes idle ones. `connect_timeout` and
+    /// `idle_limit`, the time after which endpoints close idle connections, are in milliseconds.
     pub fn new(
         handle: &Handle,
         buffers: &BufferPool,
@@ -108,16 +108,16 @@
             idle_limit: idle_limit * IDLE_LIMIT_SHARE,
             stale_connections: StaleConnectionDetector::default(),
             resets: ResetDetector::default(),
-            scarcity: ConnectionScarcity::default(),
+            scarcity: ConnectionScarcityDetector::default(),
             results: Vec::new(),
-            established: Vec::new(),
+            awaiting_permission: Vec::new(),
             record_retry_at: f64::INFINITY,
             sent_messages: Vec::new(),
             connections_opened: 0,
         }
     }
 
-    /// How many attempts are in flight.
+    /// The number of attempts in flight.
     pub fn active_attempts(&self) -> usize {
         self.connections
             .iter()
@@ -125,14 +125,15 @@
             .count()
     }
 
-    /// Starts an attempt. One that cannot start is reported at once, with an outcome that proves that it never ran.
+    /// Starts an attempt. If it cannot be started, its result is reported at once, with an outcome that says that it
+    /// never ran.
     pub fn start(&mut self, request: &AttemptRequest, address: SocketAddr, now: Millis) {
         let attempt = ActiveAttempt::new(request, now);
         let slot = match self.acquire_connection(request, address, now) {
             Ok(slot) => slot,
             Err(error) => {
                 warn!(error = ?error.kind(), "endpoint not reached");
-                // A lack of descriptors or ports is our own, and says nothing of the endpoint.
+                // A lack of descriptors or ports is local and no fault of the endpoint.
                 let outcome = if http::is_local_shortage(&error) {
                     Outcome::NotSent
                 } else {
@@ -153,10 +154,10 @@
         connection.idle_before = connection.connected.then_some(now - connection.idle_since);
         connection.attempt = Some(attempt);
         connection.connection.corked = true;
-        self.progress(slot, now);
+        self.advance(slot, now);
     }
 
-    /// An idle connection to the endpoint, or a new one.
+    /// Takes an idle connection to the endpoint, or opens a new one.
     fn acquire_connection(
         &mut self,
         request: &AttemptRequest,
@@ -181,19 +182,19 @@
         Ok(slot)
     }
 
-    /// Lets requests begin whose connections are established. Each attempt is recorded first; one without a record
-    /// never runs. One that cannot be recorded now waits on its connection, so that a folder that fails for a moment
-    /// does not use attempts up.
+    /// Begins the requests whose connections are established and that `permit` grants. `permit` records the attempt
+    /// first; an attempt without a record never runs. If it cannot be recorded now, it waits on its connection, so that
+    /// a brief failure of the state folder uses up no attempts.
     ///
-    /// The record is not written earlier, before the connection is established: if the process was killed meanwhile,
-    /// a message that must not be repeated would count as sent, and end without an attempt.
+    /// The attempt is not recorded before its connection is established: if the process was killed in between, a
+    /// non-idempotent message would count as sent and end without an attempt.
     pub fn begin_established_requests(
         &mut self,
         mut permit: impl FnMut(MessageId, u32, EndpointId) -> SendPermission,
         now: Millis,
     ) {
         self.record_retry_at = f64::INFINITY;
-        for slot in std::mem::take(&mut self.established) {
+        for slot in std::mem::take(&mut self.awaiting_permission) {
             let Some(connection) = self.connections.get(slot) else {
                 continue;
             };
@@ -203,8 +204,8 @@
             let Some(attempt) = connection.attempt else {
                 continue;
             };
-            // A connection that was established late must not carry a retry beyond the time for which the endpoint
-            // remembers its idempotency key: it would take effect twice.
+            // A retry that begins after the endpoint has forgotten its idempotency key would take effect twice, so a
+            // connection that was established too late must not carry it.
             let late = now > attempt.latest_start;
             let permission = if late || connection.is_closed() {
                 SendPermission::Denied
@@ -215,14 +216,14 @@
                 SendPermission::Granted => self.begin_request(slot, now),
                 SendPermission::Denied => self.end_exchange(slot, EndCause::Withdrawn, now),
                 SendPermission::RetryLater => {
-                    self.established.push(slot);
+                    self.awaiting_permission.push(slot);
                     self.record_retry_at = now + RECORD_RETRY_INTERVAL;
                 }
             }
         }
     }
 
-    /// Begins to write the request of a connection.
+    /// Starts to write the request on a connection.
     fn begin_request(&mut self, slot: usize, now: Millis) {
         let connection = &mut self.connections[slot];
         if let Some(attempt) = connection.attempt {
@@ -236,17 +237,17 @@
             );
         }
         connection.connection.corked = false;
-        self.progress(slot, now);
+        self.advance(slot, now);
     }
 
     /// Handles a connection that is ready for reading or writing. Returns whether there may be more to read.
     pub fn on_ready(&mut self, slot: usize, now: Millis) -> bool {
-        self.connections.contains(slot) && self.progress(slot, now)
+        self.connections.contains(slot) && self.advance(slot, now)
     }
 
-    /// Calls an attempt off by closing its connection. If its request was not completely written, it never ran.
+    /// Cancels an attempt by closing its connection. If its request was not completely written, it never ran.
     pub fn cancel(&mut self, id: MessageId, attempt: u32, now: Millis) {
-        let slot = self.connections.slot_where(|connection| {
+        let slot = self.connections.find_slot(|connection| {
             connection
                 .attempt
                 .is_some_and(|active| active.id == id && active.attempt == attempt)
@@ -258,28 +259,29 @@
         }
     }
 
-    /// Stops writing a request that is about to be given up, then reads once more: a response that has arrived still
-    /// ends the attempt, and the wait that it asks for still holds. True if the attempt is over.
+    /// Stops writing the request of an attempt that is about to be ended, and reads once more: a response that has
+    /// already arrived still determines the outcome, and a backoff that it asks for still applies. Returns true if
+    /// the attempt has ended.
     fn read_late_response(&mut self, slot: usize, now: Millis) -> bool {
         let connection = &mut self.connections[slot];
         if connection.attempt.is_none() || !connection.connected {
             return false;
         }
-        // A request that is rejected before its last byte was written may be told to wait like any other.
+        // A rejection that arrives before the last byte was written can ask for a backoff, too.
         connection.connection.corked =
             connection.held_back_byte.is_some() || !connection.connection.is_flushed();
-        self.progress(slot, now);
+        self.advance(slot, now);
         self.connections
             .get(slot)
             .is_none_or(|connection| connection.attempt.is_none())
     }
 
-    /// Reads the responses that have come, before the process exits: an attempt that has been answered must not count
-    /// as one that may have run.
+    /// Reads the responses that have arrived before the process exits: an attempt that was answered must not be left
+    /// recorded as one that may have run.
     pub fn read_final_responses(&mut self, now: Millis) {
         let active = self
             .connections
-            .slots_where(|connection| connection.attempt.is_some());
+            .find_slots(|connection| connection.attempt.is_some());
         for slot in active {
             if self.connections.contains(slot) {
                 self.read_late_response(slot, now);
@@ -287,25 +289,25 @@
         }
     }
 
-    /// Withdraws the requests of which no byte has been written and for whose destination and endpoint a condition
-    /// holds: the destination asked us to wait, or the endpoint is draining. A connection that is slow to be
-    /// established must not carry a request there.
-    pub fn cancel_unsent(&mut self, condition: impl Fn(u64, EndpointId) -> bool, now: Millis) {
-        let unsent = self.connections.slots_where(|connection| {
+    /// Withdraws the requests of which no byte has been written and whose destination and endpoint match `predicate`:
+    /// the destination has asked for a backoff, or the endpoint is draining. Such a request must not be sent once its
+    /// connection is established.
+    pub fn cancel_unsent(&mut self, predicate: impl Fn(u64, EndpointId) -> bool, now: Millis) {
+        let unsent = self.connections.find_slots(|connection| {
             connection.connection.written == 0
                 && connection
                     .attempt
-                    .is_some_and(|attempt| condition(attempt.destination, connection.endpoint))
+                    .is_some_and(|attempt| predicate(attempt.destination, connection.endpoint))
         });
         for slot in unsent {
             self.end_exchange(slot, EndCause::Withdrawn, now);
         }
     }
 
-    /// Withdraws the requests of a message that is over, as far as their last byte has not been written: it would run
-    /// in vain.
+    /// Withdraws the requests of a finished message whose last byte has not been written: running them would be of no
+    /// use.
     pub fn withdraw_incomplete(&mut self, id: MessageId, now: Millis) {
-        let incomplete = self.connections.slots_where(|connection| {
+        let incomplete = self.connections.find_slots(|connection| {
             connection
                 .attempt
                 .is_some_and(|attempt| attempt.id == id && !connection.is_fully_sent())
@@ -318,18 +320,18 @@
     /// Closes the idle connections to an endpoint.
     pub fn close_idle(&mut self, endpoint: EndpointId) {
         self.connections
-            .close_idle_where(|connection| connection.endpoint == endpoint);
+            .close_idle_matching(|connection| connection.endpoint == endpoint);
     }
 
-    /// Closes idle connections, the longest idle first, until there are at most `max_connections`. Returns how many
-    /// connections are left.
+    /// Closes idle connections, the longest idle first, until at most `max_connections` connections are left or none
+    /// is idle. Returns the number of connections left.
     pub fn close_idle_connections(&mut self, max_connections: usize) -> usize {
         self.connections.close_idle_above(max_connections)
     }
 }
 
-/// Puts a request into the output buffer, without its last byte if that is to be held back; false if there is no
-/// room for it.
+/// Queues a request in the output buffer, without its last byte if that is to be held back. Returns false if the
+/// buffer has no room for it.
 fn queue_request(
     connection: &mut EndpointConnection,
     request: &AttemptRequest,
@@ -338,13 +340,13 @@
     let mut head = request.head;
     let mut body = request.body;
     let mut held_back_byte = None;
-    let end = if body.is_empty() {
+    let last_part = if body.is_empty() {
         &mut head
     } else {
         &mut body
     };
-    if hold_back_last_byte && let Some((byte, others)) = end.split_last() {
-        *end = others;
+    if hold_back_last_byte && let Some((byte, bytes_before)) = last_part.split_last() {
+        *last_part = bytes_before;
         held_back_byte = Some(HeldBackByte {
             byte: *byte,
             release_at: f64::INFINITY,
--- a/crates/sender/src/egress/response.rs
+++ b/crates/sender/src/egress/response.rs
@@ -1,4 +1,4 @@
-//! Reading responses of endpoints, and what they mean for an attempt and for a connection.
+//! Parsing the responses of endpoints, and their consequences for the attempt and the connection.
 
 use martenlatch_clock::{Nanos, nanos};
 use martenlatch_http::buffer_pool::BODY;
@@ -8,29 +8,30 @@
 use super::attempt_end::EndCause;
 use super::endpoint_connection::{EndpointConnection, RemainingResponse};
 
-/// How long no request may be sent to the destination, in milliseconds: what HTTP calls Retry-After. Lower-case, as all
-/// parsed header names.
+/// The header with the time for which no request may be sent to the destination, in milliseconds; the equivalent of
+/// HTTP's Retry-After. Lower-case, as are all parsed header names.
 const BACKOFF_HEADER: &str = "x-backoff-ms";
-/// Longest time that an endpoint may have us wait, in milliseconds.
+/// The longest backoff that is accepted from an endpoint, in milliseconds.
 const MAX_RETRY_AFTER_MS: f64 = 3.6e6;
-/// Says with the value "1" that a proxy on the way had no capacity, and the endpoint never saw the request.
+/// The header whose value "1" says that a proxy on the path had no capacity and did not forward the request to the
+/// endpoint.
 const PROXY_FULL_HEADER: &str = "x-egress-full";
 
-/// How far the response to a request has come.
+/// How much of the response to a request has been received.
 pub(super) enum ResponseProgress {
-    /// Too little has come to tell.
+    /// Too little to determine the outcome.
     Pending,
-    /// A response with a status of 1xx, of that many bytes: the final response is still to come.
+    /// An informational response (1xx) of `consumed` bytes, which precedes the final response.
     Informational { consumed: usize },
-    /// The head of a response of 200, or a whole response of another status.
+    /// The head of a response with status 200, or a complete response with another status.
     Received(http::Response),
-    /// A part of a head whose status line says 200, which is all that is needed: the head may never end.
+    /// An incomplete head with a status line of 200. That suffices, as the rest of the head may never arrive.
     SuccessStatusLine,
-    /// No valid response will come.
+    /// No valid response will be received.
     Ended(EndCause),
 }
 
-/// Reads what has come of the response to the request on a connection.
+/// Parses the bytes received so far of the response to the request on a connection.
 pub(super) fn read_response(connection: &EndpointConnection, fully_sent: bool) -> ResponseProgress {
     let bytes = connection.connection.bytes();
     match http::parse_response(bytes) {
@@ -38,12 +39,12 @@
         Ok(None) if http::starts_with_status_200(bytes) => ResponseProgress::SuccessStatusLine,
         Ok(None) if connection.is_closed() => ResponseProgress::Ended(EndCause::ConnectionLost),
         Ok(None) => ResponseProgress::Pending,
-        // The request has run, and the endpoint is up: this is not the reset of one that has gone.
+        // The endpoint is up and has run the request, so this is not handled as a lost connection.
         Err(http::Malformed) => ResponseProgress::Ended(EndCause::MalformedResponse),
     }
 }
 
-/// Decides whether the body of a response has to be waited for.
+/// Decides whether the body of a response has to be received before the outcome is known.
 fn read_body(
     response: http::Response,
     connection: &EndpointConnection,
@@ -53,8 +54,8 @@
         ..200 => ResponseProgress::Informational {
             consumed: response.consumed,
         },
-        // A message must not be taken for delivered that was never sent: what an earlier response left behind says
-        // nothing of this request, which begins to run with its last byte.
+        // A request runs only once its last byte has been sent, so this 200 is left over from an earlier exchange.
+        // Taking it for this request's response would report a message as delivered that was never sent.
         200 if !fully_sent => ResponseProgress::Ended(EndCause::PrematureSuccess),
         200 => ResponseProgress::Received(response),
         _ => match body_state(&response, connection) {
@@ -71,8 +72,8 @@
     Malformed,
 }
 
-/// Whether a response other than 200 has come whole. Only a complete response proves that the request was rejected
-/// and may be repeated: a malformed one comes after it has run.
+/// Whether a response with another status than 200 is complete. Only a complete response proves that the request was
+/// rejected and may be repeated: after a malformed one, the request may have run.
 fn body_state(response: &http::Response, connection: &EndpointConnection) -> BodyState {
     let received = &connection.connection.bytes()[response.consumed..];
     if response.malformed {
@@ -90,20 +91,20 @@
     }
 }
 
-/// What a response means for its attempt.
+/// The consequences of a response for its attempt and message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct ResponseMeaning {
-    /// How the attempt ended.
+pub(super) struct ResponseClassification {
+    /// The outcome of the attempt.
     pub outcome: Outcome,
-    /// The message is finished, and no final status is owed.
+    /// Whether the message is finished and no final status is due.
     pub message_finished: bool,
     /// How long no request may be sent to the destination; zero if the response does not say.
     pub retry_after: Nanos,
 }
 
-impl ResponseMeaning {
-    /// Reads the status and the headers of a response.
-    pub fn of(response: &http::Response) -> ResponseMeaning {
+impl ResponseClassification {
+    /// Classifies a response by its status and headers.
+    pub fn of(response: &http::Response) -> ResponseClassification {
         let retry_after = retry_after(response);
         let outcome = match response.status {
             200 => Outcome::Success,
@@ -113,7 +114,7 @@
             410 => Outcome::NotSent,
             _ => Outcome::Failure,
         };
-        ResponseMeaning {
+        ResponseClassification {
             outcome,
             message_finished: response.status == 410,
             retry_after,
@@ -130,17 +131,17 @@
     nanos(millis.min(MAX_RETRY_AFTER_MS))
 }
 
-/// How far the rest of a response has come, whose outcome has been reported.
+/// How much of the rest of a response has been received, after its outcome was reported.
 pub(super) enum RemainderProgress {
-    /// More is to come.
+    /// The response is still incomplete.
     Pending,
-    /// The connection is free for another request.
+    /// The response is complete, and the connection can carry another request.
     Done,
-    /// The connection cannot be used again.
+    /// The connection cannot carry another request.
     Unusable,
 }
 
-/// Reads the rest of a response. On an idle connection, nothing may come.
+/// Reads the rest of a response. Any byte on an idle connection makes it unusable.
 pub(super) fn read_remainder(connection: &mut EndpointConnection) -> RemainderProgress {
     if matches!(connection.remaining_response, Some(RemainingResponse::Head))
         && !read_remaining_head(connection)
@@ -166,7 +167,8 @@
     }
 }
 
-/// Reads the head of a response of which only the status line was needed; false while it is not complete.
+/// Reads the rest of a head whose status line has already determined the outcome. Returns false while the head is
+/// incomplete.
 fn read_remaining_head(connection: &mut EndpointConnection) -> bool {
     let body = match http::parse_response(connection.connection.bytes()) {
         Ok(Some(response)) => {
--- a/crates/sender/src/egress/snapshot.rs
+++ b/crates/sender/src/egress/snapshot.rs
@@ -1,4 +1,4 @@
-//! Passing the connections to a successor process.
+//! Handing over the connections to a successor process.
 
 use std::collections::HashMap;
 use std::os::fd::{AsFd, BorrowedFd};
@@ -8,30 +8,30 @@
 
 use super::Egress;
 use super::connection_faults::{ResetDetector, StaleConnectionDetector};
-use super::connection_scarcity::ConnectionScarcity;
+use super::connection_scarcity::ConnectionScarcityDetector;
 use super::endpoint_connection::EndpointConnection;
 use crate::event_source::{Connection, EventSource, InheritedDescriptors};
 
-/// The state of all connections to endpoints, without their descriptors. Passed between processes of different
-/// versions: the order of the fields is fixed.
+/// The state of all connections to endpoints, without their descriptors. It is passed between processes of different
+/// versions, so the order of the fields is fixed.
 #[derive(Serialize, Deserialize)]
 pub struct EgressSnapshot {
-    /// Each connection with the snapshot of its socket state.
+    /// The connections, each with a snapshot of its socket state.
     pub(super) connections: Vec<EndpointConnection<http::ConnectionSnapshot>>,
-    /// The places of the idle ones among them, the most recently used last.
+    /// The positions of the idle connections in `connections`, the most recently used last.
     pub(super) idle: Vec<usize>,
-    /// What is known of stale connections.
+    /// The state of the detection of stale connections.
     pub(super) stale_connections: StaleConnectionDetector,
-    /// What is known of connection resets.
+    /// The state of the detection of connection resets.
     pub(super) resets: ResetDetector,
-    /// What is known of the spare connections of each kind of endpoint.
-    pub(super) scarcity: ConnectionScarcity,
+    /// The state of the detection of kinds of endpoints without spare connections.
+    pub(super) scarcity: ConnectionScarcityDetector,
 }
 
 impl Egress {
-    /// The state for a successor process, and the descriptors of the connections in the same order.
+    /// The state for a successor process, and the descriptors of the connections in the order of the snapshot.
     pub fn snapshot(&self) -> (EgressSnapshot, Vec<BorrowedFd<'_>>) {
-        let places: HashMap<usize, usize> = self
+        let positions: HashMap<usize, usize> = self
             .connections
             .slots
             .iter()
@@ -54,7 +54,7 @@
                 .connections
                 .idle
                 .iter()
-                .map(|slot| places[slot])
+                .map(|slot| positions[slot])
                 .collect(),
             stale_connections: self.stale_connections.clone(),
             resets: self.resets.clone(),
@@ -63,31 +63,31 @@
         (snapshot, descriptors)
     }
 
-    /// Takes over what a predecessor process has passed on. Returns the keys of its connections, each of which has to
-    /// be looked at once.
+    /// Restores the state and connections of a predecessor process. Returns the event sources of the connections, each
+    /// of which has to be handled once as if it were ready.
     ///
     /// # Errors
-    /// The system's error if a connection cannot be taken over.
+    /// The system's error if a connection cannot be restored.
     pub fn restore_state(
         &mut self,
         snapshot: EgressSnapshot,
         descriptors: &mut InheritedDescriptors,
     ) -> std::io::Result<Vec<EventSource>> {
-        let mut keys = Vec::new();
-        for passed in snapshot.connections {
-            let key = self.connections.next_key();
+        let mut sources = Vec::new();
+        for entry in snapshot.connections {
+            let source = self.connections.next_event_source();
             let connection = Connection::restore(
                 descriptors.stream()?,
-                &passed.connection,
+                &entry.connection,
                 &self.connections.handle,
                 &self.buffers,
-                key,
+                source,
             )?;
-            let restored = passed.with_connection(connection);
+            let restored = entry.with_connection(connection);
             self.connections.slots.insert(restored);
-            keys.push(key);
+            sources.push(source);
         }
-        // The pool was empty, so that the slots of the connections are their places in the snapshot.
+        // The pool was empty, so the slot of each connection equals its position in the snapshot.
         self.connections.idle = snapshot
             .idle
             .into_iter()
@@ -96,6 +96,6 @@
         self.stale_connections = snapshot.stale_connections;
         self.resets = snapshot.resets;
         self.scarcity = snapshot.scarcity;
-        Ok(keys)
+        Ok(sources)
     }
 }
--- a/crates/sender/src/egress/tests/attempt_end.rs
+++ b/crates/sender/src/egress/tests/attempt_end.rs
@@ -3,7 +3,7 @@
 use super::super::attempt_end::{EndCause, EndedAttempt, STALE_DETECTION_WINDOW};
 use super::*;
 
-/// A completely sent request on a new connection that was lost without a response.
+/// The end of an attempt whose request was sent completely on a new connection, which was lost without a response.
 fn lost() -> EndedAttempt {
     EndedAttempt {
         cause: EndCause::ConnectionLost,
@@ -38,9 +38,9 @@
 #[case::stale_and_partly_sent(EndedAttempt { idle_before: Some(9.0), flushed: false, ..lost() }, Outcome::NotSent)]
 #[case::reused_but_lost_later(
     EndedAttempt { idle_before: Some(9.0), ended_at: 100.0 + STALE_DETECTION_WINDOW, ..lost() }, Outcome::ConnectionLost)]
-#[case::reused_but_a_response_had_begun(
+#[case::reused_but_lost_in_a_response(
     EndedAttempt { idle_before: Some(9.0), response_begun: true, ..lost() }, Outcome::ConnectionLost)]
-fn the_outcome_follows_from_what_was_written_and_what_came_back(
+fn the_outcome_follows_from_the_bytes_written_and_received(
     #[case] end: EndedAttempt,
     #[case] outcome: Outcome,
 ) {
--- a/crates/sender/src/egress/tests/connection_faults.rs
+++ b/crates/sender/src/egress/tests/connection_faults.rs
@@ -1,28 +1,40 @@
-//! Tests of the detection of stale connections and of resets.
+//! Tests of the detection of stale connections and connection resets.
 
 use super::super::connection_faults::{ResetDetector, StaleConnectionDetector};
 
 #[test]
-fn two_stale_connections_make_idle_ones_suspect_until_enough_responses_came() {
+fn idle_connections_are_suspected_after_two_stale_ones_until_enough_responses_arrive() {
     let mut detector = StaleConnectionDetector::default();
     detector.record_stale(200.0);
-    assert_eq!(detector.max_safe_idle(), f64::INFINITY, "one is chance");
+    assert_eq!(detector.max_safe_idle(), f64::INFINITY, "one may be chance");
     detector.record_stale(100.0);
-    assert_eq!(detector.max_safe_idle(), 80.0, "below the shorter one");
+    assert_eq!(
+        detector.max_safe_idle(),
+        80.0,
+        "80 % of the shorter idle time"
+    );
     detector.record_response(70.0);
-    assert_eq!(detector.max_safe_idle(), 80.0, "it says nothing new");
+    assert_eq!(
+        detector.max_safe_idle(),
+        80.0,
+        "a shorter idle time changes nothing"
+    );
     detector.record_response(90.0);
     assert_eq!(
         detector.max_safe_idle(),
         80.0 * 1.01,
-        "a longer time was safe"
+        "a longer idle time was safe"
     );
     (0..70).for_each(|_| detector.record_response(0.0));
-    assert_eq!(detector.max_safe_idle(), f64::INFINITY, "trusted again");
+    assert_eq!(
+        detector.max_safe_idle(),
+        f64::INFINITY,
+        "idle connections are trusted again"
+    );
 }
 
 #[test]
-fn a_reset_is_expected_after_one_until_enough_responses_came() {
+fn another_reset_is_expected_after_one_until_enough_responses_arrive() {
     let mut detector = ResetDetector::default();
     assert!(!detector.expects_reset());
     detector.record_reset();
--- a/crates/sender/src/egress/tests/connection_reuse.rs
+++ b/crates/sender/src/egress/tests/connection_reuse.rs
@@ -1,4 +1,4 @@
-//! Tests of the reuse of connections: stale ones, the limit on connections, and scarcity.
+//! Tests of connection reuse: stale connections, the limit on connections, and scarce connections.
 
 use std::io::{Read, Write};
 
@@ -6,7 +6,7 @@
 
 fn start_and_send(fixture: &mut Fixture, must_not_be_lost: bool, now: Millis) {
     fixture.start(&two_byte_request(must_not_be_lost), now);
-    // Once a reset has been met, the last byte is written a little later.
+    // While resets are expected, the last byte is written a little later.
     fixture.step_all(now);
     fixture.step_all(now + LAST_BYTE_DELAY);
 }
@@ -17,8 +17,8 @@
 }
 
 #[test]
-fn a_reused_connection_that_ends_at_once_is_stale_and_such_idle_times_are_then_avoided() {
-    let mut fixture = Fixture::new(SLOTS);
+fn a_reused_connection_that_ends_at_once_is_stale_and_its_idle_time_is_avoided_afterwards() {
+    let mut fixture = Fixture::new(MAX_CONNECTIONS);
     for _ in 0..2 {
         start_and_send(&mut fixture, false, 0.0);
         let mut peer = fixture.accept();
@@ -31,7 +31,7 @@
         assert_eq!(
             fixture.outcome(106.0),
             Outcome::StaleConnection,
-            "it had been idle for 100 ms"
+            "the connection had been idle for 100 ms"
         );
     }
     start_and_send(&mut fixture, true, 1_000.0);
@@ -39,11 +39,13 @@
     fixture.step_all(1_000.0);
     respond(&mut peer);
     assert_eq!(fixture.outcome(1_000.0), Outcome::Success);
-    for (must_not_be_lost, idle, opened) in [(true, 79.0, 3), (false, 200.0, 3), (true, 90.0, 4)] {
-        start_and_send(&mut fixture, must_not_be_lost, 1_000.0 + idle);
+    for (must_not_be_lost, idle_time, opened) in
+        [(true, 79.0, 3), (false, 200.0, 3), (true, 90.0, 4)]
+    {
+        start_and_send(&mut fixture, must_not_be_lost, 1_000.0 + idle_time);
         assert_eq!(
             fixture.egress.connections_opened, opened,
-            "must_not_be_lost={must_not_be_lost} after {idle} ms"
+            "connections opened, with must_not_be_lost={must_not_be_lost} after {idle_time} ms"
         );
         if opened == 3 {
             respond(&mut peer);
@@ -64,8 +66,8 @@
         };
         fixture.start(&request, 5.0);
         let mut peer = fixture.accept();
-        let flushed = |c: &EndpointConnection| c.connection.is_flushed();
-        while !fixture.egress.connections.iter().all(flushed) {
+        let is_flushed = |connection: &EndpointConnection| connection.connection.is_flushed();
+        while !fixture.egress.connections.iter().all(is_flushed) {
             fixture.step_all(5.0);
         }
         peer.read_exact(&mut [0]).unwrap();
@@ -75,21 +77,21 @@
         assert_eq!(
             (pool.slots.len(), pool.idle.len()),
             (1, 1),
-            "the one before was closed"
+            "the previous connection was closed"
         );
     }
     let egress = &mut fixture.egress;
     assert!(
         egress.next_deadline() < 15_000.0,
-        "before the endpoint's own limit"
+        "before the endpoint's idle limit"
     );
     egress.expire_timeouts(egress.next_deadline());
     assert!(egress.connections.slots.is_empty() && egress.connections.idle.is_empty());
     assert!(egress.results.is_empty());
 }
 
-/// One exchange with an endpoint at an address of its own, on a new connection. Returns the endpoint's side, and how
-/// many connections are idle then.
+/// Carries out one exchange with the endpoint that listens on `listener`, on a new connection. Returns the endpoint's
+/// side of the connection and the number of idle connections after the exchange.
 fn exchange(
     fixture: &mut Fixture,
     listener: &TcpListener,
@@ -99,7 +101,7 @@
     let opened = fixture.egress.connections_opened;
     let address = listener.local_addr().unwrap();
     fixture.egress.start(request, address, 0.0);
-    // An endpoint that has rejected a request has ended the connection.
+    // The connection of an earlier exchange cannot be reused: a rejection has ended it.
     assert_eq!(fixture.egress.connections_opened, opened + 1);
     let (mut peer, _) = listener.accept().unwrap();
     while fixture.egress.sent_messages.is_empty() {
@@ -113,42 +115,55 @@
 }
 
 #[rstest::rstest]
-#[case::by_a_lack_of_connections("503 Full", "", 0, true)]
-#[case::not_by_a_rate_limit("429 Full", "X-Backoff-Ms: 900\r\n", 0, false)]
-#[case::not_at_another_kind("503 Full", "", 1, false)]
-fn idle_connections_are_closed_where_a_kind_of_endpoint_has_none_to_spare(
+#[case::rejected_for_lack_of_connections("503 Full", "", 0, true)]
+#[case::rejected_by_a_rate_limit("429 Full", "X-Backoff-Ms: 900\r\n", 0, false)]
+#[case::rejected_by_another_kind("503 Full", "", 1, false)]
+fn idle_connections_are_closed_if_their_kind_of_endpoint_has_no_spare_connections(
     #[case] status: &str,
-    #[case] wait: &str,
+    #[case] backoff_header: &str,
     #[case] kind: usize,
     #[case] closed: bool,
 ) {
-    // Who holds a connection never meets a rejection, and would otherwise keep it for good from those that have none.
-    let mut fixture = Fixture::new(SLOTS);
+    // Guards against a sender that keeps a scarce connection forever: it is never rejected itself, and the senders
+    // without a connection are never served.
+    let mut fixture = Fixture::new(MAX_CONNECTIONS);
     let request = |endpoint, kind| AttemptRequest {
         endpoint: EndpointId(endpoint),
         kind,
         ..two_byte_request(false)
     };
     let listener = || TcpListener::bind("127.0.0.1:0").unwrap();
-    let serving = listener();
-    let (mut kept, idle) = exchange(&mut fixture, &serving, &request(0, 0), SUCCESS_RESPONSE);
-    assert_eq!(idle, 1, "it is kept while nothing speaks against it");
-    let rejecting = listener();
-    let rejection =
-        format!("HTTP/1.1 {status}\r\n{wait}Content-Length: 0\r\nConnection: close\r\n\r\n");
+    let serving_listener = listener();
+    let (mut kept, idle) = exchange(
+        &mut fixture,
+        &serving_listener,
+        &request(0, 0),
+        SUCCESS_RESPONSE,
+    );
+    assert_eq!(idle, 1, "the connection is kept before any rejection");
+    let rejecting_listener = listener();
+    let rejection = format!(
+        "HTTP/1.1 {status}\r\n{backoff_header}Content-Length: 0\r\nConnection: close\r\n\r\n"
+    );
     let mut reject = || {
         let request = request(1, kind);
-        exchange(&mut fixture, &rejecting, &request, rejection.as_bytes()).1
+        exchange(
+            &mut fixture,
+            &rejecting_listener,
+            &request,
+            rejection.as_bytes(),
+        )
+        .1
     };
     assert_eq!(
         [reject(), reject(), reject()],
         [1, 1, usize::from(!closed)],
-        "from the third on it is beyond chance"
+        "idle connections: two rejections may be chance, three are not"
     );
     kept.set_nonblocking(true).unwrap();
     assert_eq!(
         kept.read(&mut [0]).is_ok_and(|n| n == 0),
         closed,
-        "the endpoint sees it end"
+        "whether the endpoint sees the connection end"
     );
 }
--- a/crates/sender/src/egress/tests/last_byte.rs
+++ b/crates/sender/src/egress/tests/last_byte.rs
@@ -1,11 +1,11 @@
-//! Tests of requests that have not been completely sent.
+//! Tests of requests that have not been sent completely.
 
 use std::io::{Read, Write};
 
 use super::*;
 
-/// One request that must not be lost, whose connection the endpoint closes: once its last byte has been sent, or
-/// otherwise once all the others have.
+/// Sends a request that must not be lost, and has the endpoint close the connection: after the last byte if
+/// `last_byte_sent`, otherwise after all bytes before it. Returns the outcome.
 fn lose_connection(fixture: &mut Fixture, now: Millis, last_byte_sent: bool) -> Outcome {
     let request = AttemptRequest {
         head: b"he",
@@ -15,8 +15,8 @@
     fixture.start(&request, now);
     let mut peer = fixture.accept();
     let egress = &mut fixture.egress;
-    let is_sent = |(slot, c): (usize, &EndpointConnection)| {
-        c.connected && c.connection.is_flushed() && slot == 0
+    let is_sent = |(slot, connection): (usize, &EndpointConnection)| {
+        connection.connected && connection.connection.is_flushed() && slot == 0
     };
     while !egress.connections.slots.iter().all(is_sent) {
         step(egress, 0, now);
@@ -27,7 +27,7 @@
         return fixture.outcome(now);
     }
     let later = now + LAST_BYTE_DELAY;
-    assert!(egress.next_deadline() <= later, "it is not forgotten");
+    assert!(egress.next_deadline() <= later, "the last byte is due");
     egress.expire_timeouts(later);
     peer.read_exact(&mut [0]).unwrap();
     drop(peer);
@@ -35,22 +35,22 @@
 }
 
 #[test]
-fn while_resets_are_expected_a_request_that_must_not_be_lost_is_proven_never_to_have_run() {
-    let mut fixture = Fixture::new(SLOTS);
+fn a_request_lost_before_its_last_byte_while_resets_are_expected_counts_as_not_sent() {
+    let mut fixture = Fixture::new(MAX_CONNECTIONS);
     assert_eq!(
         lose_connection(&mut fixture, 0.0, false),
         Outcome::ConnectionLost,
-        "nothing was known: all of it had been sent"
+        "no reset was expected, so the whole request had been sent"
     );
     assert_eq!(
         lose_connection(&mut fixture, 10.0, false),
         Outcome::NotSent,
-        "its last byte had not been sent"
+        "the last byte had not been sent"
     );
     assert_eq!(
         lose_connection(&mut fixture, 20.0, true),
         Outcome::ConnectionLost,
-        "it had"
+        "the last byte had been sent"
     );
 }
 
@@ -58,11 +58,11 @@
 #[case::in_time(100.0, b"xy")]
 #[case::too_late(99.0, b"")]
 fn a_request_whose_connection_is_established_too_late_never_begins(
-    #[case] latest: Millis,
+    #[case] latest_start: Millis,
     #[case] received: &[u8],
 ) {
-    // The endpoint would have forgotten its idempotency key by then, and it would take effect twice.
-    let (mut fixture, peer) = one_request(latest);
+    // The endpoint may have forgotten the idempotency key by then, and the request would take effect twice.
+    let (mut fixture, peer) = start_request_with_held_back_byte(latest_start);
     let egress = &mut fixture.egress;
     for _ in 0..100_000 {
         if !egress.results.is_empty() || !egress.sent_messages.is_empty() {
@@ -84,14 +84,14 @@
 #[case::rejected_and_cancelled("429 Full", true, Outcome::Overloaded { retry_after: 900_000_000 })]
 #[case::rejected_and_timed_out("429 Full", false, Outcome::Overloaded { retry_after: 900_000_000 })]
 #[case::confirmed_and_cancelled("200 OK", true, Outcome::NotSent)]
-fn a_response_before_the_last_byte_counts_only_as_a_rejection(
+fn a_response_before_the_last_byte_counts_only_if_it_is_a_rejection(
     #[case] status: &str,
     #[case] cancelled: bool,
     #[case] outcome: Outcome,
 ) {
-    // A time to wait counts from when it was written. But nothing runs before its last byte: a stray 200 must not end
-    // a message that never ran.
-    let (mut fixture, mut peer) = one_request(f64::INFINITY);
+    // A backoff applies from when the endpoint wrote it. But a request cannot run before its last byte is written, so a
+    // stray 200 must not end the message.
+    let (mut fixture, mut peer) = start_request_with_held_back_byte(f64::INFINITY);
     let egress = &mut fixture.egress;
     peer.set_read_timeout(Some(Duration::from_secs(20)))
         .unwrap();
@@ -122,23 +122,23 @@
     );
     drop(fixture);
     let received = everything_received(peer);
-    assert_eq!(received, b"", "its last byte has not been sent");
+    assert_eq!(received, b"", "the last byte was not sent");
 }
 
 #[rstest::rstest]
-#[case::as_its_endpoint_is_draining(EndpointId(1), 0, true)]
-#[case::as_its_destination_asked_to_wait(EndpointId(9), 7, true)]
-#[case::but_not_for_others(EndpointId(9), 9, false)]
-fn a_request_that_has_not_begun_is_withdrawn(
+#[case::endpoint_draining(EndpointId(1), 0, true)]
+#[case::destination_in_backoff(EndpointId(9), 7, true)]
+#[case::other_endpoint_and_destination(EndpointId(9), 9, false)]
+fn an_unsent_request_is_withdrawn_if_its_endpoint_drains_or_its_destination_is_in_backoff(
     #[case] draining: EndpointId,
-    #[case] waiting: u64,
+    #[case] in_backoff: u64,
     #[case] withdrawn: bool,
 ) {
-    // A connection that is established behind a drain or a time to wait must not carry a request into it.
-    let (mut fixture, peer) = one_request(f64::INFINITY);
+    // A connection that is established after the drain or the backoff has begun must not carry the request.
+    let (mut fixture, peer) = start_request_with_held_back_byte(f64::INFINITY);
     let egress = &mut fixture.egress;
     egress.cancel_unsent(
-        |destination, endpoint| endpoint == draining || destination == waiting,
+        |destination, endpoint| endpoint == draining || destination == in_backoff,
         1.0,
     );
     assert_eq!(
--- a/crates/sender/src/egress/tests/mod.rs
+++ b/crates/sender/src/egress/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the exchanges with endpoints over real sockets, and of the pure parts.
+//! Tests of exchanges with endpoints over real sockets, and of the parts without sockets.
 
 mod attempt_end;
 mod connection_faults;
@@ -13,11 +13,11 @@
 
 use calloop::EventLoop;
 
-use super::connection_faults::RESETS_EXPECTED_FROM;
+use super::connection_faults::RESET_EXPECTED_THRESHOLD;
 use super::*;
 use crate::event_source::Ready;
 
-/// A request of two bytes to one endpoint.
+/// A request of two bytes to an endpoint.
 fn two_byte_request(must_not_be_lost: bool) -> AttemptRequest<'static> {
     AttemptRequest {
         id: MessageId(1),
@@ -33,22 +33,23 @@
     }
 }
 
-/// A response that leaves the connection idle.
+/// A response with status 200 after which the connection can be reused.
 const SUCCESS_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-/// More than the connections of any test.
-const SLOTS: usize = 9;
+/// A limit on connections that no test reaches.
+const MAX_CONNECTIONS: usize = 9;
 
-/// Handles a connection; requests begin whose connections are established.
+/// Handles a connection as if it were ready, and begins the requests on established connections. Returns whether there
+/// may be more to read.
 fn step(egress: &mut Egress, slot: usize, now: Millis) -> bool {
-    let more = egress.on_ready(slot, now);
+    let has_more = egress.on_ready(slot, now);
     egress.begin_established_requests(|_, _, _| SendPermission::Granted, now);
-    more
+    has_more
 }
 
-/// An egress, and an endpoint that it sends to.
+/// An egress and the listening socket of an endpoint.
 struct Fixture {
     egress: Egress,
-    pool: BufferPool,
+    buffers: BufferPool,
     events: EventLoop<'static, Ready>,
     listener: TcpListener,
 }
@@ -56,10 +57,16 @@
 impl Fixture {
     fn new(max_connections: usize) -> Fixture {
         let events = EventLoop::try_new().unwrap();
-        let pool = BufferPool::new(8);
+        let buffers = BufferPool::new(8);
         Fixture {
-            egress: Egress::new(&events.handle(), &pool, max_connections, 1_000.0, 15_000.0),
-            pool,
+            egress: Egress::new(
+                &events.handle(),
+                &buffers,
+                max_connections,
+                1_000.0,
+                15_000.0,
+            ),
+            buffers,
             events,
             listener: TcpListener::bind("127.0.0.1:0").unwrap(),
         }
@@ -76,10 +83,10 @@
     }
 
     fn step_all(&mut self, now: Millis) {
-        (0..SLOTS).for_each(|slot| _ = step(&mut self.egress, slot, now));
+        (0..MAX_CONNECTIONS).for_each(|slot| _ = step(&mut self.egress, slot, now));
     }
 
-    /// Steps until an attempt ends.
+    /// Handles all connections until an attempt ends, and returns its outcome.
     fn outcome(&mut self, now: Millis) -> Outcome {
         while self.egress.results.is_empty() {
             self.step_all(now);
@@ -87,7 +94,7 @@
         self.egress.results.pop().unwrap().outcome
     }
 
-    /// Takes what the event loop has reported so far.
+    /// Discards the events that the event loop has reported so far.
     fn clear_events(&mut self) {
         let mut ready = Ready::default();
         self.events
@@ -95,7 +102,7 @@
             .unwrap();
     }
 
-    /// Waits until the event loop reports something.
+    /// Waits until the event loop reports a ready socket.
     fn wait_for_event(&mut self) {
         let mut ready = Ready::default();
         while ready.keys.is_empty() {
@@ -104,13 +111,13 @@
     }
 }
 
-/// A fixture with one request on a connection, whose last byte is held back; and the endpoint's side.
-fn one_request(latest: Millis) -> (Fixture, TcpStream) {
-    let mut fixture = Fixture::new(SLOTS);
-    fixture.egress.resets.recent_resets = RESETS_EXPECTED_FROM;
+/// Starts a request whose last byte is held back. Returns the fixture and the endpoint's side of the connection.
+fn start_request_with_held_back_byte(latest_start: Millis) -> (Fixture, TcpStream) {
+    let mut fixture = Fixture::new(MAX_CONNECTIONS);
+    fixture.egress.resets.recent_resets = RESET_EXPECTED_THRESHOLD;
     let request = AttemptRequest {
         timeout: 500.0,
-        latest_start: latest,
+        latest_start,
         ..two_byte_request(true)
     };
     fixture.start(&request, 0.0);
@@ -118,10 +125,11 @@
     (fixture, peer)
 }
 
+/// All bytes that the endpoint receives until the connection ends.
 fn everything_received(mut peer: TcpStream) -> Vec<u8> {
     peer.set_read_timeout(Some(Duration::from_secs(20)))
         .unwrap();
-    let mut text = Vec::new();
-    let _ = peer.read_to_end(&mut text);
-    text
+    let mut received = Vec::new();
+    let _ = peer.read_to_end(&mut received);
+    received
 }
--- a/crates/sender/src/egress/tests/responses.rs
+++ b/crates/sender/src/egress/tests/responses.rs
@@ -1,4 +1,4 @@
-//! Tests of reading responses.
+//! Tests of receiving responses.
 
 use std::io::{Read, Write};
 
@@ -7,11 +7,11 @@
 #[rstest::rstest]
 #[case::cancelled(true)]
 #[case::timed_out(false)]
-fn a_response_that_has_come_is_read_though_its_attempt_is_cancelled_or_times_out(
+fn a_response_that_has_arrived_counts_even_if_its_attempt_is_cancelled_or_times_out(
     #[case] cancelled: bool,
 ) {
-    // The time to wait that a hedged request is told counts from when it was written, whoever stops listening then.
-    let mut fixture = Fixture::new(SLOTS);
+    // A backoff applies from when the endpoint wrote it, even if the hedged request is cancelled before it is read.
+    let mut fixture = Fixture::new(MAX_CONNECTIONS);
     let request = AttemptRequest {
         timeout: 500.0,
         ..two_byte_request(false)
@@ -35,14 +35,22 @@
     let outcomes: Vec<Outcome> = results.map(|result| result.outcome).collect();
     let retry_after = 900_000_000;
     assert_eq!(outcomes, [Outcome::Overloaded { retry_after }]);
-    let free_buffers: Vec<_> = (0..9).map_while(|_| fixture.pool.take()).collect();
-    assert_eq!(free_buffers.len(), 8, "all its buffers are back, once");
+    let free_buffers: Vec<_> = (0..9).map_while(|_| fixture.buffers.take()).collect();
+    assert_eq!(
+        free_buffers.len(),
+        8,
+        "each buffer of the connection is returned exactly once"
+    );
 }
 
-/// The outcome of a response that is written in pieces of a size, each of which is read before the next; after a cut,
-/// the endpoint closes the connection. And whether the connection is kept.
-fn outcome_in_pieces(response: &[u8], cut: Option<usize>, size: usize) -> (Outcome, bool) {
-    let mut fixture = Fixture::new(SLOTS);
+/// Receives a response in pieces of `piece_size` bytes, each of which is read before the next is written. After
+/// `truncate_at` bytes, the endpoint closes the connection. Returns the outcome and whether the connection is kept.
+fn receive_in_pieces(
+    response: &[u8],
+    truncate_at: Option<usize>,
+    piece_size: usize,
+) -> (Outcome, bool) {
+    let mut fixture = Fixture::new(MAX_CONNECTIONS);
     fixture.start(&two_byte_request(true), 0.0);
     let mut peer = fixture.accept();
     peer.set_nodelay(true).unwrap();
@@ -51,16 +59,16 @@
     }
     peer.read_exact(&mut [0; 2]).unwrap();
     fixture.clear_events();
-    let mut pieces = response[..cut.unwrap_or(response.len())]
-        .chunks(size)
+    let mut pieces = response[..truncate_at.unwrap_or(response.len())]
+        .chunks(piece_size)
         .peekable();
     while let Some(piece) = pieces.next() {
         peer.write_all(piece).unwrap();
-        if pieces.peek().is_some() || cut.is_none() {
+        if pieces.peek().is_some() || truncate_at.is_none() {
             read_piece(&mut fixture);
         }
     }
-    if cut.is_some() {
+    if truncate_at.is_some() {
         drop(peer);
         read_piece(&mut fixture);
     }
@@ -68,7 +76,7 @@
     assert_eq!(
         egress.results.len(),
         1,
-        "one outcome, of {response:?} cut at {cut:?}"
+        "one outcome, of {response:?} truncated at {truncate_at:?}"
     );
     (
         egress.results.pop().unwrap().outcome,
@@ -76,7 +84,7 @@
     )
 }
 
-/// Reads what the endpoint has written last, or its end, once the event loop reports that it is there.
+/// Waits until the event loop reports the endpoint's last write or close, and reads it.
 fn read_piece(fixture: &mut Fixture) {
     if fixture.egress.connections.contains(0) {
         fixture.wait_for_event();
@@ -84,22 +92,25 @@
     step(&mut fixture.egress, 0, 1.0);
 }
 
-/// Checks that a response counts for no more and no less if it ends early, wherever it is cut.
-fn check_cuts(response: &str, outcome: Outcome) {
+/// Checks the outcome of a response that is truncated, for each possible length: only a success is known before the
+/// response is complete, from the status line on.
+fn check_truncated(response: &str, outcome: Outcome) {
     let status_line_end = response.find('\n').unwrap();
-    for (cut, size) in (0..response.len()).flat_map(|cut| [(cut, 1), (cut, response.len())]) {
-        let (cut_outcome, kept) = outcome_in_pieces(response.as_bytes(), Some(cut), size);
-        assert!(!kept, "{response} cut at {cut}");
-        match (outcome, cut_outcome) {
-            // A status line of 200 is a delivery; what else is incomplete proves nothing.
+    let lengths = (0..response.len()).flat_map(|length| [(length, 1), (length, response.len())]);
+    for (length, piece_size) in lengths {
+        let (truncated_outcome, kept) =
+            receive_in_pieces(response.as_bytes(), Some(length), piece_size);
+        assert!(!kept, "{response} truncated at {length}");
+        match (outcome, truncated_outcome) {
+            // A complete status line of 200 is a success. Any other incomplete response proves nothing.
             (Outcome::Success, Outcome::Success) => {
-                assert!(cut > status_line_end, "{response} cut at {cut}")
+                assert!(length > status_line_end, "{response} truncated at {length}")
             }
             (_, Outcome::ConnectionLost) => assert!(
-                outcome != Outcome::Success || cut <= status_line_end,
-                "{response} {cut}"
+                outcome != Outcome::Success || length <= status_line_end,
+                "{response} truncated at {length}"
             ),
-            (_, other) => assert_eq!(other, Outcome::Failure, "{response} cut at {cut}"),
+            (_, other) => assert_eq!(other, Outcome::Failure, "{response} truncated at {length}"),
         }
     }
 }
@@ -115,14 +126,14 @@
     Outcome::Overloaded { retry_after: 900_000_000 }
 )]
 #[case::failure("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", Outcome::Failure)]
-fn a_response_in_pieces_means_the_same_as_whole_and_its_connection_is_reused(
+fn a_response_in_pieces_has_the_same_outcome_as_a_whole_one_and_its_connection_is_kept(
     #[case] response: &str,
     #[case] outcome: Outcome,
 ) {
-    // Otherwise each response whose head comes in more than one piece would cost a new connection.
+    // Otherwise each response whose head arrives in more than one piece would cost a new connection.
     assert_eq!(
-        outcome_in_pieces(response.as_bytes(), None, 1),
+        receive_in_pieces(response.as_bytes(), None, 1),
         (outcome, true)
     );
-    check_cuts(response, outcome);
+    check_truncated(response, outcome);
 }
--- a/crates/sender/src/egress/timeouts.rs
+++ b/crates/sender/src/egress/timeouts.rs
@@ -1,4 +1,4 @@
-//! Time limits of connections and of the exchanges on them.
+//! Time limits of connections and exchanges.
 
 use martenlatch_clock::Millis;
 
@@ -6,12 +6,13 @@
 use super::attempt_end::EndCause;
 use super::endpoint_connection::EndpointConnection;
 
-/// A response must be complete this long after its outcome was known, or after its first byte, in milliseconds.
-pub(super) const RESPONSE_BODY_TIMEOUT: Millis = 1_000.0;
+/// The time limit for the rest of a response, in milliseconds: after its first byte was read, and again after its
+/// outcome was reported.
+pub(super) const RESPONSE_COMPLETION_TIMEOUT: Millis = 1_000.0;
 
 impl Egress {
-    /// The earliest instant at which [`Egress::expire_timeouts`] has something to do, in milliseconds; infinite if
-    /// there is none.
+    /// The earliest instant at which [`Egress::expire_timeouts`] or [`Egress::begin_established_requests`] has
+    /// something to do, in milliseconds; infinite if there is none.
     pub fn next_deadline(&self) -> Millis {
         self.connections
             .iter()
@@ -19,11 +20,12 @@
             .fold(self.record_retry_at, f64::min)
     }
 
-    /// Writes the last bytes whose delay is over, and ends what has exceeded its time limit.
+    /// Writes the held-back last bytes whose delay has passed, and closes the connections that have exceeded their time
+    /// limits.
     pub fn expire_timeouts(&mut self, now: Millis) {
         let due = self
             .connections
-            .slots_where(|connection| self.next_action_at(connection) <= now);
+            .find_slots(|connection| self.next_action_at(connection) <= now);
         for slot in due {
             self.write_held_back_byte(slot, now);
             if self.is_expired(slot, now) && !self.read_late_response(slot, now) {
@@ -32,25 +34,26 @@
         }
     }
 
-    /// An attempt that waited for its record on an established connection has not been held up by the endpoint.
+    /// The cause with which a connection at its time limit is closed: an attempt that waits on an established
+    /// connection to be recorded was not delayed by the endpoint.
     fn timeout_cause(&self, slot: usize) -> EndCause {
-        let awaits_record = self.connections.get(slot).is_some_and(|connection| {
+        let awaits_permission = self.connections.get(slot).is_some_and(|connection| {
             connection.connection.corked && connection.connection.is_connected()
         });
-        if awaits_record {
+        if awaits_permission {
             EndCause::Withdrawn
         } else {
             EndCause::TimedOut
         }
     }
 
-    /// Writes a last byte that was held back, but not of an attempt that has exceeded its time: it would run in vain.
+    /// Writes a held-back last byte, unless the attempt has timed out: running the request would be of no use.
     fn write_held_back_byte(&mut self, slot: usize, now: Millis) {
         let due = self.connections.get(slot).is_some_and(|connection| {
             connection.held_back_byte.is_some() && self.expires_at(connection) > now
         });
         if due {
-            self.progress(slot, now);
+            self.advance(slot, now);
         }
     }
 
@@ -60,8 +63,8 @@
             .is_some_and(|connection| self.expires_at(connection) <= now)
     }
 
-    /// When a connection exceeds the time limit that applies to it: for its attempt, for being established, for the
-    /// rest of a response, or for being idle.
+    /// When a connection reaches the time limit that applies to it: of its attempt, for being established, for the rest
+    /// of a response, or for being idle.
     fn expires_at(&self, connection: &EndpointConnection) -> Millis {
         match connection.attempt {
             Some(attempt) if connection.connected => attempt.deadline,
@@ -69,13 +72,14 @@
                 .deadline
                 .min(connection.opened_at + self.connect_timeout),
             None if connection.remaining_response.is_some() => {
-                connection.idle_since + RESPONSE_BODY_TIMEOUT
+                connection.idle_since + RESPONSE_COMPLETION_TIMEOUT
             }
             None => connection.idle_since + self.idle_limit,
         }
     }
 
-    /// When a connection needs attention though nothing comes: at its time limit, or when a last byte may be written.
+    /// When a connection must be handled even if its socket does not become ready: at its time limit, or when its
+    /// held-back last byte may be written.
     fn next_action_at(&self, connection: &EndpointConnection) -> Millis {
         let release_at = connection
             .held_back_byte
