--- a/crates/sender/src/discovery/endpoint_list.rs
+++ b/crates/sender/src/discovery/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: the endpoints that discovery lists, their names and addresses, and the cordons of operators.
+//! The endpoint list: the endpoints that discovery lists, with their names, addresses and cordons.
 
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
@@ -10,40 +10,40 @@
 use tracing::warn;
 
 use super::list_update::{
-    EntryDetails, EntryError, EntryIdentity, ListUpdate, SettingsNames, entry_name,
+    EntryDetails, EntryError, EntryIdentity, ListUpdate, ZoneAndKindNames, entry_name,
 };
 use crate::cordons::{CordonError, Cordons, MAX_NAME_BYTES};
 
-/// Most endpoints at a time; discovery is not believed beyond that.
+/// The limit on listed endpoints. A longer list is implausible: entries for further endpoints are skipped.
 const MAX_ENDPOINTS: usize = 1 << 16;
-/// Most names of removed endpoints that are remembered.
+/// The limit on remembered names of removed endpoints.
 const MAX_REMOVED_NAMES: usize = 4_096;
-/// Longest part of an unknown name that is shown to an operator, in characters.
-const MAX_SHOWN_NAME: usize = 80;
+/// The limit on the length of an unknown name in the reply to an operator, in characters.
+const MAX_SHOWN_NAME_CHARS: usize = 80;
 
 /// An endpoint that discovery lists. Serialized for a process replacement: the order of the fields is fixed.
 #[derive(Clone, Serialize, Deserialize)]
 pub(super) struct ListedEndpoint {
-    /// The name under which discovery lists it.
+    /// The name under which discovery lists the endpoint.
     pub name: Rc<str>,
-    /// Where it is reached.
+    /// The address of the endpoint.
     pub address: SocketAddr,
-    /// Its entry, without regard to cordons.
+    /// The entry for the decision module, with the state from discovery regardless of cordons.
     pub entry: EndpointEntry,
 }
 
-/// The names of endpoints that have been removed, as operators may still cordon them. Limited, since endpoints are
-/// replaced by ones with new names all day long.
+/// The names of removed endpoints, which operators can still cordon. Their number is limited, since endpoints are
+/// replaced by ones with new names all the time.
 #[derive(Default)]
 pub(super) struct RemovedNames {
-    /// The most recently removed last.
+    /// The names, the most recently removed last.
     pub in_order: VecDeque<Rc<str>>,
     names: HashSet<Rc<str>>,
 }
 
 impl RemovedNames {
-    /// Adds a name, and forgets the oldest one if there are too many.
-    pub fn remember(&mut self, name: Rc<str>) {
+    /// Adds a name, and drops the oldest one if there are too many.
+    pub fn add(&mut self, name: Rc<str>) {
         if self.names.insert(name.clone()) {
             self.in_order.push_back(name);
         }
@@ -59,62 +59,67 @@
     }
 }
 
-/// The entries of an update as the decision module is to see them.
+/// The result of applying an update to the list.
 #[derive(Default)]
 pub(super) struct AppliedUpdate {
-    /// The entries that could be read, with regard to cordons.
+    /// The entries for the decision module, with cordons applied. An entry that could not be read is left out or, in a
+    /// complete list, replaced by the current one.
     pub entries: Vec<EndpointEntry>,
-    /// An entry could not be read, and should be requested again.
-    pub unreadable: bool,
+    /// Whether an entry could not be read and should be requested again.
+    pub has_unreadable_entry: bool,
 }
 
-/// The endpoint list. An endpoint keeps its number while it is listed, and the number is never given to another one.
+/// The endpoint list. An endpoint keeps its id while it is listed, and the id is never reused for another endpoint.
 pub(super) struct EndpointList {
-    names: SettingsNames,
-    /// The numbers of the endpoints in `endpoints` by their names.
-    pub ids: HashMap<Rc<str>, EndpointId>,
-    /// The endpoints that are listed.
+    zone_and_kind_names: ZoneAndKindNames,
+    /// The ids of the endpoints in `endpoints`, by name.
+    pub ids_by_name: HashMap<Rc<str>, EndpointId>,
+    /// The listed endpoints.
     pub endpoints: HashMap<EndpointId, ListedEndpoint>,
-    /// The number of the next new endpoint.
+    /// The id of the next new endpoint.
     pub next_id: u32,
-    /// Destinations that were ever listed: one without endpoints may have new ones soon.
+    /// The destinations that were ever listed. One without endpoints may get new ones soon.
     pub destinations: BTreeSet<u64>,
-    /// The names of endpoints that have been removed.
-    pub removed: RemovedNames,
+    /// The names of removed endpoints.
+    pub removed_names: RemovedNames,
     cordons: Cordons,
 }
 
 impl EndpointList {
-    /// An empty list.
-    pub fn new(names: SettingsNames, cordons: Cordons) -> EndpointList {
+    /// Creates an empty list.
+    pub fn new(zone_and_kind_names: ZoneAndKindNames, cordons: Cordons) -> EndpointList {
         EndpointList {
-            names,
-            ids: HashMap::new(),
+            zone_and_kind_names,
+            ids_by_name: HashMap::new(),
             endpoints: HashMap::new(),
             next_id: 0,
             destinations: BTreeSet::new(),
-            removed: RemovedNames::default(),
+            removed_names: RemovedNames::default(),
             cordons,
         }
     }
 
-    /// Takes an update of the list. An endpoint whose entry cannot be read stays as it is.
+    /// Applies an update to the list. An endpoint whose entry cannot be read does not change.
     pub fn apply(&mut self, update: &ListUpdate) -> AppliedUpdate {
         let mut applied = AppliedUpdate::default();
-        let mut unread: BTreeSet<EndpointId> = BTreeSet::new();
+        let mut with_unreadable_entry: BTreeSet<EndpointId> = BTreeSet::new();
         for json in update.entries {
             match self.apply_entry(json) {
                 Ok(entry) => applied.entries.extend(entry),
                 Err(error) => {
-                    warn!(field = error.field(), "endpoint list entry skipped");
-                    applied.unreadable |= !error.is_permanent();
-                    unread.extend(entry_name(json).and_then(|name| self.ids.get(name)));
+                    warn!(field = error.logged_field(), "endpoint list entry skipped");
+                    applied.has_unreadable_entry |= !error.is_permanent();
+                    with_unreadable_entry
+                        .extend(entry_name(json).and_then(|name| self.ids_by_name.get(name)));
                 }
             }
         }
         if update.complete {
-            // An endpoint that a complete list does not name has been removed: so these are named.
-            let kept = unread.iter().filter_map(|id| self.endpoints.get(id));
+            // A complete list removes the endpoints without an entry, so those whose entry cannot be read are added
+            // with their current one.
+            let kept = with_unreadable_entry
+                .iter()
+                .filter_map(|id| self.endpoints.get(id));
             applied
                 .entries
                 .extend(kept.map(|listed| self.effective_entry(listed)));
@@ -123,17 +128,17 @@
         applied
     }
 
-    /// Takes one entry; none if it removes an endpoint that is not listed.
+    /// Applies one entry. Returns `None` if it removes an endpoint that is not listed.
     fn apply_entry(&mut self, json: &Value) -> Result<Option<EndpointEntry>, EntryError> {
         let EntryIdentity { name, state } = EntryIdentity::parse(json)?;
-        let known = self.ids.get(name).copied();
+        let known = self.ids_by_name.get(name).copied();
         if state == EndpointState::Removed && known.is_none() {
             return Ok(None);
         }
         let last_address = known
             .filter(|_| state != EndpointState::Active)
             .and_then(|id| self.address(id));
-        let details = EntryDetails::parse(json, last_address, &self.names)?;
+        let details = EntryDetails::parse(json, last_address, &self.zone_and_kind_names)?;
         self.destinations.insert(details.destination.0);
         let endpoint = match known {
             Some(known) => known,
@@ -162,11 +167,11 @@
         }
         let id = EndpointId(self.next_id);
         self.next_id += 1;
-        self.ids.insert(Rc::from(name), id);
+        self.ids_by_name.insert(Rc::from(name), id);
         Ok(id)
     }
 
-    /// Drops the endpoints that an update removes; of a complete list, also those that it does not name.
+    /// Drops the endpoints that an update removes. A complete list also removes those without an entry.
     fn drop_removed(&mut self, entries: &[EndpointEntry], complete: bool) {
         let mut removed: Vec<EndpointId> = entries
             .iter()
@@ -179,13 +184,13 @@
         }
         for id in removed {
             if let Some(listed) = self.endpoints.remove(&id) {
-                self.ids.remove(&listed.name);
-                self.removed.remember(listed.name);
+                self.ids_by_name.remove(&listed.name);
+                self.removed_names.add(listed.name);
             }
         }
     }
 
-    /// The entry as the decision module is to see it: a cordoned endpoint is draining.
+    /// The entry for the decision module, in which a cordoned endpoint that is active appears as draining.
     fn effective_entry(&self, listed: &ListedEndpoint) -> EndpointEntry {
         let mut entry = listed.entry.clone();
         if entry.state == EndpointState::Active && self.cordons.holds(&listed.name) {
@@ -194,15 +199,15 @@
         entry
     }
 
-    /// Cordons or uncordons an endpoint. Returns its new entry if that changed anything and the endpoint is listed.
+    /// Cordons or uncordons an endpoint. Returns its new entry if the cordon has changed and the endpoint is listed.
     pub fn set_cordon(
         &mut self,
         name: &str,
         cordoned: bool,
     ) -> Result<Option<EndpointEntry>, CordonError> {
-        let id = self.ids.get(name).copied();
-        if id.is_none() && !self.removed.contains(name) && !self.cordons.holds(name) {
-            let shown = name.chars().take(MAX_SHOWN_NAME);
+        let id = self.ids_by_name.get(name).copied();
+        if id.is_none() && !self.removed_names.contains(name) && !self.cordons.holds(name) {
+            let shown = name.chars().take(MAX_SHOWN_NAME_CHARS);
             let escaped = shown.flat_map(char::escape_default).collect();
             return Err(CordonError::NeverListed(escaped));
         }
@@ -216,21 +221,21 @@
         Ok(listed.map(|listed| self.effective_entry(listed)))
     }
 
-    /// Each endpoint that is listed, and whether it is cordoned.
+    /// The listed endpoints, each with whether it is cordoned.
     pub fn cordon_states(&self) -> impl Iterator<Item = (EndpointId, bool)> {
         self.endpoints
             .iter()
             .map(|(id, listed)| (*id, self.cordons.holds(&listed.name)))
     }
 
-    /// Whether an endpoint is listed as active, and not cordoned.
+    /// Whether an endpoint is listed as active and not cordoned.
     pub fn is_active(&self, endpoint: EndpointId) -> bool {
         self.endpoints.get(&endpoint).is_some_and(|listed| {
             listed.entry.state == EndpointState::Active && !self.cordons.holds(&listed.name)
         })
     }
 
-    /// The address of an endpoint; none if it is not listed.
+    /// The address of an endpoint; `None` if it is not listed.
     pub fn address(&self, endpoint: EndpointId) -> Option<SocketAddr> {
         self.endpoints.get(&endpoint).map(|listed| listed.address)
     }
--- a/crates/sender/src/discovery/list_update.rs
+++ b/crates/sender/src/discovery/list_update.rs
@@ -1,4 +1,4 @@
-//! The JSON objects in which discovery sends the endpoint list, and the parsing of their entries.
+//! Parsing of the JSON objects in which discovery sends the endpoint list and its changes.
 
 use std::net::SocketAddr;
 
@@ -6,18 +6,18 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// One object of a watch: the complete list, or changes of it.
+/// One object of a watch: the complete list, or changes to it.
 pub(super) struct ListUpdate<'a> {
-    /// The entries as they came.
+    /// The unparsed entries.
     pub entries: &'a [Value],
-    /// An endpoint that is not among the entries has been removed.
+    /// Whether the entries are the complete list, so that other endpoints have been removed.
     pub complete: bool,
-    /// The version of the list with this update.
+    /// The version of the list after this update.
     pub version: Option<u64>,
 }
 
 impl<'a> ListUpdate<'a> {
-    /// Reads an update; none if the object has no list of entries.
+    /// Parses an update. Returns `None` if the object has no list of entries.
     pub fn parse(json: &'a Value) -> Option<ListUpdate<'a>> {
         Some(ListUpdate {
             entries: json.get("targets")?.as_array()?,
@@ -40,8 +40,8 @@
 }
 
 impl EntryField {
-    /// The field's key in JSON.
-    pub fn key(self) -> &'static str {
+    /// The key of the field in JSON.
+    pub fn json_key(self) -> &'static str {
         match self {
             EntryField::Name => "uid",
             EntryField::State => "state",
@@ -58,24 +58,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum EntryError {
     /// A field is missing, or its value is invalid or unknown.
-    #[error("the field {} is missing, invalid or unknown", .0.key())]
+    #[error("the field {} is missing, invalid or unknown", .0.json_key())]
     Field(EntryField),
-    /// The list has as many endpoints as it may have.
-    #[error("too many endpoints")]
+    /// The list has reached the limit on endpoints.
+    #[error("the list has too many endpoints")]
     TooManyEndpoints,
 }
 
 impl EntryError {
-    /// The field as it is logged.
-    pub fn field(self) -> &'static str {
+    /// The name of the field in the log.
+    pub fn logged_field(self) -> &'static str {
         match self {
-            EntryError::Field(field) => field.key(),
+            EntryError::Field(field) => field.json_key(),
             EntryError::TooManyEndpoints => "uid (too many regions)",
         }
     }
 
-    /// Whether the entry would be as useless if it were requested again: it names what the settings lack, or exceeds
-    /// a limit of ours.
+    /// Whether requesting the entry again would give the same error: its zone or kind is missing in the settings, or it
+    /// exceeds the limit on endpoints.
     pub fn is_permanent(self) -> bool {
         matches!(
             self,
@@ -84,33 +84,33 @@
     }
 }
 
-fn text(json: &Value, field: EntryField) -> Result<&str, EntryError> {
-    json.get(field.key())
+fn string_field(json: &Value, field: EntryField) -> Result<&str, EntryError> {
+    json.get(field.json_key())
         .and_then(Value::as_str)
         .ok_or(EntryError::Field(field))
 }
 
-/// The name under which an entry lists its endpoint, if it has one.
+/// The endpoint name in an entry, if it has one.
 pub(super) fn entry_name(json: &Value) -> Option<&str> {
-    text(json, EntryField::Name).ok()
+    string_field(json, EntryField::Name).ok()
 }
 
-/// Which endpoint an entry is about, and its state.
+/// The name and the state of the endpoint in an entry.
 pub(super) struct EntryIdentity<'a> {
     /// The name under which discovery lists the endpoint.
     pub name: &'a str,
-    /// The state that discovery tells.
+    /// The state that discovery reports.
     pub state: EndpointState,
 }
 
 impl<'a> EntryIdentity<'a> {
-    /// Reads the name and the state.
+    /// Parses the name and the state of an entry.
     ///
     /// # Errors
     /// The field that cannot be read.
     pub fn parse(json: &'a Value) -> Result<EntryIdentity<'a>, EntryError> {
-        let name = text(json, EntryField::Name)?;
-        let state = match text(json, EntryField::State)? {
+        let name = string_field(json, EntryField::Name)?;
+        let state = match string_field(json, EntryField::State)? {
             "in_service" => EndpointState::Active,
             "terminating" => EndpointState::Draining,
             "terminated" => EndpointState::Removed,
@@ -120,35 +120,35 @@
     }
 }
 
-/// The names of zones and kinds; an entry's zone and kind are indexes into them.
-pub(super) struct SettingsNames {
-    /// The zones in the order of their indexes.
+/// The names of the zones and kinds in the settings. The zone and the kind of an endpoint are indexes into them.
+pub(super) struct ZoneAndKindNames {
+    /// The zone names in index order.
     pub zones: Vec<String>,
-    /// The kinds in the order of their indexes.
+    /// The kind names in index order.
     pub kinds: Vec<String>,
 }
 
-/// All else that an entry says of its endpoint.
+/// The other fields of an entry.
 pub(super) struct EntryDetails {
-    /// Where the endpoint is reached.
+    /// The address of the endpoint.
     pub address: SocketAddr,
-    /// The zone it is in.
+    /// The zone of the endpoint.
     pub zone: ZoneId,
-    /// Its kind.
+    /// The kind of the endpoint.
     pub kind: KindId,
-    /// The destination it serves.
+    /// The destination that the endpoint serves.
     pub destination: DestinationId,
-    /// Its relative capacity; zero if the entry does not say.
+    /// The relative capacity of the endpoint; zero if the entry does not state it.
     pub weight: f64,
 }
 
 impl EntryDetails {
-    /// Reads the details. `last_address` stands in for an address that is missing or invalid: an endpoint that is
-    /// draining or removed needs no new one.
+    /// Parses the details. `last_address` replaces an address that is missing or invalid: an endpoint that is draining
+    /// or removed needs no new one.
     pub fn parse(
         json: &Value,
         last_address: Option<SocketAddr>,
-        names: &SettingsNames,
+        names: &ZoneAndKindNames,
     ) -> Result<EntryDetails, EntryError> {
         let address = match parse_address(json) {
             Ok(address) => address,
@@ -156,15 +156,15 @@
         };
         Ok(EntryDetails {
             address,
-            zone: ZoneId(index(json, EntryField::Zone, &names.zones)?),
-            kind: KindId(index(json, EntryField::Kind, &names.kinds)?),
+            zone: ZoneId(name_index(json, EntryField::Zone, &names.zones)?),
+            kind: KindId(name_index(json, EntryField::Kind, &names.kinds)?),
             destination: json
-                .get(EntryField::Destination.key())
+                .get(EntryField::Destination.json_key())
                 .and_then(Value::as_u64)
                 .map(DestinationId)
                 .ok_or(EntryError::Field(EntryField::Destination))?,
             weight: json
-                .get(EntryField::Weight.key())
+                .get(EntryField::Weight.json_key())
                 .and_then(Value::as_f64)
                 .unwrap_or(0.0),
         })
@@ -172,14 +172,14 @@
 }
 
 fn parse_address(json: &Value) -> Result<SocketAddr, EntryError> {
-    text(json, EntryField::Address)?
+    string_field(json, EntryField::Address)?
         .parse()
         .map_err(|_| EntryError::Field(EntryField::Address))
 }
 
-/// The index of the name in a field among the names that the settings have.
-fn index(json: &Value, field: EntryField, names: &[String]) -> Result<usize, EntryError> {
-    let name = text(json, field)?;
+/// The index in `names` of the name in a field.
+fn name_index(json: &Value, field: EntryField, names: &[String]) -> Result<usize, EntryError> {
+    let name = string_field(json, field)?;
     names
         .iter()
         .position(|known| known == name)
--- a/crates/sender/src/discovery/mod.rs
+++ b/crates/sender/src/discovery/mod.rs
@@ -1,14 +1,14 @@
 //! The endpoint directory: the endpoints that discovery lists, kept up to date by a watch.
 //!
-//! The list stays as it is while discovery is silent: no endpoint is forgotten because discovery has failed. It says
-//! nothing of an endpoint's health.
+//! While discovery is silent, the list does not change: no endpoint is removed because discovery has failed. The list
+//! does not show whether an endpoint is healthy.
 //!
-//! - [`watch`]: the connection to discovery, and the reading of its response
+//! - [`watch`]: the connection to discovery and the response on it
 //! - [`watch_schedule`]: when watches are opened, and how long they may be silent
 //! - [`object_framer`]: splitting the response into JSON objects
 //! - [`list_update`]: parsing an update and its entries
 //! - [`endpoint_list`]: the list itself, with the operators' cordons
-//! - [`snapshot`]: passing the list to a successor process
+//! - [`snapshot`]: handing over the list to a successor process
 
 mod endpoint_list;
 mod list_update;
@@ -34,46 +34,46 @@
 use crate::event_source::Handle;
 use crate::jitter::Jitter;
 use endpoint_list::EndpointList;
-use list_update::{ListUpdate, SettingsNames};
-use watch::{Watch, WatchFault};
+use list_update::{ListUpdate, ZoneAndKindNames};
+use watch::{Watch, WatchError};
 use watch_schedule::{ListSource, WatchSchedule};
 
-/// A silent watch is looked at this long after it has exceeded its time, in milliseconds.
+/// A watch is checked this long after its silence deadline, in milliseconds, so that the check finds it exceeded.
 const SILENCE_MARGIN: Millis = 1.0;
 
-/// What an update of the endpoint list changed, for the decision module.
+/// The changes in an update of the endpoint list, for the decision module.
 pub struct EndpointListChange {
-    /// The entries are all that there are; endpoints without an entry have been removed.
+    /// Whether the entries are the complete list, so that endpoints without an entry have been removed.
     pub complete: bool,
-    /// The endpoints that were listed, with their new state.
+    /// The endpoints named by the update, with their new states.
     pub entries: Vec<EndpointEntry>,
 }
 
-/// The endpoint list, and the watch that keeps it up to date.
+/// The endpoint list and the watch that keeps it up to date.
 pub struct EndpointDirectory {
-    discovery: SocketAddr,
+    discovery_address: SocketAddr,
     list: EndpointList,
-    /// The version of the list, which the next watch goes on from.
+    /// The version of the list, from which the next watch continues.
     version: u64,
-    /// Something that the watch brought could not be read.
-    unreadable: bool,
-    /// Discovery has sent something to this process or to its predecessors.
+    /// Whether an update of the current watch could not be read.
+    has_unreadable_update: bool,
+    /// Whether discovery has sent anything to this process or to its predecessors.
     discovery_responded: bool,
     watch: Option<Watch>,
-    /// When the watch was opened or has brought something.
-    last_heard: Millis,
+    /// When the watch was opened, or last received an object or an empty line.
+    last_received: Millis,
     schedule: WatchSchedule,
 }
 
 impl EndpointDirectory {
-    /// An empty directory, whose first watch at the address `discovery` is due at once.
+    /// Creates an empty directory whose first watch, at `discovery_address`, is due at once.
     pub fn new(
-        discovery: SocketAddr,
+        discovery_address: SocketAddr,
         platform_settings: &PlatformSettings,
         cordons: Cordons,
         jitter: Jitter,
     ) -> EndpointDirectory {
-        let names = SettingsNames {
+        let names = ZoneAndKindNames {
             zones: platform_settings.zones.clone(),
             kinds: platform_settings.kinds.clone(),
         };
@@ -83,21 +83,21 @@
             ListSource::LocalAgent
         };
         EndpointDirectory {
-            discovery,
+            discovery_address,
             list: EndpointList::new(names, cordons),
             version: 0,
-            unreadable: false,
+            has_unreadable_update: false,
             discovery_responded: false,
             watch: None,
-            last_heard: 0.0,
+            last_received: 0.0,
             schedule: WatchSchedule::new(source, platform_settings.settings.senders, jitter),
         }
     }
 
-    /// Takes one update of the list; none if the object is no update.
+    /// Applies one update of the list. Returns `None` if the object is not an update.
     ///
-    /// If an entry cannot be read, its endpoint stays as it is, and so does the version: the update is requested
-    /// again. This does not apply to an entry that names what the settings lack, which would come back the same.
+    /// If an entry cannot be read, neither its endpoint nor the version changes, so that the update is requested again.
+    /// Entries whose zone or kind is missing in the settings are exempt, as they would be received unchanged.
     pub fn apply(&mut self, json: &Value) -> Option<EndpointListChange> {
         let Some(update) = ListUpdate::parse(json) else {
             warn!(
@@ -108,22 +108,22 @@
         };
         let applied = self.list.apply(&update);
         if let Some(version) = update.version
-            && !applied.unreadable
+            && !applied.has_unreadable_entry
         {
             self.version = version;
         }
-        self.unreadable |= applied.unreadable;
+        self.has_unreadable_update |= applied.has_unreadable_entry;
         Some(EndpointListChange {
             complete: update.complete,
             entries: applied.entries,
         })
     }
 
-    /// Cordons an endpoint by its name, or uncordons it. Returns what the decision module has to know of it, if that
-    /// changed anything and the endpoint is listed.
+    /// Cordons or uncordons an endpoint by its name. Returns the change for the decision module, if there is one and
+    /// the endpoint is listed.
     ///
     /// # Errors
-    /// Why the cordons are what they were before.
+    /// The reason for which the cordon was neither set nor removed.
     pub fn set_cordon(
         &mut self,
         name: &str,
@@ -136,17 +136,17 @@
         }))
     }
 
-    /// Each endpoint that is listed, and whether it is cordoned.
+    /// The listed endpoints, each with whether it is cordoned.
     pub fn endpoints(&self) -> impl Iterator<Item = (EndpointId, bool)> {
         self.list.cordon_states()
     }
 
-    /// The address of an endpoint; none if it is not listed.
+    /// The address of an endpoint; `None` if it is not listed.
     pub fn address(&self, endpoint: EndpointId) -> Option<SocketAddr> {
         self.list.address(endpoint)
     }
 
-    /// The kind of an endpoint, by its index in the settings; the first one if the endpoint is not listed.
+    /// The kind of an endpoint, by its index in the settings; 0 if the endpoint is not listed.
     pub fn kind(&self, endpoint: EndpointId) -> usize {
         self.list
             .endpoints
@@ -154,59 +154,63 @@
             .map_or(0, |listed| listed.entry.kind.0)
     }
 
-    /// Whether an endpoint takes new requests: it is listed as active and is not cordoned.
+    /// Whether requests may be sent to an endpoint: it is listed as active and not cordoned.
     pub fn accepts_requests(&self, endpoint: EndpointId) -> bool {
         self.list.is_active(endpoint)
     }
 
-    /// The name under which discovery lists an endpoint.
+    /// The name under which discovery lists an endpoint; `None` if it is not listed.
     pub fn endpoint_name(&self, endpoint: EndpointId) -> Option<String> {
         let listed = self.list.endpoints.get(&endpoint)?;
         Some(listed.name.to_string())
     }
 
-    /// Whether any endpoint serves a destination; none while discovery has sent nothing, and it cannot be known.
+    /// Whether a destination was ever listed; true for any destination until the first one is listed. `None` if the
+    /// destination was not listed but may be new, as discovery has not responded yet.
     pub fn is_known_destination(&self, destination: u64) -> Option<bool> {
         let destinations = &self.list.destinations;
-        let listed = destinations.contains(&destination) || destinations.is_empty();
-        (listed || self.discovery_responded).then_some(listed)
+        let known = destinations.contains(&destination) || destinations.is_empty();
+        (known || self.discovery_responded).then_some(known)
     }
 
-    /// Whether discovery has answered this process.
+    /// Whether discovery has sent anything to this process or to its predecessors.
     pub fn has_discovery_responded(&self) -> bool {
         self.discovery_responded
     }
 
-    /// Discovery has another address from now on. Its versions may differ there, so the complete list is requested;
-    /// until it comes, the list stays as it is.
-    pub fn move_to(&mut self, discovery: SocketAddr, now: Millis) {
+    /// Moves to another address of discovery. The versions there may differ, so the complete list is requested. The
+    /// current list stays in use until it arrives.
+    pub fn move_to(&mut self, discovery_address: SocketAddr, now: Millis) {
         self.watch = None;
-        self.discovery = discovery;
+        self.discovery_address = discovery_address;
         self.version = 0;
         self.schedule.reset_backoff();
         self.delay_first_watch(now);
     }
 
-    /// Spreads the first watch over some time, as a list is known already: where watches cost discovery something,
-    /// it should not get those of all senders at once.
+    /// Delays the first watch by a random time, as a list is already known: a discovery service for which watches are
+    /// costly should not receive those of all senders at once.
     pub fn delay_first_watch(&mut self, now: Millis) {
         self.schedule.delay_first_watch(now);
     }
 
-    /// Gives up a watch that has become silent, and opens the next one when it is due.
-    pub fn run_due(&mut self, now: Millis, handle: &Handle, pool: &BufferPool) {
-        if self.silent_at().is_some_and(|silent_at| now > silent_at) {
-            self.lose_watch(now, WatchFault::Silent);
+    /// Closes a watch that has been silent for too long, and opens the next one when it is due.
+    pub fn run_due(&mut self, now: Millis, handle: &Handle, buffers: &BufferPool) {
+        if self
+            .silence_deadline()
+            .is_some_and(|deadline| now > deadline)
+        {
+            self.close_watch(now, WatchError::Silent);
         }
-        if self.watch.is_none() && now >= self.schedule.next_attempt() {
-            self.open_watch(now, handle, pool);
+        if self.watch.is_none() && now >= self.schedule.next_watch_at() {
+            self.open_watch(now, handle, buffers);
         }
     }
 
-    fn open_watch(&mut self, now: Millis, handle: &Handle, pool: &BufferPool) {
-        self.last_heard = now;
-        self.unreadable = false;
-        match Watch::open(self.discovery, self.version, handle, pool) {
+    fn open_watch(&mut self, now: Millis, handle: &Handle, buffers: &BufferPool) {
+        self.last_received = now;
+        self.has_unreadable_update = false;
+        match Watch::open(self.discovery_address, self.version, handle, buffers) {
             Ok(watch) => self.watch = Some(watch),
             Err(error) => {
                 warn!(error = ?error.kind(), "watch not opened");
@@ -215,55 +219,56 @@
         }
     }
 
-    fn lose_watch(&mut self, now: Millis, fault: WatchFault) {
+    fn close_watch(&mut self, now: Millis, error: WatchError) {
         if self.watch.take().is_some() {
-            let reason = fault.to_string();
+            let reason = error.to_string();
             warn!(reason, rev = self.version, "watch lost");
         }
         self.schedule.back_off(now);
     }
 
-    /// When the watch will have been silent for too long, if there is one.
-    fn silent_at(&self) -> Option<Millis> {
+    /// The instant after which the watch will have been silent for too long; `None` without a watch.
+    fn silence_deadline(&self) -> Option<Millis> {
         let watch = self.watch.as_ref()?;
-        Some(self.last_heard + self.schedule.silence_timeout(watch.has_response()))
+        Some(self.last_received + self.schedule.silence_timeout(watch.has_response()))
     }
 
     /// When [`EndpointDirectory::run_due`] has something to do, in milliseconds.
     pub fn next_deadline(&self) -> Millis {
-        match self.silent_at() {
-            Some(silent_at) => silent_at + SILENCE_MARGIN,
-            None => self.schedule.next_attempt(),
+        match self.silence_deadline() {
+            Some(deadline) => deadline + SILENCE_MARGIN,
+            None => self.schedule.next_watch_at(),
         }
     }
 
-    /// Reads what the watch has brought. Returns the changes of the list, and whether there may be more to read.
+    /// Reads and applies the updates that the watch has received. Returns the changes of the list, and whether there
+    /// may be more to read.
     pub fn on_ready(&mut self, now: Millis) -> (Vec<EndpointListChange>, bool) {
         let Some(watch) = self.watch.as_mut() else {
             return (Vec::new(), false);
         };
         let input = watch.receive();
         let closed = watch.is_closed();
-        let (changes, unreadable) = self.apply_objects(&input.objects);
+        let (changes, has_unreadable) = self.apply_objects(&input.objects);
         if !input.objects.is_empty() {
             self.discovery_responded = true;
-            self.last_heard = now;
-            if !unreadable {
+            self.last_received = now;
+            if !has_unreadable {
                 self.schedule.reset_backoff();
             }
         }
-        let fault = input
-            .fault
-            .or(unreadable.then_some(WatchFault::UnreadableUpdate))
-            .or(closed.then_some(WatchFault::ConnectionClosed));
-        if let Some(fault) = fault {
-            self.lose_watch(now, fault);
+        let error = input
+            .error
+            .or(has_unreadable.then_some(WatchError::UnreadableUpdate))
+            .or(closed.then_some(WatchError::ConnectionClosed));
+        if let Some(error) = error {
+            self.close_watch(now, error);
         }
-        (changes, input.has_more && fault.is_none())
+        (changes, input.has_more && error.is_none())
     }
 
-    /// Takes the objects of a watch, up to one that cannot be read: the updates behind it would move the version past
-    /// it. Returns the changes, and whether there was such an object.
+    /// Applies the objects of a watch, and stops at one that cannot be read: the updates after it would move the
+    /// version past it. Returns the changes, and whether there was an unreadable object.
     fn apply_objects(&mut self, objects: &[Vec<u8>]) -> (Vec<EndpointListChange>, bool) {
         let mut changes = Vec::new();
         for object in objects {
@@ -272,12 +277,12 @@
             }
             let json = serde_json::from_slice::<Value>(object).ok();
             let change = json.and_then(|json| self.apply(&json));
-            self.unreadable |= change.is_none();
+            self.has_unreadable_update |= change.is_none();
             changes.extend(change);
-            if self.unreadable {
+            if self.has_unreadable_update {
                 break;
             }
         }
-        (changes, std::mem::take(&mut self.unreadable))
+        (changes, std::mem::take(&mut self.has_unreadable_update))
     }
 }
--- a/crates/sender/src/discovery/object_framer.rs
+++ b/crates/sender/src/discovery/object_framer.rs
@@ -1,15 +1,14 @@
-//! Splits the text of a watch into JSON objects, each of which may be indented over several lines.
+//! Splits the text of a watch into JSON objects, each of which may span several lines.
 
-/// Collects the lines of an object until all its brackets are closed, or an empty line says that nothing more of it
-/// will come.
+/// Collects the lines of an object until all its brackets are closed or an empty line ends it.
 #[derive(Default)]
 pub(super) struct JsonObjectFramer {
-    /// What has come of the current object.
+    /// The bytes of the current object so far.
     text: Vec<u8>,
     nesting: Nesting,
 }
 
-/// How deep the bytes so far end within an object.
+/// The bracket nesting at the end of the bytes read so far.
 #[derive(Default)]
 struct Nesting {
     depth: usize,
@@ -32,22 +31,22 @@
 }
 
 impl JsonObjectFramer {
-    /// Takes the next bytes, and adds the objects that they complete, empty lines included. An object that an empty
-    /// line cuts off is added as far as it came.
+    /// Reads the next bytes and adds the objects that they complete to `objects`. An empty line between objects is
+    /// added as an object of its own. An incomplete object that an empty line ends is added as it is.
     pub fn push(&mut self, bytes: &[u8], objects: &mut Vec<Vec<u8>>) {
-        for part in bytes.split_inclusive(|byte| *byte == b'\n') {
+        for line in bytes.split_inclusive(|byte| *byte == b'\n') {
             let at_line_start = self.text.last().is_none_or(|byte| *byte == b'\n');
-            let empty_line = at_line_start && part.trim_ascii().is_empty();
-            self.text.extend(part);
-            part.iter().for_each(|byte| self.nesting.push(*byte));
-            if part.ends_with(b"\n") && (self.nesting.depth == 0 || empty_line) {
+            let empty_line = at_line_start && line.trim_ascii().is_empty();
+            self.text.extend(line);
+            line.iter().for_each(|byte| self.nesting.push(*byte));
+            if line.ends_with(b"\n") && (self.nesting.depth == 0 || empty_line) {
                 self.nesting = Nesting::default();
                 objects.push(std::mem::take(&mut self.text));
             }
         }
     }
 
-    /// The size of the object that is not complete yet, in bytes.
+    /// The size of the current, incomplete object, in bytes.
     pub fn pending_bytes(&self) -> usize {
         self.text.len()
     }
--- a/crates/sender/src/discovery/snapshot.rs
+++ b/crates/sender/src/discovery/snapshot.rs
@@ -1,4 +1,4 @@
-//! Passing the endpoint list to a successor process.
+//! Handing over the endpoint list to a successor process.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::rc::Rc;
@@ -9,21 +9,21 @@
 use super::EndpointDirectory;
 use super::endpoint_list::ListedEndpoint;
 
-/// The endpoint list for a successor process, without the cordons, which are read from their file. Passed between
-/// processes of different versions: the order of the fields is fixed.
+/// The endpoint list for a successor process, without the cordons, which are read from their file. It is passed between
+/// processes of different versions, so the order of the fields is fixed.
 #[derive(Serialize, Deserialize)]
 pub struct EndpointDirectorySnapshot {
     /// The version of the list.
     pub(super) version: u64,
-    /// Destinations that were ever listed.
+    /// The destinations that were ever listed.
     pub(super) destinations: BTreeSet<u64>,
-    /// Discovery has sent something.
+    /// Whether discovery has sent anything.
     pub(super) discovery_responded: bool,
-    /// The endpoints that are listed, in no order.
+    /// The listed endpoints, in no particular order.
     pub(super) endpoints: Vec<(EndpointId, ListedEndpoint)>,
-    /// The number of the next new endpoint.
+    /// The id of the next new endpoint.
     pub(super) next_id: u32,
-    /// The most recently removed last.
+    /// The names of removed endpoints, the most recently removed last.
     pub(super) removed_names: VecDeque<Rc<str>>,
 }
 
@@ -39,16 +39,17 @@
                 .map(|(id, listed)| (*id, listed.clone()))
                 .collect(),
             next_id: self.list.next_id,
-            removed_names: self.list.removed.in_order.clone(),
+            removed_names: self.list.removed_names.in_order.clone(),
         }
     }
 
-    /// Takes over what a predecessor process has passed on. The watch is opened anew, from the version of its list.
+    /// Restores the list of a predecessor process. A new watch is opened, which continues from the version of that
+    /// list.
     pub fn restore_state(&mut self, snapshot: EndpointDirectorySnapshot) {
         self.version = snapshot.version;
         self.discovery_responded = snapshot.discovery_responded;
         self.list.destinations = snapshot.destinations;
-        self.list.ids = snapshot
+        self.list.ids_by_name = snapshot
             .endpoints
             .iter()
             .map(|(id, listed)| (listed.name.clone(), *id))
@@ -56,7 +57,7 @@
         self.list.endpoints = snapshot.endpoints.into_iter().collect();
         self.list.next_id = snapshot.next_id;
         for name in snapshot.removed_names {
-            self.list.removed.remember(name);
+            self.list.removed_names.add(name);
         }
     }
 }
--- a/crates/sender/src/discovery/tests/mod.rs
+++ b/crates/sender/src/discovery/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the endpoint directory and of its watch over real sockets.
+//! Tests of the endpoint directory, with watches over real sockets.
 
 mod endpoint_list;
 mod object_framer;
@@ -14,15 +14,15 @@
     Cordons::open(std::path::Path::new("/nowhere"), 3_000_000)
 }
 
-/// A configuration with one zone, one kind and one class, all of the name "x". The list comes from a discovery
-/// service if it is `requested`, or else from an agent.
-fn platform_settings(settings: Settings, requested: bool) -> PlatformSettings {
+/// Platform settings with one zone, one kind and one class, all with the name "x". The endpoint list is requested from
+/// a discovery service if `polls_endpoint_list` is set, and otherwise pushed to a local agent.
+fn platform_settings(settings: Settings, polls_endpoint_list: bool) -> PlatformSettings {
     let names = || vec!["x".to_string()];
     PlatformSettings {
         settings,
         zones: names(),
         kinds: names(),
         classes: names(),
-        polls_endpoint_list: requested,
+        polls_endpoint_list,
     }
 }
--- a/crates/sender/src/discovery/tests/object_framer.rs
+++ b/crates/sender/src/discovery/tests/object_framer.rs
@@ -1,20 +1,20 @@
-//! Tests of splitting a text into JSON objects.
+//! Tests of splitting text into JSON objects.
 
 use super::super::object_framer::JsonObjectFramer;
 
-/// The objects of a text that comes in pieces of a size.
-fn objects(text: &str, size: usize) -> Vec<String> {
+/// Splits a text that is received in pieces of `piece_size` bytes into objects.
+fn split_objects(text: &str, piece_size: usize) -> Vec<String> {
     let mut framer = JsonObjectFramer::default();
     let mut objects = Vec::new();
-    for piece in text.as_bytes().chunks(size) {
+    for piece in text.as_bytes().chunks(piece_size) {
         framer.push(piece, &mut objects);
     }
-    let text = |bytes| String::from_utf8(bytes).unwrap();
-    objects.into_iter().map(text).collect()
+    let to_text = |bytes| String::from_utf8(bytes).unwrap();
+    objects.into_iter().map(to_text).collect()
 }
 
 #[test]
-fn objects_end_with_their_last_bracket_or_at_an_empty_line_however_the_text_is_cut() {
+fn objects_end_at_their_last_bracket_or_at_an_empty_line_for_any_piece_size() {
     let text = "{\"a\":1}\n{\n \"b\": \"}\\\"\"\n}\n\n{\"cut off\"\n\n[2]\nrest";
     let expected = [
         "{\"a\":1}\n",
@@ -23,7 +23,11 @@
         "{\"cut off\"\n\n",
         "[2]\n",
     ];
-    for size in 1..=text.len() {
-        assert_eq!(objects(text, size), expected, "in pieces of {size}");
+    for piece_size in 1..=text.len() {
+        assert_eq!(
+            split_objects(text, piece_size),
+            expected,
+            "in pieces of {piece_size}"
+        );
     }
 }
--- a/crates/sender/src/discovery/tests/watch_schedule.rs
+++ b/crates/sender/src/discovery/tests/watch_schedule.rs
@@ -1,4 +1,4 @@
-//! Tests of when watches are opened.
+//! Tests of when watches are opened and closed.
 
 use std::io::Write;
 
@@ -6,16 +6,16 @@
 use super::*;
 
 #[rstest::rstest]
-#[case::pushed_by_an_agent(false, 3)]
-#[case::requested_from_a_service(true, 1)]
-fn silent_watches_are_opened_again_before_their_changes_count_as_delivered(
-    #[case] requested: bool,
-    #[case] more: usize,
+#[case::local_agent(false, 3)]
+#[case::discovery_service(true, 1)]
+fn a_silent_watch_is_reopened_before_missed_changes_count_as_delivered(
+    #[case] polls_endpoint_list: bool,
+    #[case] min_reopened: usize,
 ) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let events = calloop::EventLoop::<crate::event_source::Ready>::try_new().unwrap();
     let (handle, pool) = (events.handle(), BufferPool::new(8));
-    let platform_settings = platform_settings(Settings::default(), requested);
+    let platform_settings = platform_settings(Settings::default(), polls_endpoint_list);
     let mut directory = EndpointDirectory::new(
         listener.local_addr().unwrap(),
         &platform_settings,
@@ -23,9 +23,9 @@
         Jitter::new(1),
     );
     directory.run_due(1_000.0, &handle, &pool);
-    let (mut first, _) = listener.accept().unwrap();
-    // It begins to answer, and then becomes silent: the empty line of every 2 s is waited for.
-    first
+    let (mut first_watch, _) = listener.accept().unwrap();
+    // Discovery begins its response and then falls silent, without the empty line that is due every 2 s.
+    first_watch
         .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
         .unwrap();
     assert!((0..200_000).any(|_| {
@@ -34,28 +34,28 @@
     }));
     directory.run_due(3_000.0, &handle, &pool);
     assert!(directory.watch.is_some() && directory.next_deadline() < 1_000.0 + 6_000.0);
-    let lost = directory.next_deadline();
-    directory.run_due(lost, &handle, &pool);
-    assert!(directory.watch.is_none(), "it is given up");
-    // Those behind it are established and never answered.
+    let lost_at = directory.next_deadline();
+    directory.run_due(lost_at, &handle, &pool);
+    assert!(directory.watch.is_none(), "the silent watch is closed");
+    // The next watches are connected but never receive a response.
     let mut opened = 0;
     while directory.next_deadline() < 1_000.0 + 6_000.0 {
         directory.run_due(directory.next_deadline(), &handle, &pool);
         opened += usize::from(directory.watch.is_some());
     }
     assert!(
-        opened >= more,
-        "{opened} before its changes count as delivered"
+        opened >= min_reopened,
+        "{opened} watches before missed changes count as delivered"
     );
     (0..opened).for_each(|_| drop(listener.accept().unwrap()));
 }
 
 #[test]
-fn watches_that_become_silent_together_are_not_opened_again_together() {
+fn watches_that_fall_silent_together_are_reopened_at_different_times() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let events = calloop::EventLoop::<crate::event_source::Ready>::try_new().unwrap();
     let platform_settings = platform_settings(Settings::default(), true);
-    let again = |seed: u64| {
+    let reopened_after = |seed: u64| {
         let (handle, pool) = (events.handle(), BufferPool::new(8));
         let mut directory = EndpointDirectory::new(
             listener.local_addr().unwrap(),
@@ -65,28 +65,28 @@
         );
         directory.schedule.backoff = MAX_BACKOFF;
         directory.run_due(1_000.0, &handle, &pool);
-        let lost = directory.next_deadline();
-        directory.run_due(lost, &handle, &pool);
-        directory.next_deadline() - lost
+        let lost_at = directory.next_deadline();
+        directory.run_due(lost_at, &handle, &pool);
+        directory.next_deadline() - lost_at
     };
-    let mut attempts: Vec<Millis> = (0..12).map(again).collect();
-    attempts.sort_by(f64::total_cmp);
-    println!("opened again after, ms: {attempts:.0?}");
-    assert!(attempts[0] >= MAX_BACKOFF * 0.75 && attempts[11] <= MAX_BACKOFF * 1.25);
+    let mut pauses: Vec<Millis> = (0..12).map(reopened_after).collect();
+    pauses.sort_by(f64::total_cmp);
+    println!("reopened after, in ms: {pauses:.0?}");
+    assert!(pauses[0] >= MAX_BACKOFF * 0.75 && pauses[11] <= MAX_BACKOFF * 1.25);
     assert!(
-        attempts.windows(4).all(|few| few[3] - few[0] > 20.0),
-        "four within 20 ms: {attempts:?}"
+        pauses.windows(4).all(|four| four[3] - four[0] > 20.0),
+        "four within 20 ms: {pauses:?}"
     );
 }
 
-/// When each of a number of senders opens its watches, in a minute in which all are refused.
-fn attempts(senders: u32, requested: bool) -> Vec<Vec<Millis>> {
+/// For each sender, when it opens watches in a minute in which all of them are refused.
+fn watch_times(senders: u32, polls_endpoint_list: bool) -> Vec<Vec<Millis>> {
     let settings = Settings {
         senders,
         ..Settings::default()
     };
-    let platform_settings = platform_settings(settings, requested);
-    let one = |seed: u32| {
+    let platform_settings = platform_settings(settings, polls_endpoint_list);
+    let times_of_sender = |seed: u32| {
         let jitter = Jitter::new(seed.into());
         let mut directory = EndpointDirectory::new(
             "127.0.0.1:9".parse().unwrap(),
@@ -95,38 +95,38 @@
             jitter,
         );
         directory.delay_first_watch(0.0);
-        let mut attempts = Vec::new();
+        let mut times = Vec::new();
         while directory.next_deadline() < 60_000.0 {
             let now = directory.next_deadline();
-            attempts.push(now);
+            times.push(now);
             directory.schedule.back_off(now);
         }
-        attempts
+        times
     };
-    (0..senders).map(one).collect()
+    (0..senders).map(times_of_sender).collect()
 }
 
 #[test]
-fn many_senders_whose_watches_are_refused_retry_less_often_in_proportion() {
-    // Once the backoff has grown: what each sender opens in a minute's second half.
-    let late = |senders: u32| {
-        let all = attempts(senders, true).concat();
-        all.iter().filter(|at| **at > 30_000.0).count() as f64 / f64::from(senders)
+fn the_more_senders_there_are_the_less_often_each_retries_a_refused_watch() {
+    // Watches per sender in the second half of the minute, once the backoff has grown.
+    let late_watches = |senders: u32| {
+        let all = watch_times(senders, true).concat();
+        all.iter().filter(|time| **time > 30_000.0).count() as f64 / f64::from(senders)
     };
-    let (few, many) = (late(4), late(48));
-    println!("opened in half a minute, each: {few:.1} of 4 senders, {many:.1} of 48");
+    let (few, many) = (late_watches(4), late_watches(48));
+    println!("watches per sender in half a minute: {few:.1} with 4 senders, {many:.1} with 48");
     assert!(many < 0.5 * few && few > 10.0);
     for senders in [48, 300] {
-        let mut all = attempts(senders, true).concat();
+        let mut all = watch_times(senders, true).concat();
         all.sort_by(f64::total_cmp);
-        let most = senders as usize / 2;
+        let half = senders as usize / 2;
         let crowded = all
-            .windows(most)
-            .filter(|w| w[most - 1] - w[0] < 500.0)
+            .windows(half)
+            .filter(|window| window[half - 1] - window[0] < 500.0)
             .count();
         assert!(
             crowded == 0,
-            "{crowded} times half of {senders} within half a second"
+            "{crowded} times, half of {senders} senders retried within half a second"
         );
     }
 }
@@ -135,23 +135,24 @@
 #[case::few(2)]
 #[case::many(48)]
 #[case::fleet(300)]
-fn changes_are_requested_before_they_count_as_delivered(#[case] senders: u32) {
-    // A drain counts as delivered 6 s later, received or not, and requests there must end within 1 s more.
-    for attempts in attempts(senders, true) {
-        let pauses = attempts.windows(2).map(|w| w[1] - w[0]);
-        let longest = pauses.fold(attempts[0], f64::max);
+fn refused_watches_are_retried_before_missed_changes_count_as_delivered(#[case] senders: u32) {
+    // A drain counts as delivered after 6 s, received or not, and requests to the endpoint must end within 1 s more.
+    for times in watch_times(senders, true) {
+        let pauses = times.windows(2).map(|pair| pair[1] - pair[0]);
+        let longest = pauses.fold(times[0], f64::max);
         assert!(
             longest < 6_500.0,
-            "{longest:.0} ms between two watches of one of {senders}"
+            "{longest:.0} ms between two watches of one of {senders} senders"
         );
     }
-    // What is pushed counts as delivered once the agent on this machine has it.
-    for attempts in attempts(senders, false) {
-        let longest = attempts.windows(2).map(|w| w[1] - w[0]).fold(0.0, f64::max);
+    // A pushed change counts as delivered once the agent on this machine has it.
+    for times in watch_times(senders, false) {
+        let pauses = times.windows(2).map(|pair| pair[1] - pair[0]);
+        let longest = pauses.fold(0.0, f64::max);
         assert!(
-            attempts[0] == 0.0 && longest <= 500.0,
-            "{:.0} ms, then {longest:.0} ms",
-            attempts[0]
+            times[0] == 0.0 && longest <= 500.0,
+            "first watch after {:.0} ms, then {longest:.0} ms between two watches",
+            times[0]
         );
     }
 }
--- a/crates/sender/src/discovery/watch.rs
+++ b/crates/sender/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! One watch: a long HTTP response in which discovery sends the endpoint list, and then its changes.
+//! A watch: a long-lived HTTP response in which discovery sends the endpoint list and then its changes.
 
 use std::net::SocketAddr;
 
@@ -9,19 +9,19 @@
 use super::object_framer::JsonObjectFramer;
 use crate::event_source::{Connection, EventSource, Handle};
 
-/// Longest object of a watch, in bytes; one that is longer would otherwise grow without bound.
+/// The limit on the size of an object in a watch, in bytes, so that memory use is bounded.
 const MAX_OBJECT_BYTES: usize = 4 << 20;
 
-/// Why a watch ended. The text is logged.
+/// The reason for the end of a watch. The text is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub(super) enum WatchFault {
-    /// Nothing came for too long.
+pub(super) enum WatchError {
+    /// Nothing was received for too long.
     #[error("silent")]
     Silent,
     /// The response has another status than 200.
     #[error("refused")]
-    Refused,
-    /// What came is no valid HTTP response.
+    UnexpectedStatus,
+    /// The received bytes are not a valid HTTP response.
     #[error("malformed")]
     MalformedResponse,
     /// An object is longer than [`MAX_OBJECT_BYTES`].
@@ -29,49 +29,51 @@
     ObjectTooLong,
     /// Discovery has ended the response.
     #[error("ended")]
-    Ended,
-    /// An update could not be read, and is to be requested again.
+    ResponseEnded,
+    /// An update could not be read and has to be requested again.
     #[error("unreadable")]
     UnreadableUpdate,
-    /// The connection has ended.
+    /// The connection was closed by discovery or has failed.
     #[error("closed")]
     ConnectionClosed,
 }
 
-/// A watch that has been opened.
+/// An open watch.
 pub(super) struct Watch {
     /// The connection to discovery.
     pub connection: Connection,
-    /// The body of the response, once its head has come.
+    /// The body of the response, once its head has been received.
     body: Option<http::Body>,
     framer: JsonObjectFramer,
 }
 
-/// What a watch has brought since it was read last.
+/// The input of a watch since it was last read.
 pub(super) struct WatchInput {
-    /// The text of each object, or an empty line.
+    /// The text of each object; empty lines between objects count as objects.
     pub objects: Vec<Vec<u8>>,
-    /// Why the watch cannot go on behind these objects, if so.
-    pub fault: Option<WatchFault>,
-    /// There may be more to read.
+    /// Why the watch ends after these objects, if it does.
+    pub error: Option<WatchError>,
+    /// Whether there may be more to read.
     pub has_more: bool,
 }
 
 impl Watch {
-    /// Connects to discovery and asks for the changes since a version of the endpoint list; version 0 stands for the
+    /// Connects to discovery and requests the changes since a version of the endpoint list. Version 0 requests the
     /// complete list.
     ///
     /// # Errors
     /// The system's error if no connection can be opened.
     pub fn open(
-        discovery: SocketAddr,
+        discovery_address: SocketAddr,
         version: u64,
         handle: &Handle,
-        pool: &BufferPool,
+        buffers: &BufferPool,
     ) -> std::io::Result<Watch> {
-        let mut connection = Connection::connect(discovery, handle, pool, EventSource::Watch)?;
-        let request =
-            format!("GET /v1/servers?watch=1&from={version} HTTP/1.1\r\nHost: {discovery}\r\n\r\n");
+        let mut connection =
+            Connection::connect(discovery_address, handle, buffers, EventSource::Watch)?;
+        let request = format!(
+            "GET /v1/servers?watch=1&from={version} HTTP/1.1\r\nHost: {discovery_address}\r\n\r\n"
+        );
         connection.queue(request.as_bytes());
         connection.flush();
         Ok(Watch {
@@ -81,30 +83,30 @@
         })
     }
 
-    /// Whether discovery has begun to answer.
+    /// Whether the head of the response has been received.
     pub fn has_response(&self) -> bool {
         self.body.is_some()
     }
 
-    /// Writes what is left of the request, and reads what has come.
+    /// Writes the rest of the request and reads the response as far as it was received.
     pub fn receive(&mut self) -> WatchInput {
         self.connection.flush();
         let has_more = self.connection.receive();
         let mut objects = Vec::new();
-        let fault = self.read_objects(&mut objects).err();
+        let error = self.read_objects(&mut objects).err();
         WatchInput {
             objects,
-            fault,
+            error,
             has_more,
         }
     }
 
-    /// Whether the connection has ended, on either side.
+    /// Whether discovery has shut down its sending side, or the connection has failed.
     pub fn is_closed(&self) -> bool {
         self.connection.eof || self.connection.broken
     }
 
-    fn read_objects(&mut self, objects: &mut Vec<Vec<u8>>) -> Result<(), WatchFault> {
+    fn read_objects(&mut self, objects: &mut Vec<Vec<u8>>) -> Result<(), WatchError> {
         self.read_head()?;
         let Some(body) = self.body.as_mut() else {
             return Ok(());
@@ -112,19 +114,19 @@
         let framer = &mut self.framer;
         let (consumed, ended) = body
             .feed(self.connection.bytes(), |bytes| framer.push(bytes, objects))
-            .ok_or(WatchFault::MalformedResponse)?;
+            .ok_or(WatchError::MalformedResponse)?;
         self.connection.consume(consumed);
         if self.framer.pending_bytes() > MAX_OBJECT_BYTES {
-            return Err(WatchFault::ObjectTooLong);
+            return Err(WatchError::ObjectTooLong);
         }
         if ended {
-            return Err(WatchFault::Ended);
+            return Err(WatchError::ResponseEnded);
         }
         Ok(())
     }
 
-    /// Reads the head of the response, if it is still due and has come.
-    fn read_head(&mut self) -> Result<(), WatchFault> {
+    /// Reads the head of the response if it was not read yet and has been received.
+    fn read_head(&mut self) -> Result<(), WatchError> {
         if self.body.is_some() {
             return Ok(());
         }
@@ -135,8 +137,8 @@
                 self.body = Some(response.body);
                 Ok(())
             }
-            Ok(Some(_)) => Err(WatchFault::Refused),
-            Err(http::Malformed) => Err(WatchFault::MalformedResponse),
+            Ok(Some(_)) => Err(WatchError::UnexpectedStatus),
+            Err(http::Malformed) => Err(WatchError::MalformedResponse),
         }
     }
 }
