--- a/crates/sender/src/egress/attempt_end.rs
+++ b/crates/sender/src/egress/attempt_end.rs
@@ -19,7 +19,7 @@
     TimedOut,
     /// The connection ended without a response.
     ConnectionLost,
-    /// The received bytes are not a complete HTTP response.
+    /// The received bytes are not a valid and complete HTTP response.
     MalformedResponse,
     /// A response with status 200 arrived before the request had been sent: it belongs to an earlier request.
     PrematureSuccess,
--- a/crates/sender/src/egress/connection_pool.rs
+++ b/crates/sender/src/egress/connection_pool.rs
@@ -90,10 +90,10 @@
             }
             let slot = self.idle.remove(position);
             let candidate = &mut self.slots[slot];
-            candidate.connection.receive();
+            candidate.socket.receive();
             if candidate.address == address
                 && !candidate.is_closed()
-                && candidate.connection.bytes().is_empty()
+                && candidate.socket.bytes().is_empty()
             {
                 return Some(slot);
             }
@@ -117,13 +117,13 @@
         if self.slots.len() >= self.max_connections {
             self.close_longest_idle();
         }
-        let connection = match self.connect(address) {
+        let socket = match self.connect(address) {
             Err(error) if http::is_local_shortage(&error) && self.close_longest_idle() => {
                 self.connect(address)
             }
             result => result,
         }?;
-        let connection = EndpointConnection::new(connection, endpoint, kind, address, now);
+        let connection = EndpointConnection::new(socket, endpoint, kind, address, now);
         Ok(self.slots.insert(connection))
     }
 
--- a/crates/sender/src/egress/endpoint_connection.rs
+++ b/crates/sender/src/egress/endpoint_connection.rs
@@ -30,12 +30,12 @@
 
 /// A connection to an endpoint. It carries one exchange at a time.
 ///
-/// `C` is the connection itself, or its snapshot in the state for a successor process. Serialized: the order of the
-/// fields is fixed.
+/// `S` is the socket with its buffers, or its snapshot in the state for a successor process. Serialized: the order of
+/// the fields is fixed.
 #[derive(Serialize, Deserialize)]
-pub(super) struct EndpointConnection<C = Connection> {
-    /// The connection, or its snapshot.
-    pub connection: C,
+pub(super) struct EndpointConnection<S = Connection> {
+    /// The socket with its buffers, or its snapshot.
+    pub socket: S,
     /// The endpoint at the other end.
     pub endpoint: EndpointId,
     /// The endpoint's kind, by its index in the settings.
@@ -61,16 +61,16 @@
 }
 
 impl EndpointConnection {
-    /// Wraps a new connection, which is not established yet.
+    /// Wraps the socket of a new connection, which is not established yet.
     pub fn new(
-        connection: Connection,
+        socket: Connection,
         endpoint: EndpointId,
         kind: usize,
         address: SocketAddr,
         now: Millis,
     ) -> EndpointConnection {
         EndpointConnection {
-            connection,
+            socket,
             endpoint,
             kind,
             address,
@@ -87,20 +87,20 @@
 
     /// Whether the endpoint has shut down its sending side, or the connection has failed.
     pub fn is_closed(&self) -> bool {
-        self.connection.eof || self.connection.broken
+        self.socket.eof || self.socket.broken
     }
 
     /// Whether all bytes of the request have been written to an established connection.
     pub fn is_fully_sent(&self) -> bool {
-        self.connected && self.held_back_byte.is_none() && self.connection.is_flushed()
+        self.connected && self.held_back_byte.is_none() && self.socket.is_flushed()
     }
 }
 
-impl<C> EndpointConnection<C> {
-    /// A copy of the state with `connection` in place of the connection or its snapshot.
-    pub fn with_connection<D>(&self, connection: D) -> EndpointConnection<D> {
+impl<S> EndpointConnection<S> {
+    /// A copy of the state with another socket, or with a snapshot in place of the socket.
+    pub fn with_socket<T>(&self, socket: T) -> EndpointConnection<T> {
         EndpointConnection {
-            connection,
+            socket,
             endpoint: self.endpoint,
             kind: self.kind,
             address: self.address,
--- a/crates/sender/src/egress/exchange.rs
+++ b/crates/sender/src/egress/exchange.rs
@@ -29,7 +29,7 @@
                     return has_more;
                 }
                 ResponseProgress::Informational { consumed } => {
-                    connection.connection.consume(consumed);
+                    connection.socket.consume(consumed);
                     return true;
                 }
                 ResponseProgress::Ended(cause) => {
@@ -50,15 +50,15 @@
     /// Writes and reads as much as the socket allows. Returns whether there may be more to read.
     fn transfer(&mut self, slot: usize, now: Millis) -> bool {
         let connection = &mut self.connections[slot];
-        if connection.connection.corked
-            && connection.connection.is_connected()
+        if connection.socket.corked
+            && connection.socket.is_connected()
             && !self.awaiting_permission.contains(&slot)
         {
             self.awaiting_permission.push(slot);
         }
-        connection.connection.flush();
-        connection.connected |= connection.connection.written > 0;
-        let has_more = connection.connection.receive();
+        connection.socket.flush();
+        connection.connected |= connection.socket.written > 0;
+        let has_more = connection.socket.receive();
         release_held_back_byte(connection, now);
         let fully_sent = connection.is_fully_sent();
         if let Some(attempt) = connection.attempt.as_mut()
@@ -77,10 +77,10 @@
         let Some(attempt) = connection.attempt.take() else {
             return;
         };
-        connection.connection.consume(response.consumed);
+        connection.socket.consume(response.consumed);
         // After a response to an incompletely written request, the connection cannot be reused.
         let reusable = response.keep_alive
-            && connection.connection.is_flushed()
+            && connection.socket.is_flushed()
             && connection.held_back_byte.is_none();
         let classification = ResponseClassification::of(&response);
         let body = if reusable {
@@ -97,7 +97,7 @@
             attempt = attempt.attempt,
             status = response.status,
             reusable,
-            behind_head = connection.connection.bytes().len(),
+            behind_head = connection.socket.bytes().len(),
             "response read"
         );
         self.results.push(AttemptResult {
@@ -146,7 +146,7 @@
         let Some(attempt) = connection.attempt else {
             return;
         };
-        let received = connection.connection.bytes();
+        let received = connection.socket.bytes();
         debug!(
             slot,
             number = attempt.id.0,
@@ -158,7 +158,7 @@
         let end = EndedAttempt {
             cause,
             connected: connection.connected,
-            flushed: connection.connection.is_flushed(),
+            flushed: connection.socket.is_flushed(),
             last_byte_held_back: connection.held_back_byte.is_some(),
             fully_sent: attempt.fully_sent,
             response_begun: !received.is_empty(),
@@ -228,7 +228,7 @@
 /// Writes the held-back last byte of a request once its delay has passed.
 fn release_held_back_byte(connection: &mut EndpointConnection, now: Millis) {
     let bytes_before_sent =
-        connection.connected && connection.connection.is_flushed() && !connection.connection.corked;
+        connection.connected && connection.socket.is_flushed() && !connection.socket.corked;
     let closed = connection.is_closed();
     let Some(held_back) = connection
         .held_back_byte
@@ -243,16 +243,16 @@
     }
     // If no buffer is free, the next try comes after the delay, not in a busy loop.
     held_back.release_at = now + LAST_BYTE_DELAY;
-    if connection.connection.queue(&[held_back.byte]) {
+    if connection.socket.queue(&[held_back.byte]) {
         connection.held_back_byte = None;
-        connection.connection.flush();
+        connection.socket.flush();
     }
 }
 
 /// Limits the time for a response that has begun: one that never ends would occupy the connection until the attempt
 /// times out.
 fn limit_response_time(connection: &mut EndpointConnection, now: Millis) {
-    if connection.connection.bytes().is_empty() {
+    if connection.socket.bytes().is_empty() {
         return;
     }
     if let Some(attempt) = connection.attempt.as_mut() {
--- a/crates/sender/src/egress/mod.rs
+++ b/crates/sender/src/egress/mod.rs
@@ -150,10 +150,10 @@
             self.results.push(attempt.result(Outcome::NotSent, now));
             return;
         }
-        connection.connection.written = 0;
+        connection.socket.written = 0;
         connection.idle_before = connection.connected.then_some(now - connection.idle_since);
         connection.attempt = Some(attempt);
-        connection.connection.corked = true;
+        connection.socket.corked = true;
         self.advance(slot, now);
     }
 
@@ -198,7 +198,7 @@
             let Some(connection) = self.connections.get(slot) else {
                 continue;
             };
-            if !connection.connection.corked || !connection.connection.is_connected() {
+            if !connection.socket.corked || !connection.socket.is_connected() {
                 continue;
             }
             let Some(attempt) = connection.attempt else {
@@ -236,7 +236,7 @@
                 "request sent"
             );
         }
-        connection.connection.corked = false;
+        connection.socket.corked = false;
         self.advance(slot, now);
     }
 
@@ -268,8 +268,8 @@
             return false;
         }
         // A rejection that arrives before the last byte was written can ask for a backoff, too.
-        connection.connection.corked =
-            connection.held_back_byte.is_some() || !connection.connection.is_flushed();
+        connection.socket.corked =
+            connection.held_back_byte.is_some() || !connection.socket.is_flushed();
         self.advance(slot, now);
         self.connections
             .get(slot)
@@ -294,7 +294,7 @@
     /// connection is established.
     pub fn cancel_unsent(&mut self, predicate: impl Fn(u64, EndpointId) -> bool, now: Millis) {
         let unsent = self.connections.find_slots(|connection| {
-            connection.connection.written == 0
+            connection.socket.written == 0
                 && connection
                     .attempt
                     .is_some_and(|attempt| predicate(attempt.destination, connection.endpoint))
@@ -353,5 +353,5 @@
         });
     }
     connection.held_back_byte = held_back_byte;
-    connection.connection.queue(head) && connection.connection.queue(body)
+    connection.socket.queue(head) && connection.socket.queue(body)
 }
--- a/crates/sender/src/egress/response.rs
+++ b/crates/sender/src/egress/response.rs
@@ -33,7 +33,7 @@
 
 /// Parses the bytes received so far of the response to the request on a connection.
 pub(super) fn read_response(connection: &EndpointConnection, fully_sent: bool) -> ResponseProgress {
-    let bytes = connection.connection.bytes();
+    let bytes = connection.socket.bytes();
     match http::parse_response(bytes) {
         Ok(Some(response)) => read_body(response, connection, fully_sent),
         Ok(None) if http::starts_with_status_200(bytes) => ResponseProgress::SuccessStatusLine,
@@ -75,7 +75,7 @@
 /// Whether a response with another status than 200 is complete. Only a complete response proves that the request was
 /// rejected and may be repeated: after a malformed one, the request may have run.
 fn body_state(response: &http::Response, connection: &EndpointConnection) -> BodyState {
-    let received = &connection.connection.bytes()[response.consumed..];
+    let received = &connection.socket.bytes()[response.consumed..];
     if response.malformed {
         return BodyState::Malformed;
     }
@@ -148,7 +148,7 @@
     {
         return RemainderProgress::Pending;
     }
-    let received = connection.connection.bytes();
+    let received = connection.socket.bytes();
     let progress = match connection.remaining_response.as_mut() {
         Some(RemainingResponse::Head | RemainingResponse::Body(Body::UntilClose)) => None,
         Some(RemainingResponse::Body(body)) => body.feed(received, |_| {}),
@@ -156,7 +156,7 @@
     };
     match progress {
         Some((consumed, complete)) if !connection.is_closed() => {
-            connection.connection.consume(consumed);
+            connection.socket.consume(consumed);
             if complete {
                 RemainderProgress::Done
             } else {
@@ -170,9 +170,9 @@
 /// Reads the rest of a head whose status line has already determined the outcome. Returns false while the head is
 /// incomplete.
 fn read_remaining_head(connection: &mut EndpointConnection) -> bool {
-    let body = match http::parse_response(connection.connection.bytes()) {
+    let body = match http::parse_response(connection.socket.bytes()) {
         Ok(Some(response)) => {
-            connection.connection.consume(response.consumed);
+            connection.socket.consume(response.consumed);
             if response.keep_alive && !response.malformed {
                 response.body
             } else {
--- a/crates/sender/src/egress/snapshot.rs
+++ b/crates/sender/src/egress/snapshot.rs
@@ -41,12 +41,12 @@
         let connections = self
             .connections
             .iter()
-            .map(|connection| connection.with_connection(connection.connection.snapshot()))
+            .map(|connection| connection.with_socket(connection.socket.snapshot()))
             .collect();
         let descriptors = self
             .connections
             .iter()
-            .map(|connection| connection.connection.as_fd())
+            .map(|connection| connection.socket.as_fd())
             .collect();
         let snapshot = EgressSnapshot {
             connections,
@@ -76,14 +76,14 @@
         let mut sources = Vec::new();
         for entry in snapshot.connections {
             let source = self.connections.next_event_source();
-            let connection = Connection::restore(
+            let socket = Connection::restore(
                 descriptors.stream()?,
-                &entry.connection,
+                &entry.socket,
                 &self.connections.handle,
                 &self.buffers,
                 source,
             )?;
-            let restored = entry.with_connection(connection);
+            let restored = entry.with_socket(socket);
             self.connections.slots.insert(restored);
             sources.push(source);
         }
--- a/crates/sender/src/egress/tests/connection_reuse.rs
+++ b/crates/sender/src/egress/tests/connection_reuse.rs
@@ -66,7 +66,7 @@
         };
         fixture.start(&request, 5.0);
         let mut peer = fixture.accept();
-        let is_flushed = |connection: &EndpointConnection| connection.connection.is_flushed();
+        let is_flushed = |connection: &EndpointConnection| connection.socket.is_flushed();
         while !fixture.egress.connections.iter().all(is_flushed) {
             fixture.step_all(5.0);
         }
--- a/crates/sender/src/egress/tests/last_byte.rs
+++ b/crates/sender/src/egress/tests/last_byte.rs
@@ -16,7 +16,7 @@
     let mut peer = fixture.accept();
     let egress = &mut fixture.egress;
     let is_sent = |(slot, connection): (usize, &EndpointConnection)| {
-        connection.connected && connection.connection.is_flushed() && slot == 0
+        connection.connected && connection.socket.is_flushed() && slot == 0
     };
     while !egress.connections.slots.iter().all(is_sent) {
         step(egress, 0, now);
@@ -96,7 +96,7 @@
     peer.set_read_timeout(Some(Duration::from_secs(20)))
         .unwrap();
     for _ in 0..100_000 {
-        if egress.connections[0].connection.written > 0 {
+        if egress.connections[0].socket.written > 0 {
             break;
         }
         egress.on_ready(0, 1.0);
--- a/crates/sender/src/egress/timeouts.rs
+++ b/crates/sender/src/egress/timeouts.rs
@@ -37,9 +37,10 @@
     /// The cause with which a connection at its time limit is closed: an attempt that waits on an established
     /// connection to be recorded was not delayed by the endpoint.
     fn timeout_cause(&self, slot: usize) -> EndCause {
-        let awaits_permission = self.connections.get(slot).is_some_and(|connection| {
-            connection.connection.corked && connection.connection.is_connected()
-        });
+        let awaits_permission = self
+            .connections
+            .get(slot)
+            .is_some_and(|connection| connection.socket.corked && connection.socket.is_connected());
         if awaits_permission {
             EndCause::Withdrawn
         } else {
