--- a/crates/sender/src/pipeline/builder.rs
+++ b/crates/sender/src/pipeline/builder.rs
@@ -52,16 +52,16 @@
 const LONG_AGO: Millis = 0.0;
 
 /// What a process starts with.
-pub enum Start {
+pub enum StartMode {
     /// The write-ahead log holds what earlier processes have left.
     Fresh {
         /// Its own listener.
         listener: TcpListener,
-        /// When the process began.
-        began: Instant,
+        /// When the process started.
+        process_started: Instant,
     },
     /// The state of the process before it, and its descriptors, the listener's first.
-    Passed(Box<ProcessState<Policy>>, InheritedDescriptors),
+    Takeover(Box<ProcessState<Policy>>, InheritedDescriptors),
 }
 
 /// How many connections and buffers the limits on descriptors and memory allow.
@@ -117,15 +117,15 @@
 }
 
 impl Foundation {
-    fn new(config: &Config, start: Start) -> Result<Foundation, SenderError> {
+    fn new(config: &Config, start: StartMode) -> Result<Foundation, SenderError> {
         let mut settings = config.platform_settings.settings.clone();
         settings.max_attempts = settings.max_attempts.min(MAX_ATTEMPTS as u32);
         let class_rules = ClassRules::new(&config.platform_settings.classes, &settings.classes);
         match start {
-            Start::Fresh { listener, .. } => {
+            StartMode::Fresh { listener, .. } => {
                 Foundation::fresh(config, listener, settings, class_rules)
             }
-            Start::Passed(state, descriptors) => {
+            StartMode::Takeover(state, descriptors) => {
                 Foundation::takeover(config, *state, descriptors, settings, class_rules)
             }
         }
@@ -198,14 +198,16 @@
     /// Where the settings, the listener or the passed state cannot be used.
     pub fn new(
         config: Config,
-        start: Start,
+        start: StartMode,
         peers: Option<PeerService>,
         handle: &Handle,
         clock: Clock,
     ) -> Result<Driver, SenderError> {
-        let began = match &start {
-            Start::Fresh { began, .. } => *began,
-            Start::Passed(..) => Instant::now(),
+        let process_started = match &start {
+            StartMode::Fresh {
+                process_started, ..
+            } => *process_started,
+            StartMode::Takeover(..) => Instant::now(),
         };
         let mut foundation = Foundation::new(&config, start)?;
         let recovered = std::mem::take(&mut foundation.recovered);
@@ -220,7 +222,7 @@
         }
         driver.store.wal.append_anchor(driver.clock.anchor());
         let resumed = driver.resume(recovered);
-        driver.apply_or_defer_known_list(&config, began);
+        driver.apply_or_defer_known_list(&config, process_started);
         driver.decision.events.extend(resumed);
         info!(name = %config.name, resumed = driver.store.counters.resumed, "started");
         Ok(driver)
--- a/crates/sender/src/pipeline/known_list.rs
+++ b/crates/sender/src/pipeline/known_list.rs
@@ -25,12 +25,12 @@
 }
 
 impl Driver {
-    /// Uses the list of the configuration, now or later, in a process that began at an instant.
-    pub(super) fn apply_or_defer_known_list(&mut self, config: &Config, began: Instant) {
+    /// Uses the list of the configuration, now or later, in a process that started at an instant.
+    pub(super) fn apply_or_defer_known_list(&mut self, config: &Config, process_started: Instant) {
         if !config.known.is_object() {
             return;
         }
-        if began.elapsed() <= LIST_LIFETIME {
+        if process_started.elapsed() <= LIST_LIFETIME {
             self.apply_known_list(&config.known);
             return;
         }
--- a/crates/sender/src/pipeline/mod.rs
+++ b/crates/sender/src/pipeline/mod.rs
@@ -31,6 +31,6 @@
 #[cfg(test)]
 mod tests;
 
-pub use builder::Start;
+pub use builder::StartMode;
 pub use driver::Driver;
 pub use process_state::{ProcessLoad, ProcessState};
--- a/crates/sender/src/pipeline/test_support.rs
+++ b/crates/sender/src/pipeline/test_support.rs
@@ -8,7 +8,7 @@
 use martenlatch_settings::platform;
 use martenlatch_settings::program::Program;
 
-use super::{Driver, Start};
+use super::{Driver, StartMode};
 use crate::Config;
 use crate::event_source::Ready;
 
@@ -62,10 +62,10 @@
         platform_settings: platform::read(settings).unwrap(),
     };
     let events = Events::try_new().unwrap();
-    let start = Start::Fresh {
+    let start = StartMode::Fresh {
         listener,
         // However busy the machine is, the start is not held up.
-        began: Instant::now() + Duration::from_secs(3_600),
+        process_started: Instant::now() + Duration::from_secs(3_600),
     };
     let driver = Driver::new(config, start, None, &events.handle(), clock.clone()).unwrap();
     (driver, events)
--- a/crates/sender/src/startup.rs
+++ b/crates/sender/src/startup.rs
@@ -20,7 +20,7 @@
 use crate::log_recovery;
 use crate::operator::Operators;
 use crate::peer_service::PeerService;
-use crate::pipeline::{Driver, ProcessLoad, ProcessState, Start};
+use crate::pipeline::{Driver, ProcessLoad, ProcessState, StartMode};
 use crate::process_replacement::{CandidateState, POLL_INTERVAL, ReplacementCandidate};
 use crate::serve::wait;
 
@@ -124,9 +124,9 @@
         let listener = self.listen_for_clients(address_timeout)?;
         Driver::new(
             self.config.clone(),
-            Start::Fresh {
+            StartMode::Fresh {
                 listener,
-                began: self.started,
+                process_started: self.started,
             },
             peers,
             &self.events.handle(),
@@ -342,7 +342,7 @@
     let clock = clock.taking_over(state.at());
     let driver = Driver::new(
         config.clone(),
-        Start::Passed(Box::new(state), descriptors),
+        StartMode::Takeover(Box::new(state), descriptors),
         None,
         handle,
         clock,
