--- a/crates/sender/src/pipeline/compatibility_tests.rs
+++ b/crates/sender/src/pipeline/compatibility_tests.rs
@@ -126,6 +126,6 @@
 fn what_an_earlier_process_passes_is_read_and_passed_on_in_the_same_form() {
     let bytes = std::fs::read(stored().join("process-state")).unwrap();
     let state: ProcessState<Policy> = postcard::from_bytes(&bytes).unwrap();
-    assert!(state.at() > WRITTEN_AT);
+    assert!(state.captured_at() > WRITTEN_AT);
     assert_eq!(postcard::to_allocvec(&state).unwrap(), bytes);
 }
--- a/crates/sender/src/pipeline/crash_recovery_tests/two_processes.rs
+++ b/crates/sender/src/pipeline/crash_recovery_tests/two_processes.rs
@@ -136,7 +136,7 @@
     /// Shuts down, before it could be killed.
     fn terminate(&mut self) {
         let started = self.clock.now();
-        self.driver.end();
+        self.driver.begin_shutdown();
         while step(&mut self.driver, &mut self.peers, &self.clock) {
             assert!(
                 self.clock.now() < started + 3_690.0,
--- a/crates/sender/src/pipeline/driver.rs
+++ b/crates/sender/src/pipeline/driver.rs
@@ -72,7 +72,7 @@
 
 impl Driver {
     /// Answers operators from now on.
-    pub fn answer_operators(&mut self, operators: Option<Operators>) {
+    pub fn set_operators(&mut self, operators: Option<Operators>) {
         self.operators = operators;
     }
 
@@ -324,7 +324,7 @@
     }
 
     /// How long the loop may sleep, in milliseconds, if nothing becomes ready.
-    pub fn sleep(&self) -> Millis {
+    pub fn poll_timeout(&self) -> Millis {
         let unseen = !self.decision.events.is_empty() || !self.egress.results.is_empty();
         let unfinished = !self.unfinished_sources.is_empty();
         if unfinished && !unseen && self.lacks_buffers() {
--- a/crates/sender/src/pipeline/metrics.rs
+++ b/crates/sender/src/pipeline/metrics.rs
@@ -7,7 +7,7 @@
 
 impl Driver {
     /// Writes all counters to the log.
-    pub fn print_counters(&mut self) {
+    pub fn log_counters(&mut self) {
         self.store.counters.endpoint_connections = self.egress.connections_opened;
         if let Some(peers) = &self.peers {
             peers.print_counters();
--- a/crates/sender/src/pipeline/process_state.rs
+++ b/crates/sender/src/pipeline/process_state.rs
@@ -54,7 +54,7 @@
 #[derive(Serialize, Deserialize)]
 pub struct ProcessState<P, L = LogPosition> {
     /// When the state was cut.
-    at: Millis,
+    captured_at: Millis,
     names: SettingsNames,
     /// The classes of the settings, followed by those of earlier settings.
     pub(super) class_rules: ClassRules,
@@ -85,7 +85,7 @@
     ///
     /// # Errors
     /// Where the state cannot be decoded, or belongs to a configuration of other names.
-    pub fn read(bytes: &[u8], config: &Config) -> Result<ProcessState<Policy>, SenderError> {
+    pub fn decode(bytes: &[u8], config: &Config) -> Result<ProcessState<Policy>, SenderError> {
         let state: ProcessState<Policy> =
             postcard::from_bytes(bytes).map_err(SenderError::DecodeState)?;
         if state.names != SettingsNames::of(config) {
@@ -95,14 +95,14 @@
     }
 
     /// When the state was cut.
-    pub fn at(&self) -> Millis {
-        self.at
+    pub fn captured_at(&self) -> Millis {
+        self.captured_at
     }
 
     /// Takes the decision module and the log's position out.
     pub(super) fn split(self) -> SplitState {
         let remaining = ProcessState {
-            at: self.at,
+            captured_at: self.captured_at,
             names: self.names,
             class_rules: self.class_rules,
             policy: (),
@@ -184,7 +184,7 @@
     ///
     /// # Errors
     /// Where the listener is closed, or the state cannot be encoded.
-    pub fn process_state(&self) -> Result<(Vec<u8>, Vec<BorrowedFd<'_>>), SenderError> {
+    pub fn encode_state(&self) -> Result<(Vec<u8>, Vec<BorrowedFd<'_>>), SenderError> {
         let listener = self
             .ingress
             .listener
@@ -217,7 +217,7 @@
             .iter()
             .map(|(_, client)| client.with_connection(client.connection.snapshot()));
         ProcessState {
-            at: self.clock.now(),
+            captured_at: self.clock.now(),
             names: self.names.clone(),
             class_rules: self.admission.class_rules.clone(),
             policy: &self.decision.policy,
--- a/crates/sender/src/pipeline/shutdown.rs
+++ b/crates/sender/src/pipeline/shutdown.rs
@@ -25,7 +25,7 @@
 
 impl Driver {
     /// SIGTERM: starts the shutdown.
-    pub fn end(&mut self) {
+    pub fn begin_shutdown(&mut self) {
         if self.shutdown_started.is_some() {
             return;
         }
--- a/crates/sender/src/pipeline/tests/attempts.rs
+++ b/crates/sender/src/pipeline/tests/attempts.rs
@@ -221,7 +221,7 @@
         !driver.unfinished_sources.is_empty()
     });
     assert!(
-        driver.sleep() > 0.0,
+        driver.poll_timeout() > 0.0,
         "there is more to read, and nothing to read it into"
     );
     drop(taken_buffers);
--- a/crates/sender/src/pipeline/tests/ingress.rs
+++ b/crates/sender/src/pipeline/tests/ingress.rs
@@ -188,14 +188,14 @@
             driver.round(Vec::new());
         }
         "stopped" => {
-            driver.end();
+            driver.begin_shutdown();
             clock.set(clock.now() + ACCEPT_UNTIL + 1.0);
             driver.round(Vec::new());
         }
         _ => {
             // Half of a second request arrives, and the rest does not arrive in time.
             driver.round(vec![EventSource::Client(0)]);
-            driver.end();
+            driver.begin_shutdown();
             let started = clock.now();
             clock.set(started + ACCEPT_UNTIL - 1.0);
             client.write_all(&REQUEST[..30]).unwrap();
@@ -281,7 +281,7 @@
     use std::io::Write;
     let (mut driver, clock, _events) = resumed("shutdown-busy", "127.77.0.1:9".parse().unwrap());
     let mut client = idle_client(&mut driver);
-    driver.end();
+    driver.begin_shutdown();
     for (id, stopped, status) in [("q", false, "202"), ("r", false, "202"), ("s", true, "503")] {
         if stopped {
             clock.set(clock.now() + ACCEPT_UNTIL + 1.0);
--- a/crates/sender/src/pipeline/tests/shutdown.rs
+++ b/crates/sender/src/pipeline/tests/shutdown.rs
@@ -18,7 +18,7 @@
     {
         driver.round(vec![EventSource::ClientListener, EventSource::Client(0)]);
     }
-    driver.end();
+    driver.begin_shutdown();
     clock.set(clock.now() + ACCEPT_UNTIL + 1.0);
     (0..3).for_each(|_| assert!(driver.round(Vec::new())));
     assert_eq!(
@@ -26,7 +26,7 @@
         1,
         "it may still complete its request"
     );
-    assert!(driver.unfinished_sources.is_empty() && driver.sleep() > 0.0);
+    assert!(driver.unfinished_sources.is_empty() && driver.poll_timeout() > 0.0);
 }
 
 #[test]
@@ -34,10 +34,10 @@
     // The loop must not sleep past the last instant: it wakes within 20 ms, whatever is due.
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let (mut driver, clock, _events) = resumed("end", silent.local_addr().unwrap());
-    driver.end();
+    driver.begin_shutdown();
     while driver.round(vec![EventSource::Endpoint(0)]) {
-        assert!(driver.sleep() <= 20.0);
-        clock.set(clock.now() + driver.sleep().max(1.0) + 5.0);
+        assert!(driver.poll_timeout() <= 20.0);
+        clock.set(clock.now() + driver.poll_timeout().max(1.0) + 5.0);
         assert!(clock.now() < START + 3_690.0, "SIGKILL may come at 3.7 s");
     }
     assert!(
@@ -54,7 +54,7 @@
     let (mut driver, clock, _events) =
         resumed_with("exit", 9_000.0, endpoint.local_addr().unwrap());
     let mut peer = receive_request(&mut driver, &clock, &endpoint);
-    driver.end();
+    driver.begin_shutdown();
     clock.set(clock.now() + ATTEMPTS_END + 101.0);
     peer.write_all(OK).unwrap();
     assert!(
--- a/crates/sender/src/process_replacement/listener.rs
+++ b/crates/sender/src/process_replacement/listener.rs
@@ -149,7 +149,7 @@
         let Some(lock) = &self.lock else {
             return false;
         };
-        match driver.process_state() {
+        match driver.encode_state() {
             Ok((state, descriptors)) => transfer(successor, driver, lock, &state, descriptors),
             Err(error) => {
                 refuse(successor, &RefusalReason::State(error));
--- a/crates/sender/src/serve.rs
+++ b/crates/sender/src/serve.rs
@@ -33,7 +33,7 @@
     };
     let (mut ready, operators) = starting.into_parts();
     let mut driver = serve(started, operators, &state, &mut events, &mut ready)?;
-    driver.print_counters();
+    driver.log_counters();
     Ok(())
 }
 
@@ -73,7 +73,7 @@
     ready: &mut Ready,
 ) -> Result<Driver, SenderError> {
     let mut driver = started.driver;
-    driver.answer_operators(operators);
+    driver.set_operators(operators);
     let mut replacement = ReplacementListener::open(started.lock, state, &events.handle());
     loop {
         for signal in std::mem::take(&mut ready.signals) {
@@ -88,15 +88,15 @@
         if replacement.hand_over(&mut driver) {
             return Ok(driver);
         }
-        wait(events, ready, driver.sleep())?;
+        wait(events, ready, driver.poll_timeout())?;
     }
 }
 
 fn on_signal(signal: Signal, driver: &mut Driver) {
     match signal {
-        Signal::SIGUSR1 => driver.print_counters(),
+        Signal::SIGUSR1 => driver.log_counters(),
         Signal::SIGHUP => driver.reload(Config::read_again()),
-        _ => driver.end(),
+        _ => driver.begin_shutdown(),
     }
 }
 
--- a/crates/sender/src/startup.rs
+++ b/crates/sender/src/startup.rs
@@ -338,8 +338,8 @@
         .take()
         .map_err(SenderError::InheritedDescriptor)?;
     let lock = Lock::inherited(lock);
-    let state = ProcessState::read(&passed.state, config)?;
-    let clock = clock.taking_over(state.at());
+    let state = ProcessState::decode(&passed.state, config)?;
+    let clock = clock.taking_over(state.captured_at());
     let driver = Driver::new(
         config.clone(),
         StartMode::Takeover(Box::new(state), descriptors),
