--- a/crates/sender/src/pipeline/admission.rs
+++ b/crates/sender/src/pipeline/admission.rs
@@ -115,7 +115,7 @@
     ) -> AdmissionDecision {
         let class = message.class;
         let record = self.new_record(message, store.next_number);
-        if stopped || store.open >= self.max_held || !store.wal.append_message(&record) {
+        if stopped || store.open_count >= self.max_held || !store.wal.append_message(&record) {
             return self.reject(class, store);
         }
         store.next_number += 1;
@@ -143,7 +143,7 @@
 
     fn reject(&self, class: usize, store: &mut MessageStore) -> AdmissionDecision {
         let class = &self.classes[class];
-        debug!(class = %class, open = store.open, "rejected");
+        debug!(class = %class, open = store.open_count, "rejected");
         store.counters.rejected += 1;
         store.class_metrics.count_deferred(class);
         AdmissionDecision::Rejected
--- a/crates/sender/src/pipeline/crash_recovery_tests/resumption.rs
+++ b/crates/sender/src/pipeline/crash_recovery_tests/resumption.rs
@@ -77,7 +77,7 @@
         (peers.requests.len(), peers.reports.len()),
         (requests, 1 - requests)
     );
-    assert_eq!(driver.store.open, 0);
+    assert_eq!(driver.store.open_count, 0);
     // A message that is accepted now goes by the settings, also where that name stands for both.
     let rules = &driver.admission.class_rules;
     let current = rules.get(0);
@@ -113,7 +113,11 @@
         step(&mut driver, &mut peers, &clock);
     }
     assert_eq!(
-        (peers.requests.len(), peers.reports.len(), driver.store.open),
+        (
+            peers.requests.len(),
+            peers.reports.len(),
+            driver.store.open_count
+        ),
         (1, 0, 0)
     );
 }
--- a/crates/sender/src/pipeline/crash_recovery_tests/two_processes.rs
+++ b/crates/sender/src/pipeline/crash_recovery_tests/two_processes.rs
@@ -180,7 +180,7 @@
         let (mut driver, _events) = start(&self.state, MAX_HELD, &self.peers, true, &self.clock);
         let mut steps = 0;
         let mut answered_at = None;
-        while driver.store.open + driver.status_reporter.unconfirmed().len() > 0
+        while driver.store.open_count + driver.status_reporter.unconfirmed().len() > 0
             || steps < MIN_STEPS_AFTERWARDS
         {
             let requests = self.peers.requests.len();
--- a/crates/sender/src/pipeline/ingress/answers.rs
+++ b/crates/sender/src/pipeline/ingress/answers.rs
@@ -67,7 +67,7 @@
             client.finish_sending();
         }
         if announces_close {
-            client.since = now;
+            client.phase_started = now;
         }
         true
     }
--- a/crates/sender/src/pipeline/ingress/client.rs
+++ b/crates/sender/src/pipeline/ingress/client.rs
@@ -17,9 +17,9 @@
     /// It has been sent `100 Continue` for this request.
     pub(in crate::pipeline) continued: bool,
     /// It has sent a message, or a health check, before.
-    pub(in crate::pipeline) served: bool,
+    pub(in crate::pipeline) has_sent_request: bool,
     /// When its request began, or its connection, or its closing.
-    pub(in crate::pipeline) since: Millis,
+    pub(in crate::pipeline) phase_started: Millis,
     /// It has been given its last answer, which it may still read. Nothing more is read from it.
     pub(in crate::pipeline) closing: bool,
     /// How often the sending side was shut down behind the last answer: 0 or 1. A number, because an earlier version
@@ -50,8 +50,8 @@
             awaiting_answer: false,
             close_after_answer: false,
             continued: false,
-            served: false,
-            since: now,
+            has_sent_request: false,
+            phase_started: now,
             closing: false,
             shutdowns: 0,
             unread_since: None,
@@ -66,8 +66,8 @@
             awaiting_answer: self.awaiting_answer,
             close_after_answer: self.close_after_answer,
             continued: self.continued,
-            served: self.served,
-            since: self.since,
+            has_sent_request: self.has_sent_request,
+            phase_started: self.phase_started,
             closing: self.closing,
             shutdowns: self.shutdowns,
             unread_since: self.unread_since,
@@ -147,8 +147,8 @@
         self.connection.flush();
         let was_idle = !self.has_input();
         let more = self.read(readable_since);
-        if was_idle && self.served && self.has_input() {
-            self.since = now;
+        if was_idle && self.has_sent_request && self.has_input() {
+            self.phase_started = now;
         }
         more
     }
--- a/crates/sender/src/pipeline/ingress/eviction.rs
+++ b/crates/sender/src/pipeline/ingress/eviction.rs
@@ -33,7 +33,7 @@
 /// A client that may be evicted.
 struct EvictionCandidate {
     rank: EvictionRank,
-    since: Millis,
+    phase_started: Millis,
     client: usize,
 }
 
@@ -42,9 +42,9 @@
         EvictionRank::Closing
     } else if client.has_input() {
         EvictionRank::InRequest
-    } else if client.served {
+    } else if client.has_sent_request {
         EvictionRank::Idle
-    } else if now > client.since + NEWCOMER_GRACE {
+    } else if now > client.phase_started + NEWCOMER_GRACE {
         EvictionRank::Silent
     } else {
         EvictionRank::Newcomer
@@ -61,11 +61,15 @@
             .filter(|(_, client)| !client.awaiting_answer && client.connection.is_flushed())
             .map(|(index, client)| EvictionCandidate {
                 rank: rank(client, now),
-                since: client.since,
+                phase_started: client.phase_started,
                 client: index,
             })
             .collect();
-        order.sort_by(|a, b| a.rank.cmp(&b.rank).then(a.since.total_cmp(&b.since)));
+        order.sort_by(|a, b| {
+            a.rank
+                .cmp(&b.rank)
+                .then(a.phase_started.total_cmp(&b.phase_started))
+        });
         order
     }
 
--- a/crates/sender/src/pipeline/ingress/receive.rs
+++ b/crates/sender/src/pipeline/ingress/receive.rs
@@ -110,19 +110,19 @@
     ) {
         let client = &mut self.clients[index];
         client.connection.consume(request.consumed);
-        client.since = now;
+        client.phase_started = now;
         client.continued = false;
         client.close_after_answer = request.closes_connection || client.connection.eof;
         match self.parse(request, index, now) {
             Ok(ClientRequest::Message(message)) => {
                 let client = &mut self.clients[index];
                 client.awaiting_answer = true;
-                client.served = true;
+                client.has_sent_request = true;
                 debug!(client = index, id = %message.id, "request read");
                 received.push(message);
             }
             Ok(ClientRequest::HealthCheck) => {
-                self.clients[index].served = true;
+                self.clients[index].has_sent_request = true;
                 self.answer(index, STATUS_OK, "", now);
             }
             Err(error) => self.answer_request_error(index, error, now, counters),
--- a/crates/sender/src/pipeline/ingress/sweep.rs
+++ b/crates/sender/src/pipeline/ingress/sweep.rs
@@ -28,7 +28,7 @@
 }
 
 fn judge(client: &Client, timeouts: Clients, now: Millis) -> SweepVerdict {
-    let age = now - client.since;
+    let age = now - client.phase_started;
     if client.closing {
         let limit = if client.connection.is_flushed() {
             LINGER
@@ -42,7 +42,7 @@
         };
     }
     let in_request = client.has_input();
-    let limit = if client.served && !in_request {
+    let limit = if client.has_sent_request && !in_request {
         timeouts.idle_ms
     } else {
         timeouts.request_ms
@@ -116,7 +116,7 @@
         }
         // The request of a client that has just connected may be on its way; one that has just been answered reads its
         // answer, which a reset could destroy.
-        let recent = |client: &Client| now < client.since + SWEEP_INTERVAL;
+        let recent = |client: &Client| now < client.phase_started + SWEEP_INTERVAL;
         self.close_where(CloseReason::Shutdown, |client| {
             !client.is_owed_answer() && !client.closing && !recent(client)
         });
--- a/crates/sender/src/pipeline/message_store.rs
+++ b/crates/sender/src/pipeline/message_store.rs
@@ -41,11 +41,11 @@
 /// All held messages, by number and by id.
 pub struct MessageStore {
     pub(super) messages: BTreeMap<u64, StoredMessage>,
-    pub(super) numbers: HashMap<Rc<str>, u64>,
+    pub(super) numbers_by_id: HashMap<Rc<str>, u64>,
     /// The open messages in the order of their deadlines.
     by_deadline: BTreeSet<DeadlineKey>,
     /// How many messages are open.
-    pub(super) open: usize,
+    pub(super) open_count: usize,
     /// The number of the next message.
     pub(super) next_number: u64,
     pub(super) wal: WriteAheadLog,
@@ -67,9 +67,9 @@
     ) -> MessageStore {
         MessageStore {
             messages: BTreeMap::new(),
-            numbers: HashMap::new(),
+            numbers_by_id: HashMap::new(),
             by_deadline: BTreeSet::new(),
-            open: 0,
+            open_count: 0,
             next_number,
             wal,
             counters: Counters::default(),
@@ -79,9 +79,9 @@
 
     /// Holds a message that the log has.
     pub(super) fn insert(&mut self, record: MessageRecord, state: MessageState) {
-        self.numbers.insert(record.id.clone(), record.number);
+        self.numbers_by_id.insert(record.id.clone(), record.number);
         if state == MessageState::Open {
-            self.open += 1;
+            self.open_count += 1;
             self.by_deadline.insert(deadline_key(&record));
         }
         self.messages.insert(
@@ -110,7 +110,7 @@
 
     /// The number of a held message of this id that was given up and whose report the platform has not confirmed.
     pub(super) fn reporting(&self, id: &Rc<str>) -> Option<u64> {
-        let number = *self.numbers.get(id)?;
+        let number = *self.numbers_by_id.get(id)?;
         let message = self.messages.get(&number)?;
         (message.state == MessageState::Reporting).then_some(number)
     }
@@ -124,7 +124,7 @@
 
     /// Whether a message of this id is held, or is among the last ones that were closed.
     pub(super) fn is_known(&self, id: &Rc<str>) -> bool {
-        self.numbers.contains_key(id) || self.wal.recently_closed.contains(id)
+        self.numbers_by_id.contains_key(id) || self.wal.recently_closed.contains(id)
     }
 
     /// Moves a message to a later state; the log learns of its close.
@@ -133,7 +133,7 @@
             return;
         };
         if message.state == MessageState::Open {
-            self.open -= 1;
+            self.open_count -= 1;
             self.by_deadline.remove(&deadline_key(&message.record));
         }
         message.state = state;
@@ -164,7 +164,7 @@
             message.state == MessageState::Closed && message.attempts_in_flight == 0
         });
         if finished && let Some(message) = self.messages.remove(&number) {
-            self.numbers.remove(&message.record.id);
+            self.numbers_by_id.remove(&message.record.id);
         }
     }
 }
--- a/crates/sender/src/pipeline/metrics.rs
+++ b/crates/sender/src/pipeline/metrics.rs
@@ -15,7 +15,7 @@
         info!(
             "counters held={} open={}{}",
             self.store.messages.len(),
-            self.store.open,
+            self.store.open_count,
             self.store.counters
         );
         let gauges = self.gauges();
@@ -35,7 +35,7 @@
             }
         }
         Gauges {
-            current: self.store.open + self.status_reporter.unconfirmed().len(),
+            current: self.store.open_count + self.status_reporter.unconfirmed().len(),
             cluster_size,
             cluster_unhealthy,
             violations: self.violations.total(),
--- a/crates/sender/src/pipeline/shutdown.rs
+++ b/crates/sender/src/pipeline/shutdown.rs
@@ -14,14 +14,14 @@
 /// How long after SIGTERM messages are still accepted: clients learn only by their connections that this sender ends.
 pub(super) const ACCEPT_UNTIL: Millis = 600.0;
 /// When attempts have to be over, which leaves 400 ms for the steps below.
-pub(super) const ATTEMPTS_END: Millis = 3_300.0;
+pub(super) const ATTEMPTS_DEADLINE: Millis = 3_300.0;
 /// When open messages and unconfirmed reports are no longer waited for. The results of the last attempts have been
 /// read and recorded by then.
-const STOP_WAITING: Millis = ATTEMPTS_END + 100.0;
+const STOP_WAITING: Millis = ATTEMPTS_DEADLINE + 100.0;
 /// When clients whose requests are incomplete are rejected. They may use the time before to complete them.
-const REJECT_PARTIAL_REQUESTS: Millis = ATTEMPTS_END + 200.0;
+const REJECT_PARTIAL_REQUESTS: Millis = ATTEMPTS_DEADLINE + 200.0;
 /// When the process exits, whether or not clients have read their answers: 100 ms before SIGKILL.
-const EXIT: Millis = ATTEMPTS_END + 300.0;
+const EXIT: Millis = ATTEMPTS_DEADLINE + 300.0;
 
 impl Driver {
     /// SIGTERM: starts the shutdown.
@@ -30,13 +30,13 @@
             return;
         }
         let now = self.clock.now();
-        info!(open = self.store.open, "ending");
+        info!(open = self.store.open_count, "ending");
         self.shutdown_started = Some(now);
         self.ingress.shutting_down = true;
         if let Some(peers) = &mut self.peers {
             peers.leave();
         }
-        let deadline = nanos(now + ATTEMPTS_END);
+        let deadline = nanos(now + ATTEMPTS_DEADLINE);
         self.decision.events.push(Event::ShutdownDeadline(deadline));
     }
 
@@ -83,13 +83,15 @@
 
     /// Whether no message is open, no attempt in flight and every status report confirmed.
     fn is_idle(&self) -> bool {
-        self.egress.active_attempts() == 0 && self.status_reporter.is_done() && self.store.open == 0
+        self.egress.active_attempts() == 0
+            && self.status_reporter.is_done()
+            && self.store.open_count == 0
     }
 
     /// Whether a client is owed an answer, or has just connected and is about to send its request.
     fn has_unanswered_clients(&self, now: Millis) -> bool {
         self.ingress.clients.iter().any(|(_, client)| {
-            let newcomer = !client.served && now < client.since + NEWCOMER_GRACE;
+            let newcomer = !client.has_sent_request && now < client.phase_started + NEWCOMER_GRACE;
             client.is_owed_answer() || (newcomer && !client.closing)
         })
     }
--- a/crates/sender/src/pipeline/tests/attempts.rs
+++ b/crates/sender/src/pipeline/tests/attempts.rs
@@ -5,7 +5,7 @@
 /// Runs until the message has ended: its final status, and how long after its deadline it ended.
 fn run_to_the_end(name: &str, endpoint: SocketAddr) -> (Option<FinalStatus>, Millis) {
     let (mut driver, clock, _events) = resumed(name, endpoint);
-    while driver.store.open > 0 && clock.now() < START + 9_000.0 {
+    while driver.store.open_count > 0 && clock.now() < START + 9_000.0 {
         assert!(
             driver.round(vec![EventSource::Endpoint(0)]),
             "nothing tells the process to end"
@@ -145,7 +145,7 @@
     assert_eq!(
         (
             driver.status_reporter.unconfirmed().len(),
-            driver.store.open
+            driver.store.open_count
         ),
         (0, 0),
         "it is delivered, and there is nothing to report"
@@ -230,7 +230,7 @@
         .unwrap();
     until(|| {
         driver.round(sources());
-        driver.store.open == 0
+        driver.store.open_count == 0
     });
     assert_eq!(driver.store.counters.success, 1);
 }
@@ -282,7 +282,7 @@
     peer.write_all(OK).unwrap();
     std::thread::sleep(std::time::Duration::from_millis(20));
     assert!(!receives_message(&mut driver, &endpoint));
-    assert_eq!(driver.store.open, 0, "it is delivered");
+    assert_eq!(driver.store.open_count, 0, "it is delivered");
 }
 
 #[test]
@@ -323,7 +323,7 @@
     peer.write_all(OK).unwrap();
     until(|| {
         driver.round((0..9).map(EventSource::Endpoint).collect());
-        driver.store.open == 0
+        driver.store.open_count == 0
     });
     let report_owed = driver.status_reporter.unconfirmed().len() == 1;
     assert_eq!(report_owed, reported);
--- a/crates/sender/src/pipeline/tests/ingress.rs
+++ b/crates/sender/src/pipeline/tests/ingress.rs
@@ -16,7 +16,12 @@
     };
     let mut usual = connect();
     usual.write_all(b"GET /healthz HTTP/1.1\r\n\r\n").unwrap();
-    while driver.ingress.clients.iter().all(|(_, c)| !c.served) {
+    while driver
+        .ingress
+        .clients
+        .iter()
+        .all(|(_, c)| !c.has_sent_request)
+    {
         driver.round(vec![EventSource::ClientListener, EventSource::Client(0)]);
     }
     assert!(usual.read(&mut [0; 4096]).unwrap() > 0);
@@ -200,8 +205,8 @@
             clock.set(started + ACCEPT_UNTIL - 1.0);
             client.write_all(&REQUEST[..30]).unwrap();
             driver.round(vec![EventSource::Client(0)]);
-            driver.ingress.clients[0].since = started + ATTEMPTS_END - 1_000.0;
-            clock.set(started + ATTEMPTS_END + 290.0);
+            driver.ingress.clients[0].phase_started = started + ATTEMPTS_DEADLINE - 1_000.0;
+            clock.set(started + ATTEMPTS_DEADLINE + 290.0);
             driver.round(Vec::new());
         }
     }
--- a/crates/sender/src/pipeline/tests/mod.rs
+++ b/crates/sender/src/pipeline/tests/mod.rs
@@ -21,7 +21,7 @@
 use super::driver::OVERDUE_AFTER;
 use super::ingress::NEWCOMER_GRACE;
 use super::message_store::MessageState;
-use super::shutdown::{ACCEPT_UNTIL, ATTEMPTS_END};
+use super::shutdown::{ACCEPT_UNTIL, ATTEMPTS_DEADLINE};
 use super::test_support::{DISK_LIMIT, Events, START, empty_folder, folder_path, start_driver};
 use crate::event_source::EventSource;
 use crate::jitter::Jitter;
--- a/crates/sender/src/pipeline/tests/rejection.rs
+++ b/crates/sender/src/pipeline/tests/rejection.rs
@@ -128,7 +128,10 @@
         13,
         "each is answered at once"
     );
-    assert!(driver.store.open <= 2, "the flood is ended in its round");
+    assert!(
+        driver.store.open_count <= 2,
+        "the flood is ended in its round"
+    );
     let mut answer = [0; 12];
     clients[12].read_exact(&mut answer).unwrap();
     assert_eq!(&answer, b"HTTP/1.1 202", "the usual client is rejected");
--- a/crates/sender/src/pipeline/tests/shutdown.rs
+++ b/crates/sender/src/pipeline/tests/shutdown.rs
@@ -55,13 +55,13 @@
         resumed_with("exit", 9_000.0, endpoint.local_addr().unwrap());
     let mut peer = receive_request(&mut driver, &clock, &endpoint);
     driver.begin_shutdown();
-    clock.set(clock.now() + ATTEMPTS_END + 101.0);
+    clock.set(clock.now() + ATTEMPTS_DEADLINE + 101.0);
     peer.write_all(OK).unwrap();
     assert!(
         !driver.round(Vec::new()),
         "it exits, without an event that says that bytes have arrived"
     );
-    assert_eq!(driver.store.open, 0);
+    assert_eq!(driver.store.open_count, 0);
     drop(driver);
     assert!(logged("exit").open.is_empty());
 }
--- a/crates/sender/src/pipeline/tests/status_reports.rs
+++ b/crates/sender/src/pipeline/tests/status_reports.rs
@@ -238,7 +238,7 @@
     let numbers: Vec<u64> = driver.status_reporter.unconfirmed().collect();
     let record = driver.store.record(numbers[0]).unwrap();
     assert_eq!(record.final_status, Some(FinalStatus::Undeliverable));
-    assert_eq!(driver.store.open, 0, "and it is not attempted");
+    assert_eq!(driver.store.open_count, 0, "and it is not attempted");
     assert_eq!(confirm_all(&mut driver, &mut platform, &clock), 1);
     drop(events);
 }
--- a/crates/sender/src/pipeline/tests/unread_requests.rs
+++ b/crates/sender/src/pipeline/tests/unread_requests.rs
@@ -20,9 +20,9 @@
 fn deadline_once_read(driver: &mut Driver) -> Millis {
     until(|| {
         driver.round(vec![EventSource::ClientListener, EventSource::Client(0)]);
-        driver.store.numbers.contains_key("q")
+        driver.store.numbers_by_id.contains_key("q")
     });
-    let number = driver.store.numbers["q"];
+    let number = driver.store.numbers_by_id["q"];
     driver.store.record(number).unwrap().deadline
 }
 
@@ -76,10 +76,10 @@
     until(|| {
         clock.set(clock.now() + 10.0);
         driver.round(vec![EventSource::ClientListener]);
-        driver.store.numbers.contains_key("q")
+        driver.store.numbers_by_id.contains_key("q")
     });
     assert!(clock.now() > handed_in + 10.0, "one round takes them all");
-    let number = driver.store.numbers["q"];
+    let number = driver.store.numbers_by_id["q"];
     assert!(driver.store.record(number).unwrap().deadline <= handed_in + TIMEOUT);
 }
 
