--- a/crates/sender/src/pipeline/actions.rs
+++ b/crates/sender/src/pipeline/actions.rs
@@ -74,7 +74,7 @@
         let gate = SendGate {
             class_rules: &self.admission.class_rules,
             directory: &self.directory,
-            waits: &self.waits,
+            retry_after_table: &self.retry_after_table,
             violations: &self.violations,
         };
         dispatch::send_ready(&mut self.store, &mut self.egress, &gate, now);
--- a/crates/sender/src/pipeline/admission.rs
+++ b/crates/sender/src/pipeline/admission.rs
@@ -22,7 +22,7 @@
     Duplicate,
     /// It was accepted before, and has ended undelivered. The client may hear only now that it was accepted: its report
     /// is owed once more behind the answer, as the platform may have counted the first one for nothing.
-    Ended(EndedMessage),
+    EndedDuplicate(EndedMessage),
     /// It was accepted before, and has ended undelivered; no record can be written of another report.
     Undeliverable,
     /// There is no room for it now; the client may send it again later.
@@ -48,7 +48,7 @@
 /// The limits and rules by which messages are accepted.
 pub struct Admission {
     /// The most open messages.
-    pub(super) max_held: usize,
+    pub(super) max_open_messages: usize,
     /// The classes of the settings by name.
     pub(super) classes: Vec<String>,
     pub(super) class_rules: ClassRules,
@@ -68,7 +68,7 @@
             return self.decide_on_duplicate(message, store);
         }
         match directory.serves(message.destination) {
-            Some(true) => self.record(message, store, stopped),
+            Some(true) => self.accept_if_room(message, store, stopped),
             Some(false) => {
                 store.counters.bad_requests += 1;
                 let class = &self.classes[message.class];
@@ -86,8 +86,8 @@
         message: IncomingMessage,
         store: &mut MessageStore,
     ) -> AdmissionDecision {
-        if let Some(number) = store.reporting(&message.id) {
-            return AdmissionDecision::Ended(EndedMessage::Reporting(number));
+        if let Some(number) = store.number_being_reported(&message.id) {
+            return AdmissionDecision::EndedDuplicate(EndedMessage::Reporting(number));
         }
         let Some(status) = store.wal.recently_closed.reported_status(&message.id) else {
             return AdmissionDecision::Duplicate;
@@ -97,7 +97,7 @@
         record.final_status = Some(status);
         if store.wal.append_ended(&record, status) {
             store.next_number += 1;
-            return AdmissionDecision::Ended(EndedMessage::Reported(record));
+            return AdmissionDecision::EndedDuplicate(EndedMessage::Reported(record));
         }
         // Without a record nothing can be promised. The answer says what the report said.
         match status {
@@ -107,7 +107,7 @@
     }
 
     /// Accepts a message if there is room in memory and in the log.
-    fn record(
+    fn accept_if_room(
         &self,
         message: IncomingMessage,
         store: &mut MessageStore,
@@ -115,7 +115,10 @@
     ) -> AdmissionDecision {
         let class = message.class;
         let record = self.new_record(message, store.next_number);
-        if stopped || store.open_count >= self.max_held || !store.wal.append_message(&record) {
+        if stopped
+            || store.open_count >= self.max_open_messages
+            || !store.wal.append_message(&record)
+        {
             return self.reject(class, store);
         }
         store.next_number += 1;
@@ -133,7 +136,7 @@
             class: class.name.clone(),
             destination: message.destination,
             deadline: message.deadline,
-            key: message.key,
+            key: message.idempotency_key,
             body: message.body,
             attempts: Vec::new(),
             final_status: None,
@@ -237,7 +240,7 @@
 
 impl RecordedMessage {
     /// The client has been answered: the message is held from here on. Returns the event for the decision module.
-    pub(super) fn hold(self, store: &mut MessageStore, now: Millis) -> Event {
+    pub(super) fn insert_into(self, store: &mut MessageStore, now: Millis) -> Event {
         store.counters.accepted += 1;
         let record = self.record;
         debug!(
--- a/crates/sender/src/pipeline/builder.rs
+++ b/crates/sender/src/pipeline/builder.rs
@@ -20,7 +20,7 @@
 use super::poll_history::PollHistory;
 use super::process_state::{ProcessState, RemainingState, SettingsNames, SplitState};
 use super::send_gate::RetryAfterTable;
-use super::status_reports::{MAX_LANES, StatusReporter};
+use super::status_reports::{MAX_REPORT_CONNECTIONS, StatusReporter};
 use crate::Config;
 use crate::class_metrics::ClassMetrics;
 use crate::class_rules::ClassRules;
@@ -38,7 +38,7 @@
 /// An input and an output buffer for each connection.
 const BUFFERS_PER_CONNECTION: usize = 2;
 /// Buffers for the connections of the watch and of the status reports.
-const CONTROL_BUFFERS: usize = (1 + MAX_LANES) * BUFFERS_PER_CONNECTION;
+const CONTROL_BUFFERS: usize = (1 + MAX_REPORT_CONNECTIONS) * BUFFERS_PER_CONNECTION;
 /// The part of the memory limit for buffers, as a divisor.
 const BUFFER_MEMORY_DIVISOR: u64 = 2;
 /// Clients may have this part of the descriptors, as a divisor; the rest is for endpoints, discovery and files.
@@ -65,15 +65,15 @@
 }
 
 /// How many connections and buffers the limits on descriptors and memory allow.
-struct Capacity {
+struct ConnectionCapacity {
     max_clients: usize,
     endpoint_buffers: usize,
     max_endpoint_connections: usize,
 }
 
-impl Capacity {
+impl ConnectionCapacity {
     /// Clients have buffers of their own, so that slow clients cannot starve endpoints.
-    fn new(config: &Config, settings: &Settings) -> Capacity {
+    fn new(config: &Config, settings: &Settings) -> ConnectionCapacity {
         let operator_connections = match config.operator {
             Some(_) => operator::CALLERS + 1,
             None => 0,
@@ -86,7 +86,7 @@
             .min(buffered_clients)
             .max(1);
         let client_buffers = BUFFERS_PER_CONNECTION * max_clients.min(buffered_clients);
-        Capacity {
+        ConnectionCapacity {
             max_clients,
             endpoint_buffers: (buffers - client_buffers)
                 .saturating_sub(CONTROL_BUFFERS)
@@ -98,13 +98,13 @@
 }
 
 /// What the predecessor has passed that is restored once the driver stands.
-struct Inheritance {
+struct InheritedState {
     state: RemainingState,
     descriptors: InheritedDescriptors,
 }
 
 /// What a fresh start and a takeover differ in.
-struct Foundation {
+struct DriverParts {
     listener: TcpListener,
     settings: Settings,
     class_rules: ClassRules,
@@ -113,20 +113,20 @@
     next_number: u64,
     /// What the log holds of earlier processes; a takeover inherits this with its state.
     recovered: BTreeMap<u64, MessageRecord>,
-    inheritance: Option<Inheritance>,
+    inherited_state: Option<InheritedState>,
 }
 
-impl Foundation {
-    fn new(config: &Config, start: StartMode) -> Result<Foundation, SenderError> {
+impl DriverParts {
+    fn new(config: &Config, start: StartMode) -> Result<DriverParts, SenderError> {
         let mut settings = config.platform_settings.settings.clone();
         settings.max_attempts = settings.max_attempts.min(MAX_ATTEMPTS as u32);
         let class_rules = ClassRules::new(&config.platform_settings.classes, &settings.classes);
         match start {
             StartMode::Fresh { listener, .. } => {
-                Foundation::fresh(config, listener, settings, class_rules)
+                DriverParts::fresh(config, listener, settings, class_rules)
             }
             StartMode::Takeover(state, descriptors) => {
-                Foundation::takeover(config, *state, descriptors, settings, class_rules)
+                DriverParts::takeover(config, *state, descriptors, settings, class_rules)
             }
         }
     }
@@ -137,13 +137,13 @@
         listener: TcpListener,
         mut settings: Settings,
         mut class_rules: ClassRules,
-    ) -> Result<Foundation, SenderError> {
+    ) -> Result<DriverParts, SenderError> {
         let (wal, recovered) = log_recovery::open(&config.state, config.disk);
         for record in recovered.open.values() {
             class_rules.add_recovered(&record.class, &record.rules, &mut settings);
         }
         let policy = Policy::new(settings.clone(), config.seed).map_err(SenderError::Settings)?;
-        Ok(Foundation {
+        Ok(DriverParts {
             listener,
             settings,
             class_rules,
@@ -151,7 +151,7 @@
             wal,
             next_number: recovered.next_number,
             recovered: recovered.open,
-            inheritance: None,
+            inherited_state: None,
         })
     }
 
@@ -162,7 +162,7 @@
         mut descriptors: InheritedDescriptors,
         mut settings: Settings,
         class_rules: ClassRules,
-    ) -> Result<Foundation, SenderError> {
+    ) -> Result<DriverParts, SenderError> {
         let listener = descriptors.take().map_err(SenderError::RestoreState)?;
         let SplitState {
             policy,
@@ -178,7 +178,7 @@
         let wal =
             WriteAheadLog::restore(&config.state, config.disk, log_position, state.unfinished())
                 .map_err(SenderError::RestoreLog)?;
-        Ok(Foundation {
+        Ok(DriverParts {
             listener: TcpListener::from(listener),
             settings,
             class_rules,
@@ -186,7 +186,7 @@
             wal,
             next_number: state.next_number,
             recovered: BTreeMap::new(),
-            inheritance: Some(Inheritance { state, descriptors }),
+            inherited_state: Some(InheritedState { state, descriptors }),
         })
     }
 }
@@ -209,11 +209,11 @@
             } => *process_started,
             StartMode::Takeover(..) => Instant::now(),
         };
-        let mut foundation = Foundation::new(&config, start)?;
-        let recovered = std::mem::take(&mut foundation.recovered);
-        let inheritance = foundation.inheritance.take();
-        let mut driver = Driver::assemble(&config, foundation, peers, handle, clock)?;
-        if let Some(mut inherited) = inheritance {
+        let mut parts = DriverParts::new(&config, start)?;
+        let recovered = std::mem::take(&mut parts.recovered);
+        let inherited_state = parts.inherited_state.take();
+        let mut driver = Driver::assemble(&config, parts, peers, handle, clock)?;
+        if let Some(mut inherited) = inherited_state {
             driver
                 .restore_state(inherited.state, &mut inherited.descriptors)
                 .map_err(SenderError::RestoreState)?;
@@ -231,20 +231,20 @@
     /// Puts the stages together. Nothing is held yet.
     fn assemble(
         config: &Config,
-        foundation: Foundation,
+        parts: DriverParts,
         peers: Option<PeerService>,
         handle: &Handle,
         clock: Clock,
     ) -> Result<Driver, SenderError> {
-        let settings = &foundation.settings;
-        let capacity = Capacity::new(config, settings);
+        let settings = &parts.settings;
+        let capacity = ConnectionCapacity::new(config, settings);
         let control_buffers = BufferPool::new(CONTROL_BUFFERS);
         let jitter = Jitter::new(config.seed);
         let limits = client_limits(config, settings, &capacity);
         let classes = ingress_classes(config);
         let violations = ViolationCounter::default();
         let ingress = Ingress::open(
-            foundation.listener,
+            parts.listener,
             handle,
             limits,
             classes,
@@ -253,11 +253,11 @@
         )?;
         let class_metrics = ClassMetrics::new(&config.platform_settings.classes);
         Ok(Driver {
-            names: SettingsNames::of(config),
+            names: SettingsNames::from_config(config),
             listen: config.listen,
             descriptor_limit: config.sockets,
-            admission: build_admission(config, settings, foundation.class_rules),
-            decision: Decision::new(foundation.policy),
+            admission: build_admission(config, settings, parts.class_rules),
+            decision: Decision::new(parts.policy),
             status_reporter: build_status_reporter(
                 config,
                 handle,
@@ -265,7 +265,7 @@
                 &jitter,
                 clock.now(),
             ),
-            store: MessageStore::new(foundation.wal, foundation.next_number, class_metrics),
+            store: MessageStore::new(parts.wal, parts.next_number, class_metrics),
             ingress,
             egress: build_egress(settings, &capacity, handle),
             directory: build_directory(config, jitter),
@@ -274,9 +274,9 @@
             unfinished_sources: Vec::new(),
             shutdown_started: None,
             clock,
-            polls: PollHistory::new(),
+            poll_history: PollHistory::new(),
             deferred_list: None,
-            waits: RetryAfterTable::new(
+            retry_after_table: RetryAfterTable::new(
                 settings
                     .kinds
                     .iter()
@@ -294,7 +294,7 @@
         let mut events = Vec::new();
         for mut record in recovered.into_values() {
             if !self.clock.is_continuous() {
-                forget_instants_of_attempts(&mut record);
+                forget_attempt_times(&mut record);
             }
             let event = self
                 .admission
@@ -306,13 +306,17 @@
 }
 
 /// The time since the attempts of a message is not known: no idempotency window is proven to be open still.
-fn forget_instants_of_attempts(record: &mut MessageRecord) {
+fn forget_attempt_times(record: &mut MessageRecord) {
     for attempt in &mut record.attempts {
         attempt.sent = LONG_AGO;
     }
 }
 
-fn client_limits(config: &Config, settings: &Settings, capacity: &Capacity) -> ClientLimits {
+fn client_limits(
+    config: &Config,
+    settings: &Settings,
+    capacity: &ConnectionCapacity,
+) -> ClientLimits {
     ClientLimits {
         max_clients: capacity.max_clients,
         timeouts: config.clients,
@@ -353,13 +357,13 @@
 
 fn build_admission(config: &Config, settings: &Settings, class_rules: ClassRules) -> Admission {
     Admission {
-        max_held: settings.max_held,
+        max_open_messages: settings.max_held,
         classes: config.platform_settings.classes.clone(),
         class_rules,
     }
 }
 
-fn build_egress(settings: &Settings, capacity: &Capacity, handle: &Handle) -> Egress {
+fn build_egress(settings: &Settings, capacity: &ConnectionCapacity, handle: &Handle) -> Egress {
     Egress::new(
         handle,
         &BufferPool::new(capacity.endpoint_buffers),
--- a/crates/sender/src/pipeline/completion.rs
+++ b/crates/sender/src/pipeline/completion.rs
@@ -42,7 +42,7 @@
     if succeeded && !in_time {
         end_by_late_success(result.id, store, status_reporter);
     } else if (succeeded || result.message_over)
-        && is_unreported(message, result.outcome, status_reporter)
+        && can_still_close(message, result.outcome, status_reporter)
     {
         close_message(number, result.message_over, store);
     } else {
@@ -85,7 +85,7 @@
 
 /// Whether an answer can still end the message. If it was given up in the same round, a success counts as its one end,
 /// provided that the status report has not been sent: it is withdrawn then.
-fn is_unreported(
+fn can_still_close(
     message: &StoredMessage,
     outcome: Outcome,
     status_reporter: &mut StatusReporter,
--- a/crates/sender/src/pipeline/driver.rs
+++ b/crates/sender/src/pipeline/driver.rs
@@ -43,11 +43,11 @@
     /// The most descriptors the process may have open.
     pub(super) descriptor_limit: usize,
     pub(super) clock: Clock,
-    pub(super) polls: PollHistory,
+    pub(super) poll_history: PollHistory,
     /// The endpoint list of a start that was held up, until it is used.
     pub(super) deferred_list: Option<DeferredList>,
     /// The waits that endpoints have asked for.
-    pub(super) waits: RetryAfterTable,
+    pub(super) retry_after_table: RetryAfterTable,
     /// Steps that would have broken a safety rule.
     pub(super) violations: ViolationCounter,
     pub(super) handle: Handle,
@@ -91,7 +91,7 @@
     pub fn round(&mut self, ready: Vec<EventSource>) -> bool {
         let now = self.clock.now();
         self.store.counters.rounds += 1;
-        self.ingress.readable_since = self.polls.readable_since();
+        self.ingress.readable_since = self.poll_history.readable_since();
         let messages = self.read_ready_sources(ready, now);
         self.egress.expire_timeouts(now);
         self.unfinished_sources.extend(self.ingress.sweep(now));
@@ -110,9 +110,9 @@
         self.run_due_peers(now);
         self.run_due_operators(now);
         self.measure_round(now);
-        let goes_on = !self.may_exit(now);
-        self.polls.poll_begins(self.clock.now());
-        goes_on
+        let keep_running = !self.may_exit(now);
+        self.poll_history.record_poll_start(self.clock.now());
+        keep_running
     }
 
     /// Reads every source that is ready or was not finished in the last round. Returns the messages of clients.
@@ -133,7 +133,7 @@
                 self.unfinished_sources.push(source);
             }
         }
-        for source in self.ingress.take_arrived() {
+        for source in self.ingress.take_accepted_ready() {
             if self.read_source(source, &mut messages, now) {
                 self.unfinished_sources.push(source);
             }
@@ -209,17 +209,17 @@
         let answered = self.ingress.answer_decision(client, &decision, now);
         match decision {
             AdmissionDecision::Accepted(message) if answered => {
-                Some(message.hold(&mut self.store, now))
+                Some(message.insert_into(&mut self.store, now))
             }
             AdmissionDecision::Accepted(message) => {
                 message.revoke(&mut self.store);
                 None
             }
-            AdmissionDecision::Ended(message) if answered => {
+            AdmissionDecision::EndedDuplicate(message) if answered => {
                 message.report_again(&mut self.store, &mut self.status_reporter);
                 None
             }
-            AdmissionDecision::Ended(message) => {
+            AdmissionDecision::EndedDuplicate(message) => {
                 message.revoke(&mut self.store);
                 None
             }
@@ -247,7 +247,7 @@
     }
 
     fn process_attempt_result(&mut self, result: &AttemptResult, now: Millis) {
-        self.note_retry_after(result, now);
+        self.record_retry_after(result, now);
         // Read anew: the process may have been held up since the round began.
         let read_by = self.clock.now();
         let event =
@@ -258,13 +258,14 @@
         }
     }
 
-    fn note_retry_after(&mut self, result: &AttemptResult, now: Millis) {
+    fn record_retry_after(&mut self, result: &AttemptResult, now: Millis) {
         let (Some(record), Some(endpoint)) = (self.store.record(result.id.0), result.endpoint)
         else {
             return;
         };
         let kind = self.directory.kind(endpoint);
-        self.waits.note(result, record.destination, kind, now);
+        self.retry_after_table
+            .record(result, record.destination, kind, now);
     }
 
     /// The destinations whose endpoints have just asked for a wait. All unsent attempts to such a destination are
@@ -359,7 +360,7 @@
         deadlines
             .into_iter()
             .chain(self.decision.wake_at)
-            .chain(self.deferred_list_at())
+            .chain(self.deferred_list_deadline())
             .chain(self.operators.as_ref().map(Operators::next_deadline))
             .chain(self.peers.as_ref().map(PeerService::next_deadline))
             .fold(f64::INFINITY, f64::min)
--- a/crates/sender/src/pipeline/ingress/accept.rs
+++ b/crates/sender/src/pipeline/ingress/accept.rs
@@ -60,7 +60,7 @@
                 let client = entry.insert(Client::new(connection, now));
                 client.receive(now, waiting_since);
                 if client.has_input() || client.has_left() || client.unread_since.is_some() {
-                    self.arrived.push(source);
+                    self.accepted_ready.push(source);
                 }
             }
             // Nothing has been read: the client sees a reset, or the end of a connection on which nothing was done.
--- a/crates/sender/src/pipeline/ingress/answers.rs
+++ b/crates/sender/src/pipeline/ingress/answers.rs
@@ -31,7 +31,7 @@
         match decision {
             AdmissionDecision::Accepted(_)
             | AdmissionDecision::Duplicate
-            | AdmissionDecision::Ended(_) => self.answer(client, STATUS_ACCEPTED, "", now),
+            | AdmissionDecision::EndedDuplicate(_) => self.answer(client, STATUS_ACCEPTED, "", now),
             AdmissionDecision::Undeliverable => self.answer(client, STATUS_FAILED, "", now),
             AdmissionDecision::Rejected => self.answer_unavailable(client, now),
             AdmissionDecision::UnknownDestination => {
--- a/crates/sender/src/pipeline/ingress/client.rs
+++ b/crates/sender/src/pipeline/ingress/client.rs
@@ -15,7 +15,7 @@
     /// Its next answer is the last one on this connection.
     pub(in crate::pipeline) close_after_answer: bool,
     /// It has been sent `100 Continue` for this request.
-    pub(in crate::pipeline) continued: bool,
+    pub(in crate::pipeline) sent_continue: bool,
     /// It has sent a message, or a health check, before.
     pub(in crate::pipeline) has_sent_request: bool,
     /// When its request began, or its connection, or its closing.
@@ -24,7 +24,7 @@
     pub(in crate::pipeline) closing: bool,
     /// How often the sending side was shut down behind the last answer: 0 or 1. A number, because an earlier version
     /// passed a number to its successor here.
-    pub(in crate::pipeline) shutdowns: usize,
+    pub(in crate::pipeline) write_shutdowns: usize,
     /// Bytes may wait unread since this instant; none if all that had come was read.
     #[serde(skip, default = "unknown_instant")]
     pub(super) unread_since: Option<Millis>,
@@ -49,11 +49,11 @@
             connection,
             awaiting_answer: false,
             close_after_answer: false,
-            continued: false,
+            sent_continue: false,
             has_sent_request: false,
             phase_started: now,
             closing: false,
-            shutdowns: 0,
+            write_shutdowns: 0,
             unread_since: None,
             input_since: now,
         }
@@ -65,11 +65,11 @@
             connection,
             awaiting_answer: self.awaiting_answer,
             close_after_answer: self.close_after_answer,
-            continued: self.continued,
+            sent_continue: self.sent_continue,
             has_sent_request: self.has_sent_request,
             phase_started: self.phase_started,
             closing: self.closing,
-            shutdowns: self.shutdowns,
+            write_shutdowns: self.write_shutdowns,
             unread_since: self.unread_since,
             input_since: self.input_since,
         }
@@ -84,7 +84,7 @@
 
     /// Whether the client is owed something: the answer to a request that has been read, wholly or in part, or the rest
     /// of an answer that is not written yet. Its connection must not be closed before.
-    pub(in crate::pipeline) fn is_owed_answer(&self) -> bool {
+    pub(in crate::pipeline) fn has_pending_answer(&self) -> bool {
         self.awaiting_answer || !self.connection.is_flushed() || (self.has_input() && !self.closing)
     }
 
@@ -157,9 +157,9 @@
     /// sending side down behind it. Nothing is read: what the client may have sent behind its last request stays in
     /// the kernel, so that closing the connection resets it, and the client knows that it may send that again.
     pub(super) fn finish_sending(&mut self) {
-        if self.connection.flush() && self.connection.is_flushed() && self.shutdowns == 0 {
+        if self.connection.flush() && self.connection.is_flushed() && self.write_shutdowns == 0 {
             self.connection.shutdown_write();
-            self.shutdowns = 1;
+            self.write_shutdowns = 1;
         }
     }
 }
--- a/crates/sender/src/pipeline/ingress/eviction.rs
+++ b/crates/sender/src/pipeline/ingress/eviction.rs
@@ -11,7 +11,7 @@
 const LINGERING_DIVISOR: usize = 8;
 
 /// The most connections that there can be, those of clients that read their last answer included.
-pub(super) fn most_connections(max_clients: usize) -> usize {
+pub(super) fn max_connections(max_clients: usize) -> usize {
     max_clients + max_clients / LINGERING_DIVISOR + 1
 }
 
--- a/crates/sender/src/pipeline/ingress/mod.rs
+++ b/crates/sender/src/pipeline/ingress/mod.rs
@@ -70,7 +70,7 @@
     /// Connections may wait to be accepted since this instant; none if all that waited are accepted.
     waiting_since: Option<Millis>,
     /// Clients that have just been accepted, and whose first bytes were there already.
-    arrived: Vec<EventSource>,
+    accepted_ready: Vec<EventSource>,
     /// The process is shutting down: each answer asks its client to end the connection. Until the connection ends,
     /// requests that come on it all the same are answered.
     pub(super) shutting_down: bool,
@@ -111,7 +111,7 @@
             registration: Some(registration),
             handle: handle.clone(),
             pool: BufferPool::new(
-                BUFFERS_PER_CLIENT * eviction::most_connections(limits.max_clients),
+                BUFFERS_PER_CLIENT * eviction::max_connections(limits.max_clients),
             ),
             clients: Slab::new(),
             limits,
@@ -120,7 +120,7 @@
             accept_retry_at: None,
             readable_since: f64::NEG_INFINITY,
             waiting_since: None,
-            arrived: Vec::new(),
+            accepted_ready: Vec::new(),
             shutting_down: false,
             rejected_partial: Vec::new(),
             jitter,
@@ -129,8 +129,8 @@
     }
 
     /// Takes the clients that were accepted with bytes that have to be looked at.
-    pub(super) fn take_arrived(&mut self) -> Vec<EventSource> {
-        std::mem::take(&mut self.arrived)
+    pub(super) fn take_accepted_ready(&mut self) -> Vec<EventSource> {
+        std::mem::take(&mut self.accepted_ready)
     }
 
     /// When ingress has something to do next, if nothing arrives.
--- a/crates/sender/src/pipeline/ingress/receive.rs
+++ b/crates/sender/src/pipeline/ingress/receive.rs
@@ -79,8 +79,8 @@
     /// Tells a client, once per request, to send the body.
     fn send_continue(&mut self, index: usize) {
         let client = &mut self.clients[index];
-        if !client.continued {
-            client.continued = true;
+        if !client.sent_continue {
+            client.sent_continue = true;
             client.connection.queue(CONTINUE);
             client.connection.flush();
         }
@@ -111,7 +111,7 @@
         let client = &mut self.clients[index];
         client.connection.consume(request.consumed);
         client.phase_started = now;
-        client.continued = false;
+        client.sent_continue = false;
         client.close_after_answer = request.closes_connection || client.connection.eof;
         match self.parse(request, index, now) {
             Ok(ClientRequest::Message(message)) => {
--- a/crates/sender/src/pipeline/ingress/request.rs
+++ b/crates/sender/src/pipeline/ingress/request.rs
@@ -10,7 +10,7 @@
 /// The path of the health check.
 const HEALTH_PATH: &str = "/healthz";
 /// The longest id and idempotency key, in bytes.
-const MAX_NAME_LENGTH: usize = 256;
+const MAX_ID_LENGTH: usize = 256;
 /// The longest time that a client may grant, in seconds.
 const MAX_TIMEOUT_SECONDS: f64 = 86_400.0;
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
@@ -26,7 +26,7 @@
     pub(in crate::pipeline) class: usize,
     pub(in crate::pipeline) destination: u64,
     pub(in crate::pipeline) deadline: Millis,
-    pub(in crate::pipeline) key: Option<Rc<str>>,
+    pub(in crate::pipeline) idempotency_key: Option<Rc<str>>,
     pub(in crate::pipeline) body: Rc<[u8]>,
 }
 
@@ -90,11 +90,11 @@
         if request.method != "POST" {
             return Err(RequestError::MethodNotAllowed);
         }
-        let id = name_header(request, "x-request-id").ok_or(RequestError::Malformed)?;
+        let id = id_header(request, "x-request-id").ok_or(RequestError::Malformed)?;
         let timeout = timeout_header(request).ok_or(RequestError::Malformed)?;
         let destination = destination_header(request).ok_or(RequestError::Malformed)?;
-        let key = name_header(request, "idempotency-key");
-        if self.classes[class].requires_idempotency_key && key.is_none() {
+        let idempotency_key = id_header(request, "idempotency-key");
+        if self.classes[class].requires_idempotency_key && idempotency_key.is_none() {
             return Err(RequestError::Malformed);
         }
         Ok(ClientRequest::Message(IncomingMessage {
@@ -103,7 +103,7 @@
             class,
             destination,
             deadline: self.earliest_arrival(client, now) + timeout,
-            key,
+            idempotency_key,
             body: request.body.clone(),
         }))
     }
@@ -124,10 +124,10 @@
 }
 
 /// A header that holds an id or a key: printable ASCII of bounded length.
-fn name_header(request: &http::Request, header: &str) -> Option<Rc<str>> {
+fn id_header(request: &http::Request, header: &str) -> Option<Rc<str>> {
     let value = request.header(header)?;
     let printable = |byte: u8| byte.is_ascii_graphic() || byte == b' ';
-    let valid = !value.is_empty() && value.len() <= MAX_NAME_LENGTH && value.bytes().all(printable);
+    let valid = !value.is_empty() && value.len() <= MAX_ID_LENGTH && value.bytes().all(printable);
     valid.then(|| Rc::from(value))
 }
 
--- a/crates/sender/src/pipeline/ingress/sweep.rs
+++ b/crates/sender/src/pipeline/ingress/sweep.rs
@@ -11,7 +11,7 @@
 /// How often clients are looked at.
 const SWEEP_INTERVAL: Millis = 250.0;
 /// How long a client may read its last answer: closing while its bytes still arrive would destroy the answer.
-const LINGER: Millis = 500.0;
+const LINGER_TIMEOUT: Millis = 500.0;
 
 const STATUS_REQUEST_TIMEOUT: u16 = 408;
 
@@ -27,11 +27,11 @@
     TimeOutRequest,
 }
 
-fn judge(client: &Client, timeouts: Clients, now: Millis) -> SweepVerdict {
+fn sweep_verdict(client: &Client, timeouts: Clients, now: Millis) -> SweepVerdict {
     let age = now - client.phase_started;
     if client.closing {
         let limit = if client.connection.is_flushed() {
-            LINGER
+            LINGER_TIMEOUT
         } else {
             timeouts.request_ms
         };
@@ -69,7 +69,7 @@
         let readable_since = self.readable_since;
         let mut to_close = Vec::new();
         for (index, client) in &mut self.clients {
-            match judge(client, timeouts, now) {
+            match sweep_verdict(client, timeouts, now) {
                 SweepVerdict::Keep => {}
                 SweepVerdict::Close => to_close.push((index, CloseReason::Answered)),
                 SweepVerdict::TimeOutRequest => timed_out.push(index),
@@ -118,7 +118,7 @@
         // answer, which a reset could destroy.
         let recent = |client: &Client| now < client.phase_started + SWEEP_INTERVAL;
         self.close_where(CloseReason::Shutdown, |client| {
-            !client.is_owed_answer() && !client.closing && !recent(client)
+            !client.has_pending_answer() && !client.closing && !recent(client)
         });
         to_read
     }
--- a/crates/sender/src/pipeline/known_list.rs
+++ b/crates/sender/src/pipeline/known_list.rs
@@ -14,9 +14,9 @@
 use crate::discovery::EndpointListChange;
 
 /// The list is used at once where the start took no longer than this. Discovery's first answer may take another 500 ms.
-const LIST_LIFETIME: Duration = Duration::from_millis(400);
+const MAX_PROMPT_START: Duration = Duration::from_millis(400);
 /// How long discovery is waited for behind a start that took longer.
-const DISCOVERY_PATIENCE: Millis = 5_000.0;
+const DISCOVERY_TIMEOUT: Millis = 5_000.0;
 
 /// A list that is used unless discovery answers first.
 pub struct DeferredList {
@@ -30,14 +30,14 @@
         if !config.known.is_object() {
             return;
         }
-        if process_started.elapsed() <= LIST_LIFETIME {
+        if process_started.elapsed() <= MAX_PROMPT_START {
             self.apply_known_list(&config.known);
             return;
         }
         info!("the start was held up: discovery is asked before anything is sent");
         self.deferred_list = Some(DeferredList {
             list: config.known.clone(),
-            use_at: self.clock.now() + DISCOVERY_PATIENCE,
+            use_at: self.clock.now() + DISCOVERY_TIMEOUT,
         });
     }
 
@@ -52,7 +52,7 @@
     }
 
     /// When [`Driver::apply_deferred_list`] has something to do.
-    pub(super) fn deferred_list_at(&self) -> Option<Millis> {
+    pub(super) fn deferred_list_deadline(&self) -> Option<Millis> {
         self.deferred_list.as_ref().map(|deferred| deferred.use_at)
     }
 
--- a/crates/sender/src/pipeline/message_store.rs
+++ b/crates/sender/src/pipeline/message_store.rs
@@ -109,7 +109,7 @@
     }
 
     /// The number of a held message of this id that was given up and whose report the platform has not confirmed.
-    pub(super) fn reporting(&self, id: &Rc<str>) -> Option<u64> {
+    pub(super) fn number_being_reported(&self, id: &Rc<str>) -> Option<u64> {
         let number = *self.numbers_by_id.get(id)?;
         let message = self.messages.get(&number)?;
         (message.state == MessageState::Reporting).then_some(number)
--- a/crates/sender/src/pipeline/poll_history.rs
+++ b/crates/sender/src/pipeline/poll_history.rs
@@ -21,7 +21,7 @@
     }
 
     /// A round has ended, and the next poll begins.
-    pub(super) fn poll_begins(&mut self, now: Millis) {
+    pub(super) fn record_poll_start(&mut self, now: Millis) {
         self.before_last = self.last;
         self.last = now;
     }
--- a/crates/sender/src/pipeline/process_state.rs
+++ b/crates/sender/src/pipeline/process_state.rs
@@ -32,7 +32,7 @@
 
 impl SettingsNames {
     /// The names of a configuration.
-    pub(super) fn of(config: &Config) -> SettingsNames {
+    pub(super) fn from_config(config: &Config) -> SettingsNames {
         SettingsNames {
             zones: config.platform_settings.zones.clone(),
             kinds: config.platform_settings.kinds.clone(),
@@ -60,7 +60,7 @@
     pub(super) class_rules: ClassRules,
     policy: P,
     wake_at: Option<Millis>,
-    held: Vec<HeldMessage>,
+    held_messages: Vec<HeldMessage>,
     pub(super) next_number: u64,
     log_position: L,
     /// Messages whose status reports the platform has not confirmed.
@@ -88,7 +88,7 @@
     pub fn decode(bytes: &[u8], config: &Config) -> Result<ProcessState<Policy>, SenderError> {
         let state: ProcessState<Policy> =
             postcard::from_bytes(bytes).map_err(SenderError::DecodeState)?;
-        if state.names != SettingsNames::of(config) {
+        if state.names != SettingsNames::from_config(config) {
             return Err(SenderError::DifferentNames);
         }
         Ok(state)
@@ -107,7 +107,7 @@
             class_rules: self.class_rules,
             policy: (),
             wake_at: self.wake_at,
-            held: self.held,
+            held_messages: self.held_messages,
             next_number: self.next_number,
             log_position: (),
             unconfirmed: self.unconfirmed,
@@ -126,7 +126,7 @@
 impl RemainingState {
     /// The records of the messages that are not closed.
     pub(super) fn unfinished(&self) -> impl Iterator<Item = &MessageRecord> {
-        self.held
+        self.held_messages
             .iter()
             .filter(|message| message.state != MessageState::Closed)
             .map(|message| &message.record)
@@ -206,7 +206,7 @@
     }
 
     fn snapshot(&self, egress: egress::ConnectionSnapshot) -> ProcessState<&Policy> {
-        let held = self.store.messages.values().map(|message| HeldMessage {
+        let held_messages = self.store.messages.values().map(|message| HeldMessage {
             record: message.record.clone(),
             state: message.state,
             attempts_in_flight: message.attempts_in_flight,
@@ -222,7 +222,7 @@
             class_rules: self.admission.class_rules.clone(),
             policy: &self.decision.policy,
             wake_at: self.decision.wake_at,
-            held: held.collect(),
+            held_messages: held_messages.collect(),
             next_number: self.store.next_number,
             log_position: self.store.wal.position(),
             unconfirmed: self.status_reporter.unconfirmed().collect(),
@@ -239,7 +239,7 @@
         state: RemainingState,
         descriptors: &mut InheritedDescriptors,
     ) -> std::io::Result<()> {
-        self.restore_messages(state.held);
+        self.restore_messages(state.held_messages);
         self.decision.wake_at = state.wake_at;
         for number in state.unconfirmed {
             if let Some(record) = self.store.record(number) {
--- a/crates/sender/src/pipeline/send_gate.rs
+++ b/crates/sender/src/pipeline/send_gate.rs
@@ -16,9 +16,9 @@
 
 /// The decision module counts in nanoseconds, the pipeline in fractional milliseconds: instants that are the same may
 /// differ by less than this.
-const ROUNDING: Millis = 1.0;
+const ROUNDING_TOLERANCE: Millis = 1.0;
 /// Waits that are over are forgotten once there are so many.
-const MAX_REMEMBERED_WAITS: usize = 1_024;
+const RETRY_AFTER_PRUNE_THRESHOLD: usize = 1_024;
 
 /// What a Retry-After holds for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -33,7 +33,7 @@
 pub(super) struct RetryAfterTable {
     /// For each kind of endpoint, whether its endpoints have limits of their own.
     per_endpoint: Vec<bool>,
-    until: HashMap<Route, Millis>,
+    until_by_route: HashMap<Route, Millis>,
 }
 
 impl RetryAfterTable {
@@ -41,7 +41,7 @@
     pub(super) fn new(per_endpoint: Vec<bool>) -> RetryAfterTable {
         RetryAfterTable {
             per_endpoint,
-            until: HashMap::new(),
+            until_by_route: HashMap::new(),
         }
     }
 
@@ -54,7 +54,7 @@
     }
 
     /// Notes the Retry-After of a result, if it has one.
-    pub(super) fn note(
+    pub(super) fn record(
         &mut self,
         result: &AttemptResult,
         destination: u64,
@@ -69,17 +69,17 @@
         if retry_after == 0 {
             return;
         }
-        if self.until.len() >= MAX_REMEMBERED_WAITS {
-            self.until.retain(|_, until| *until > now);
+        if self.until_by_route.len() >= RETRY_AFTER_PRUNE_THRESHOLD {
+            self.until_by_route.retain(|_, until| *until > now);
         }
         let route = self.route(destination, endpoint, kind);
-        let until = self.until.entry(route).or_insert(now);
-        *until = until.max(now + millis(retry_after) - ROUNDING);
+        let until = self.until_by_route.entry(route).or_insert(now);
+        *until = until.max(now + millis(retry_after) - ROUNDING_TOLERANCE);
     }
 
     fn until(&self, destination: u64, endpoint: EndpointId, kind: usize) -> Option<Millis> {
         let route = self.route(destination, endpoint, kind);
-        self.until.get(&route).copied()
+        self.until_by_route.get(&route).copied()
     }
 }
 
@@ -87,7 +87,7 @@
 pub(super) struct SendGate<'a> {
     pub(super) class_rules: &'a ClassRules,
     pub(super) directory: &'a EndpointDirectory,
-    pub(super) waits: &'a RetryAfterTable,
+    pub(super) retry_after_table: &'a RetryAfterTable,
     pub(super) violations: &'a ViolationCounter,
 }
 
@@ -113,7 +113,7 @@
         let kind = self.directory.kind(endpoint);
         RequestFacts {
             message_open: message.state == MessageState::Open,
-            deadline: record.deadline + ROUNDING,
+            deadline: record.deadline + ROUNDING_TOLERANCE,
             non_idempotent: self
                 .class_rules
                 .is_non_idempotent(&record.class, &record.rules),
@@ -124,7 +124,9 @@
                     .idempotency_window(&record.class, &record.rules)
             }),
             endpoint_available: self.directory.accepts_requests(endpoint),
-            retry_after_until: self.waits.until(record.destination, endpoint, kind),
+            retry_after_until: self
+                .retry_after_table
+                .until(record.destination, endpoint, kind),
             now,
         }
     }
--- a/crates/sender/src/pipeline/shutdown.rs
+++ b/crates/sender/src/pipeline/shutdown.rs
@@ -17,11 +17,11 @@
 pub(super) const ATTEMPTS_DEADLINE: Millis = 3_300.0;
 /// When open messages and unconfirmed reports are no longer waited for. The results of the last attempts have been
 /// read and recorded by then.
-const STOP_WAITING: Millis = ATTEMPTS_DEADLINE + 100.0;
+const STOP_WAITING_FOR_MESSAGES: Millis = ATTEMPTS_DEADLINE + 100.0;
 /// When clients whose requests are incomplete are rejected. They may use the time before to complete them.
 const REJECT_PARTIAL_REQUESTS: Millis = ATTEMPTS_DEADLINE + 200.0;
 /// When the process exits, whether or not clients have read their answers: 100 ms before SIGKILL.
-const EXIT: Millis = ATTEMPTS_DEADLINE + 300.0;
+const EXIT_DEADLINE: Millis = ATTEMPTS_DEADLINE + 300.0;
 
 impl Driver {
     /// SIGTERM: starts the shutdown.
@@ -54,7 +54,8 @@
     fn stop_ingress(&mut self, now: Millis) {
         let to_read = self.ingress.stop(now, &mut self.store.counters);
         self.unfinished_sources.extend(to_read);
-        self.unfinished_sources.extend(self.ingress.take_arrived());
+        self.unfinished_sources
+            .extend(self.ingress.take_accepted_ready());
     }
 
     /// Whether the process may exit: everything is done, or the time is up, and no client is left without an answer.
@@ -65,14 +66,14 @@
         if now < started + ACCEPT_UNTIL {
             return false;
         }
-        if !self.is_idle() && now < started + STOP_WAITING {
+        if !self.is_idle() && now < started + STOP_WAITING_FOR_MESSAGES {
             return false;
         }
         self.stop_ingress(now);
         if now >= started + REJECT_PARTIAL_REQUESTS {
             self.ingress.reject_partial_requests(now);
         }
-        if self.has_unanswered_clients(now) && now < started + EXIT {
+        if self.has_unanswered_clients(now) && now < started + EXIT_DEADLINE {
             return false;
         }
         self.ingress.close_all();
@@ -92,7 +93,7 @@
     fn has_unanswered_clients(&self, now: Millis) -> bool {
         self.ingress.clients.iter().any(|(_, client)| {
             let newcomer = !client.has_sent_request && now < client.phase_started + NEWCOMER_GRACE;
-            client.is_owed_answer() || (newcomer && !client.closing)
+            client.has_pending_answer() || (newcomer && !client.closing)
         })
     }
 }
--- a/crates/sender/src/pipeline/status_reports/mod.rs
+++ b/crates/sender/src/pipeline/status_reports/mod.rs
@@ -4,7 +4,7 @@
 //! connection that has fallen silent holds up no report; [`timing`] says when. A batch that the platform refuses is
 //! sent again in halves, so that a report that it cannot read does not hold up the others.
 
-mod lane;
+mod report_connection;
 mod timing;
 
 use std::collections::BTreeMap;
@@ -18,29 +18,29 @@
 use super::message_store::MessageStore;
 use crate::event_source::{Connection, EventSource, Handle};
 use crate::jitter::Jitter;
-use lane::{BatchProgress, Lane};
-use timing::{CONFIRMATION_TIMEOUT, Failures, ReportTiming};
+use report_connection::{BatchProgress, ReportConnection};
+use timing::{CONFIRMATION_TIMEOUT, FailureStreak, ReportTiming};
 
 /// Most connections to the platform.
-pub(super) const MAX_LANES: usize = 4;
+pub(super) const MAX_REPORT_CONNECTIONS: usize = 4;
 /// Another connection is opened once all others have carried their batches for so long.
-const LANE_PATIENCE: Millis = 10.0;
+const NEW_CONNECTION_DELAY: Millis = 10.0;
 /// Most reports in one batch.
 const MAX_BATCH: usize = 32;
 /// How often a report is looked at that waits for the record of its final status.
-const RECORD_WAIT: Millis = 50.0;
+const RECORD_CHECK_INTERVAL: Millis = 50.0;
 
 /// Sends status reports. Messages are named by their numbers.
 pub struct StatusReporter {
     pub(super) platform: SocketAddr,
     handle: Handle,
     pool: BufferPool,
-    /// When the process started.
-    started: Millis,
+    /// When the process process_started.
+    process_started: Millis,
     /// The reports that the platform has not confirmed.
-    owed: BTreeMap<u64, ReportTiming>,
-    lanes: Vec<Lane>,
-    failures: Failures,
+    unconfirmed: BTreeMap<u64, ReportTiming>,
+    connections: Vec<ReportConnection>,
+    failures: FailureStreak,
     batch_size: usize,
     /// No report is due before this instant.
     next_due: Millis,
@@ -54,33 +54,33 @@
         handle: Handle,
         pool: BufferPool,
         jitter: Jitter,
-        started: Millis,
+        process_started: Millis,
     ) -> StatusReporter {
         StatusReporter {
             platform,
             handle,
             pool,
-            started,
-            owed: BTreeMap::new(),
-            lanes: Vec::new(),
-            failures: Failures::none(),
+            process_started,
+            unconfirmed: BTreeMap::new(),
+            connections: Vec::new(),
+            failures: FailureStreak::none(),
             batch_size: MAX_BATCH,
             next_due: f64::INFINITY,
             jitter,
         }
     }
 
-    /// A message has ended undelivered: its report is owed from here on.
+    /// A message has ended undelivered: its report is unconfirmed from here on.
     pub(super) fn enqueue(&mut self, record: &MessageRecord) {
         let timing = ReportTiming::new(record.deadline);
-        self.owed.insert(record.number, timing);
+        self.unconfirmed.insert(record.number, timing);
         self.next_due = f64::NEG_INFINITY;
     }
 
-    /// A report is owed once more from here on, even if it was sent: a confirmation of that does not count any more.
+    /// A report is unconfirmed once more from here on, even if it was sent: a confirmation of that does not count any more.
     pub(super) fn repeat(&mut self, record: &MessageRecord) {
-        for lane in &mut self.lanes {
-            lane.disown(record.number);
+        for connection in &mut self.connections {
+            connection.exclude(record.number);
         }
         self.enqueue(record);
     }
@@ -88,7 +88,7 @@
     /// Whether a report is on a connection.
     #[cfg(test)]
     pub(super) fn is_sent(&self, number: u64) -> bool {
-        let report = self.owed.get(&number);
+        let report = self.unconfirmed.get(&number);
         report.is_some_and(|report| report.sent_at.is_some())
     }
 
@@ -98,35 +98,35 @@
         for _ in 0..failures {
             self.count_failure(now, 0, "test");
         }
-        self.failures.over_at(false) - now
+        self.failures.backoff_until(false) - now
     }
 
     /// Whether every report is confirmed.
     pub(super) fn is_done(&self) -> bool {
-        self.owed.is_empty()
+        self.unconfirmed.is_empty()
     }
 
     /// The messages whose reports are not confirmed.
     pub(super) fn unconfirmed(&self) -> impl ExactSizeIterator<Item = u64> {
-        self.owed.keys().copied()
+        self.unconfirmed.keys().copied()
     }
 
     /// Takes back a report that has not been sent. False if there is none.
     pub(super) fn withdraw(&mut self, number: u64) -> bool {
         let unsent = self
-            .owed
+            .unconfirmed
             .get(&number)
             .is_some_and(|report| !report.was_sent);
-        unsent && self.owed.remove(&number).is_some()
+        unsent && self.unconfirmed.remove(&number).is_some()
     }
 
     /// Reports to another address from now on, unconfirmed reports included. The platform may get such a report
     /// twice, which does no harm; waiting for the old address might be too late.
     pub(super) fn move_to(&mut self, platform: SocketAddr) {
         self.platform = platform;
-        self.lanes.clear();
-        self.failures = Failures::none();
-        for report in self.owed.values_mut() {
+        self.connections.clear();
+        self.failures = FailureStreak::none();
+        for report in self.unconfirmed.values_mut() {
             report.sent_at = None;
         }
         self.next_due = f64::NEG_INFINITY;
@@ -134,19 +134,19 @@
 
     /// Sends what is due.
     pub(super) fn run_due(&mut self, store: &MessageStore, now: Millis) {
-        if self.owed.is_empty() || now < self.next_due {
+        if self.unconfirmed.is_empty() || now < self.next_due {
             return;
         }
-        self.close_silent_lanes(now);
-        while let Some(lane) = self.free_lane(now)
-            && self.send_batch(lane, store, now)
+        self.close_silent_connections(now);
+        while let Some(connection) = self.free_connection(now)
+            && self.send_batch(connection, store, now)
         {}
         self.schedule(store, now);
     }
 
     /// When [`StatusReporter::run_due`] has something to do next.
     pub(super) fn next_deadline(&self) -> Millis {
-        if self.owed.is_empty() {
+        if self.unconfirmed.is_empty() {
             f64::INFINITY
         } else {
             self.next_due
@@ -154,66 +154,78 @@
     }
 
     /// Closes the connections on which the platform has been silent for too long.
-    fn close_silent_lanes(&mut self, now: Millis) {
-        let silent = |lane: &Lane| !lane.is_idle() && now >= lane.sent_at + CONFIRMATION_TIMEOUT;
-        while let Some(index) = self.lanes.iter().position(silent) {
-            self.fail_lane(index, now, "silent");
+    fn close_silent_connections(&mut self, now: Millis) {
+        let silent = |connection: &ReportConnection| {
+            !connection.is_idle() && now >= connection.sent_at + CONFIRMATION_TIMEOUT
+        };
+        while let Some(index) = self.connections.iter().position(silent) {
+            self.fail_connection(index, now, "silent");
         }
     }
 
-    /// A lane for the next batch, which is removed from the others. None while a batch that has just been sent may
+    /// A connection for the next batch, which is removed from the others. None while a batch that has just been sent may
     /// still be confirmed, or if no connection can be opened.
-    fn free_lane(&mut self, now: Millis) -> Option<FreeLane> {
-        while let Some(index) = self.lanes.iter().position(Lane::is_idle) {
-            let mut lane = self.lanes.swap_remove(index);
-            if lane.is_usable() {
-                return Some(FreeLane::Open(lane));
+    fn free_connection(&mut self, now: Millis) -> Option<FreeConnection> {
+        while let Some(index) = self.connections.iter().position(ReportConnection::is_idle) {
+            let mut connection = self.connections.swap_remove(index);
+            if connection.is_usable() {
+                return Some(FreeConnection::Open(connection));
             }
         }
-        let just_sent = |lane: &Lane| now < lane.sent_at + LANE_PATIENCE;
-        if self.lanes.iter().any(just_sent) {
+        let just_sent =
+            |connection: &ReportConnection| now < connection.sent_at + NEW_CONNECTION_DELAY;
+        if self.connections.iter().any(just_sent) {
             return None;
         }
-        Some(FreeLane::ToBeOpened)
+        Some(FreeConnection::ToBeOpened)
     }
 
     /// Sends a batch of the reports that are due, urgent ones first. False if there are none, or if that failed.
-    fn send_batch(&mut self, lane: FreeLane, store: &MessageStore, now: Millis) -> bool {
+    fn send_batch(
+        &mut self,
+        connection: FreeConnection,
+        store: &MessageStore,
+        now: Millis,
+    ) -> bool {
         let batch = self.due_batch(store, now);
-        let lane = match lane {
-            FreeLane::Open(lane) if batch.numbers.is_empty() => {
-                self.keep_idle(lane);
+        let connection = match connection {
+            FreeConnection::Open(connection) if batch.numbers.is_empty() => {
+                self.keep_idle(connection);
+                return false;
+            }
+            FreeConnection::Open(connection) => Some(connection),
+            FreeConnection::ToBeOpened if batch.numbers.is_empty() => return false,
+            FreeConnection::ToBeOpened
+                if self.connections.len() >= MAX_REPORT_CONNECTIONS && !batch.urgent =>
+            {
                 return false;
             }
-            FreeLane::Open(lane) => Some(lane),
-            FreeLane::ToBeOpened if batch.numbers.is_empty() => return false,
-            FreeLane::ToBeOpened if self.lanes.len() >= MAX_LANES && !batch.urgent => return false,
-            FreeLane::ToBeOpened => self.open_lane(),
+            FreeConnection::ToBeOpened => self.open_connection(),
         };
         let numbers = batch.numbers;
-        let Some(mut lane) = lane else {
+        let Some(mut connection) = connection else {
             self.count_failure(now, numbers.len(), "no connection");
             return false;
         };
         let count = numbers.len();
         let lines = report_lines(&numbers, store);
-        if !lane.send(self.platform, numbers, &lines, now) {
+        if !connection.send(self.platform, numbers, &lines, now) {
             self.count_failure(now, count, "no connection");
             return false;
         }
-        for number in lane.numbers() {
-            if let Some(report) = self.owed.get_mut(number) {
+        for number in connection.numbers() {
+            if let Some(report) = self.unconfirmed.get_mut(number) {
                 report.sent(now);
             }
         }
-        self.lanes.push(lane);
+        self.connections.push(connection);
         true
     }
 
     /// Keeps one connection for the reports to come.
-    fn keep_idle(&mut self, lane: Lane) {
-        if !self.lanes.iter().any(Lane::is_idle) {
-            self.lanes.push(lane);
+    fn keep_idle(&mut self, connection: ReportConnection) {
+        if !self.connections.iter().any(ReportConnection::is_idle) {
+            self.connections.push(connection);
         }
     }
 
@@ -225,12 +237,12 @@
         let recorded = store.wal.is_complete();
         let mut urgent = Vec::new();
         let mut others = Vec::new();
-        for (number, report) in &self.owed {
+        for (number, report) in &self.unconfirmed {
             let may_be_sent = recorded || report.deadline <= now;
-            if !may_be_sent || report.due_at(&self.failures, self.started) > now {
+            if !may_be_sent || report.due_at(&self.failures, self.process_started) > now {
                 continue;
             }
-            if report.is_urgent(self.started, now) {
+            if report.is_urgent(self.process_started, now) {
                 urgent.push(*number);
             } else {
                 others.push(*number);
@@ -246,11 +258,14 @@
     }
 
     /// A new connection. Where there are too many, the one that has carried its batch for the longest gives way.
-    fn open_lane(&mut self) -> Option<Lane> {
-        if self.lanes.len() >= MAX_LANES {
-            let oldest = (0..self.lanes.len())
-                .min_by(|a, b| self.lanes[*a].sent_at.total_cmp(&self.lanes[*b].sent_at))?;
-            self.lanes.swap_remove(oldest);
+    fn open_connection(&mut self) -> Option<ReportConnection> {
+        if self.connections.len() >= MAX_REPORT_CONNECTIONS {
+            let oldest = (0..self.connections.len()).min_by(|a, b| {
+                self.connections[*a]
+                    .sent_at
+                    .total_cmp(&self.connections[*b].sent_at)
+            })?;
+            self.connections.swap_remove(oldest);
         }
         let connection = Connection::connect(
             self.platform,
@@ -258,58 +273,62 @@
             &self.pool,
             EventSource::StatusReports,
         );
-        connection.ok().map(Lane::new)
+        connection.ok().map(ReportConnection::new)
     }
 
     /// Finds out when the next report is due.
     fn schedule(&mut self, store: &MessageStore, now: Millis) {
         let recorded = store.wal.is_complete();
-        let due = self.owed.values().map(|report| {
-            let due_at = report.due_at(&self.failures, self.started);
+        let due = self.unconfirmed.values().map(|report| {
+            let due_at = report.due_at(&self.failures, self.process_started);
             if recorded || report.deadline <= now {
                 due_at
             } else {
-                due_at.max((now + RECORD_WAIT).min(report.deadline))
+                due_at.max((now + RECORD_CHECK_INTERVAL).min(report.deadline))
             }
         });
         // What is due already waits for a connection.
-        self.next_due = due.fold(f64::INFINITY, f64::min).max(now + LANE_PATIENCE);
+        self.next_due = due
+            .fold(f64::INFINITY, f64::min)
+            .max(now + NEW_CONNECTION_DELAY);
     }
 
     /// Reads the platform's answers. Returns the messages whose reports it has confirmed.
     pub(super) fn on_ready(&mut self, now: Millis) -> Vec<u64> {
         let mut confirmed = Vec::new();
         let mut index = 0;
-        while index < self.lanes.len() {
-            match self.lanes[index].progress() {
+        while index < self.connections.len() {
+            match self.connections[index].progress() {
                 BatchProgress::Pending => index += 1,
                 BatchProgress::Confirmed => {
-                    confirmed.append(&mut self.lanes[index].take_confirmed());
+                    confirmed.append(&mut self.connections[index].take_confirmed());
                     index += 1;
                 }
                 BatchProgress::Refused => self.on_refusal(index, now),
-                BatchProgress::ConnectionLost if self.lanes[index].is_idle() => {
-                    self.lanes.swap_remove(index);
+                BatchProgress::ConnectionLost if self.connections[index].is_idle() => {
+                    self.connections.swap_remove(index);
+                }
+                BatchProgress::ConnectionLost => {
+                    self.fail_connection(index, now, "connection lost")
                 }
-                BatchProgress::ConnectionLost => self.fail_lane(index, now, "connection lost"),
             }
         }
         if !confirmed.is_empty() {
-            self.failures = Failures::none();
+            self.failures = FailureStreak::none();
             self.batch_size = MAX_BATCH;
             self.next_due = f64::NEG_INFINITY;
         }
         // One that was sent on several connections is confirmed once.
-        confirmed.retain(|number| self.owed.remove(number).is_some());
+        confirmed.retain(|number| self.unconfirmed.remove(number).is_some());
         confirmed
     }
 
-    /// The batch of a lane was not confirmed: the lane is closed, and the batch is sent again after a backoff.
-    fn fail_lane(&mut self, index: usize, now: Millis, reason: &str) {
-        let lane = self.lanes.swap_remove(index);
-        self.count_failure(now, lane.numbers().len(), reason);
-        for number in lane.numbers() {
-            if let Some(report) = self.owed.get_mut(number) {
+    /// The batch of a connection was not confirmed: the connection is closed, and the batch is sent again after a backoff.
+    fn fail_connection(&mut self, index: usize, now: Millis, reason: &str) {
+        let connection = self.connections.swap_remove(index);
+        self.count_failure(now, connection.numbers().len(), reason);
+        for number in connection.numbers() {
+            if let Some(report) = self.unconfirmed.get_mut(number) {
                 report.sent_at = None;
             }
         }
@@ -317,10 +336,10 @@
 
     fn count_failure(&mut self, now: Millis, count: usize, reason: &str) {
         warn!(count, reason, "status reports unconfirmed");
-        self.failures = Failures {
-            in_a_row: self.failures.in_a_row + 1,
+        self.failures = FailureStreak {
+            length: self.failures.length + 1,
             last_at: now,
-            spread: self.jitter.around(1.0),
+            jitter_factor: self.jitter.around(1.0),
         };
         self.next_due = f64::NEG_INFINITY;
     }
@@ -329,20 +348,20 @@
     /// others: it is due again only after the time for a confirmation.
     fn on_refusal(&mut self, index: usize, now: Millis) {
         self.batch_size = (self.batch_size / 2).max(1);
-        let refused_alone = match self.lanes[index].numbers() {
+        let refused_alone = match self.connections[index].numbers() {
             [number] => Some(*number),
             _ => None,
         };
-        self.fail_lane(index, now, "refused");
-        if let Some(report) = refused_alone.and_then(|number| self.owed.get_mut(&number)) {
+        self.fail_connection(index, now, "refused");
+        if let Some(report) = refused_alone.and_then(|number| self.unconfirmed.get_mut(&number)) {
             report.sent_at = Some(now);
         }
     }
 }
 
 /// A connection for the next batch.
-enum FreeLane {
-    Open(Lane),
+enum FreeConnection {
+    Open(ReportConnection),
     ToBeOpened,
 }
 
--- a/crates/sender/src/pipeline/status_reports/lane.rs
+++ b/crates/sender/src/pipeline/status_reports/report_connection.rs
@@ -8,7 +8,7 @@
 use crate::event_source::Connection;
 
 /// A connection to the platform. It carries one batch at a time.
-pub(super) struct Lane {
+pub(super) struct ReportConnection {
     connection: Connection,
     /// A batch was sent, and is not answered.
     awaits_answer: bool,
@@ -30,10 +30,10 @@
     ConnectionLost,
 }
 
-impl Lane {
+impl ReportConnection {
     /// A lane without a batch.
-    pub(super) fn new(connection: Connection) -> Lane {
-        Lane {
+    pub(super) fn new(connection: Connection) -> ReportConnection {
+        ReportConnection {
             connection,
             awaits_answer: false,
             numbers: Vec::new(),
@@ -65,7 +65,7 @@
     }
 
     /// The confirmation of its batch does not count for this message.
-    pub(super) fn disown(&mut self, number: u64) {
+    pub(super) fn exclude(&mut self, number: u64) {
         self.numbers.retain(|carried| *carried != number);
     }
 
--- a/crates/sender/src/pipeline/status_reports/timing.rs
+++ b/crates/sender/src/pipeline/status_reports/timing.rs
@@ -23,7 +23,7 @@
 const URGENT_BACKOFF: Millis = 20.0;
 /// The same after many failures in a row: the platform is down, and must not be flooded by all senders.
 const LONG_URGENT_BACKOFF: Millis = 100.0;
-/// Failures in a row that are many.
+/// FailureStreak in a row that are many.
 const MANY_FAILURES: u32 = 10;
 
 /// What the time of a report depends on.
@@ -34,50 +34,50 @@
     /// When it was sent last; none if it is on no connection.
     pub(super) sent_at: Option<Millis>,
     /// How often it was sent again because no answer came to the time before.
-    pub(super) silences: u32,
+    pub(super) unanswered_sends: u32,
     /// Whether it was ever sent.
     pub(super) was_sent: bool,
 }
 
 /// The failures in a row, up to now.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Failures {
+pub(super) struct FailureStreak {
     /// How many there were since the last confirmation.
-    pub(super) in_a_row: u32,
+    pub(super) length: u32,
     /// When the last one was.
     pub(super) last_at: Millis,
     /// Random part of a backoff that is waited for, around 1.
-    pub(super) spread: f64,
+    pub(super) jitter_factor: f64,
 }
 
-impl Failures {
+impl FailureStreak {
     /// No failure so far.
-    pub(super) fn none() -> Failures {
-        Failures {
-            in_a_row: 0,
+    pub(super) fn none() -> FailureStreak {
+        FailureStreak {
+            length: 0,
             last_at: f64::NEG_INFINITY,
-            spread: 1.0,
+            jitter_factor: 1.0,
         }
     }
 
     /// When reports may be sent again.
-    pub(super) fn over_at(&self, urgent: bool) -> Millis {
-        self.last_at + self.backoff(urgent) * self.spread
+    pub(super) fn backoff_until(&self, urgent: bool) -> Millis {
+        self.last_at + self.backoff(urgent) * self.jitter_factor
     }
 
     fn backoff(&self, urgent: bool) -> Millis {
-        if self.in_a_row == 0 {
+        if self.length == 0 {
             return 0.0;
         }
-        if urgent && self.in_a_row < MANY_FAILURES {
+        if urgent && self.length < MANY_FAILURES {
             return URGENT_BACKOFF;
         }
-        let doublings = (self.in_a_row - 1).min(u32::BITS / 2);
-        let patient = (MIN_BACKOFF * f64::from(1_u32 << doublings)).min(MAX_BACKOFF);
+        let doublings = (self.length - 1).min(u32::BITS / 2);
+        let regular = (MIN_BACKOFF * f64::from(1_u32 << doublings)).min(MAX_BACKOFF);
         if urgent {
-            patient.min(LONG_URGENT_BACKOFF)
+            regular.min(LONG_URGENT_BACKOFF)
         } else {
-            patient
+            regular
         }
     }
 }
@@ -88,41 +88,41 @@
         ReportTiming {
             deadline,
             sent_at: None,
-            silences: 0,
+            unanswered_sends: 0,
             was_sent: false,
         }
     }
 
     /// It is sent, once more if it is on a connection already.
     pub(super) fn sent(&mut self, now: Millis) {
-        self.silences = match self.sent_at {
-            Some(_) => self.silences + 1,
+        self.unanswered_sends = match self.sent_at {
+            Some(_) => self.unanswered_sends + 1,
             None => 0,
         };
         self.sent_at = Some(now);
         self.was_sent = true;
     }
 
-    /// Whether the report is urgent, in a process that started at an instant.
-    pub(super) fn is_urgent(&self, started: Millis, now: Millis) -> bool {
-        now >= self.urgent_from() && now <= self.urgent_until(started)
+    /// Whether the report is urgent, in a process that process_started at an instant.
+    pub(super) fn is_urgent(&self, process_started: Millis, now: Millis) -> bool {
+        now >= self.urgent_from() && now <= self.urgent_until(process_started)
     }
 
     /// When the report is to be sent next. In the past for one that is due.
-    pub(super) fn due_at(&self, failures: &Failures, started: Millis) -> Millis {
-        let patient = self
+    pub(super) fn due_at(&self, failures: &FailureStreak, process_started: Millis) -> Millis {
+        let regular = self
             .repeated_at(CONFIRMATION_TIMEOUT)
-            .max(failures.over_at(false));
-        let doublings = self.silences.min(u32::BITS / 2);
+            .max(failures.backoff_until(false));
+        let doublings = self.unanswered_sends.min(u32::BITS / 2);
         let confirmation_timeout = URGENT_CONFIRMATION_TIMEOUT * f64::from(1_u32 << doublings);
         let urgent = self
             .repeated_at(confirmation_timeout)
-            .max(failures.over_at(true))
+            .max(failures.backoff_until(true))
             .max(self.urgent_from());
-        if urgent <= self.urgent_until(started) {
-            patient.min(urgent)
+        if urgent <= self.urgent_until(process_started) {
+            regular.min(urgent)
         } else {
-            patient
+            regular
         }
     }
 
@@ -136,7 +136,7 @@
         self.deadline - URGENT_LEAD
     }
 
-    fn urgent_until(&self, started: Millis) -> Millis {
-        self.deadline.max(started) + URGENT_SPAN
+    fn urgent_until(&self, process_started: Millis) -> Millis {
+        self.deadline.max(process_started) + URGENT_SPAN
     }
 }
