--- a/crates/sender/src/pipeline/actions.rs
+++ b/crates/sender/src/pipeline/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the decision module wants done.
+//! Performs the actions of the decision module.
 
 use martenlatch_clock::{Millis, Nanos, millis};
 use martenlatch_policy::interface::{Action, EndpointId, MessageId};
@@ -10,8 +10,8 @@
 use super::{completion, dispatch};
 
 impl Driver {
-    /// Carries the actions of a turn out, and begins the attempts whose connections are up. What an action brings to
-    /// light, such as the Retry-After of a cancelled attempt, holds for all that begins in this round.
+    /// Performs the actions of a turn and sends the requests whose connections are established. A result that an action
+    /// reveals, such as the Retry-After of a cancelled attempt, is processed before any request of this round is sent.
     pub(super) fn perform(&mut self, actions: Vec<Action>, now: Millis) {
         for action in actions {
             self.perform_one(action, now);
@@ -20,7 +20,7 @@
         self.send_ready(now);
     }
 
-    /// Carries one action out.
+    /// Performs one action.
     pub(super) fn perform_one(&mut self, action: Action, now: Millis) {
         match action {
             Action::Send {
@@ -35,7 +35,7 @@
                 self.give_up(id, FinalStatus::Deferred(retry_after_ms), now);
             }
             Action::Fail { id } => self.give_up(id, FinalStatus::Undeliverable, now),
-            // The module counts on its latest request alone: it replaces all earlier ones.
+            // The module relies on its latest wake-up request only, which replaces all earlier ones.
             Action::WakeAfter(span) => self.decision.wake_at = Some(now + millis(span)),
             Action::CloseIdle(endpoint) => self.egress.close_idle(endpoint),
         }
@@ -61,7 +61,7 @@
         dispatch::start_attempt(&attempt, &mut self.store, &mut self.egress, now);
     }
 
-    /// Whether a message must not be sent again once an attempt may have run.
+    /// Whether a message must not be sent again once an attempt may have run at an endpoint.
     fn is_non_idempotent(&self, id: MessageId) -> bool {
         let rules = &self.admission.class_rules;
         self.store
@@ -69,7 +69,7 @@
             .is_none_or(|record| rules.is_non_idempotent(&record.class, &record.rules))
     }
 
-    /// Sends the requests whose connections are up, as far as the safety rules permit.
+    /// Sends the requests whose connections are established, as far as the safety rules permit.
     pub(super) fn send_ready(&mut self, now: Millis) {
         let gate = SendGate {
             class_rules: &self.admission.class_rules,
@@ -80,13 +80,13 @@
         dispatch::send_ready(&mut self.store, &mut self.egress, &gate, now);
     }
 
-    /// Ends a message undelivered. Its requests that are not completely written are withdrawn.
+    /// Ends a message as undelivered. Its requests that are not completely written are withdrawn.
     pub(super) fn give_up(&mut self, id: MessageId, status: FinalStatus, now: Millis) {
         completion::give_up(id, status, &mut self.store, &mut self.status_reporter);
         self.withdraw_incomplete(id, now);
     }
 
-    /// Withdraws the requests of a message that is over, as far as they are not completely written.
+    /// Withdraws the requests of an ended message that are not completely written.
     pub(super) fn withdraw_incomplete(&mut self, id: MessageId, now: Millis) {
         if self.store.has_attempts_in_flight(id.0) {
             self.egress.withdraw_incomplete(id, now);
--- a/crates/sender/src/pipeline/admission.rs
+++ b/crates/sender/src/pipeline/admission.rs
@@ -1,7 +1,8 @@
-//! Admission: whether a message that a client has sent is accepted.
+//! Admission: decides whether a message that a client has sent is accepted.
 //!
 //! An accepted message is recorded in the write-ahead log before its client is answered. It counts as accepted only
-//! once the client has been answered; a client that had left by then will send it again, so its record is revoked.
+//! once the client has been answered. If the client has left by then, it will send the message again, so the record is
+//! revoked.
 
 use martenlatch_clock::{Millis, nanos};
 use martenlatch_policy::interface::{ClassId, DestinationId, Event, MessageId};
@@ -14,73 +15,74 @@
 use crate::class_rules::ClassRules;
 use crate::discovery::EndpointDirectory;
 
-/// What is decided on an incoming message.
+/// The decision on an incoming message.
 pub(super) enum AdmissionDecision {
-    /// It is recorded, and may be answered.
+    /// It is recorded in the log, and its client may be answered.
     Accepted(RecordedMessage),
-    /// It was accepted before, and its end is still to come, or it was delivered.
+    /// It was accepted before and is still open, or was delivered.
     Duplicate,
-    /// It was accepted before, and has ended undelivered. The client may hear only now that it was accepted: its report
-    /// is owed once more behind the answer, as the platform may have counted the first one for nothing.
+    /// It was accepted before and has ended undelivered. The client may learn only now that it was accepted, so its
+    /// report is sent again after the answer: the platform may have ignored the first report.
     EndedDuplicate(EndedMessage),
-    /// It was accepted before, and has ended undelivered; no record can be written of another report.
+    /// It was accepted before and has ended undelivered, but the log cannot record that another report is due.
     Undeliverable,
-    /// There is no room for it now; the client may send it again later.
+    /// It cannot be accepted now; the client may send it again later.
     Rejected,
     /// Discovery has never listed its destination.
     UnknownDestination,
 }
 
-/// A message that has ended undelivered and was handed in again.
+/// A message that has ended undelivered and that its client has sent again.
 pub(super) enum EndedMessage {
-    /// Its report is not confirmed yet.
+    /// Its report is not confirmed yet. This is its number.
     Reporting(u64),
-    /// Its report was confirmed. This is what is recorded of it anew.
+    /// Its report was confirmed. This is the new record of it.
     Reported(MessageRecord),
 }
 
-/// A message that is recorded in the write-ahead log, and not yet held.
+/// A message that is recorded in the write-ahead log but not yet in the store.
 pub(super) struct RecordedMessage {
     record: MessageRecord,
     class: ClassId,
 }
 
-/// The limits and rules by which messages are accepted.
+/// The limits and class rules by which messages are accepted.
 pub struct Admission {
-    /// The most open messages.
+    /// The largest number of open messages.
     pub(super) max_open_messages: usize,
-    /// The classes of the settings by name.
+    /// The names of the message classes, in the order of the settings.
     pub(super) classes: Vec<String>,
     pub(super) class_rules: ClassRules,
 }
 
 impl Admission {
-    /// Decides on an incoming message. One that is accepted is recorded here.
+    /// Decides on an incoming message, and records it in the log if it is accepted.
     pub(super) fn decide(
         &self,
         message: IncomingMessage,
         store: &mut MessageStore,
         directory: &EndpointDirectory,
-        stopped: bool,
+        accepting_stopped: bool,
     ) -> AdmissionDecision {
         if store.is_known(&message.id) {
             store.counters.duplicates += 1;
             return self.decide_on_duplicate(message, store);
         }
         match directory.serves(message.destination) {
-            Some(true) => self.accept_if_room(message, store, stopped),
+            Some(true) => self.accept_if_room(message, store, accepting_stopped),
             Some(false) => {
                 store.counters.bad_requests += 1;
                 let class = &self.classes[message.class];
                 store.class_metrics.count_errored(class);
                 AdmissionDecision::UnknownDestination
             }
-            // Until discovery has answered this process, the destination may be a new one.
+            // The destination may be new: discovery has not answered this process yet.
             None => self.reject(message.class, store),
         }
     }
 
-    /// A message is handed in again. Where it has ended by a report, this is recorded anew before the answer.
+    /// Decides on a message that its client has sent again. If it has ended with a status report, it is recorded again
+    /// before the answer.
     fn decide_on_duplicate(
         &self,
         message: IncomingMessage,
@@ -99,23 +101,24 @@
             store.next_number += 1;
             return AdmissionDecision::EndedDuplicate(EndedMessage::Reported(record));
         }
-        // Without a record nothing can be promised. The answer says what the report said.
+        // Without a record no further report can be guaranteed. The answer has the status of the earlier report.
         match status {
             FinalStatus::Deferred(_) => self.reject(class, store),
             FinalStatus::Undeliverable => AdmissionDecision::Undeliverable,
         }
     }
 
-    /// Accepts a message if there is room in memory and in the log.
+    /// Accepts a message if clients are still accepted, fewer messages are open than the limit, and the log can record
+    /// it.
     fn accept_if_room(
         &self,
         message: IncomingMessage,
         store: &mut MessageStore,
-        stopped: bool,
+        accepting_stopped: bool,
     ) -> AdmissionDecision {
         let class = message.class;
         let record = self.new_record(message, store.next_number);
-        if stopped
+        if accepting_stopped
             || store.open_count >= self.max_open_messages
             || !store.wal.append_message(&record)
         {
@@ -152,8 +155,8 @@
         AdmissionDecision::Rejected
     }
 
-    /// Holds a message that an earlier process accepted and did not end. Returns the event for the decision module,
-    /// unless the message is settled and only its status report is owed.
+    /// Adds a message that an earlier process accepted and did not close to the store. Returns the event for the
+    /// decision module, unless the message has ended and only its status report is due.
     pub(super) fn resume(
         &self,
         record: MessageRecord,
@@ -163,7 +166,7 @@
         store.counters.resumed += 1;
         let number = record.number;
         let event = self.resumed_event(&record);
-        // Its end was decided before, or nothing says what its class promised.
+        // It ended in an earlier process, or the rules of its class are unknown.
         let settled = record.final_status.is_some() || event.is_none();
         let unattempted = record.attempts.is_empty() && !settled;
         debug!(
@@ -191,7 +194,7 @@
         event.filter(|_| !settled)
     }
 
-    /// What the decision module is told of a resumed message; none if its class is unknown.
+    /// The event that tells the decision module of a resumed message, or `None` if its class is unknown.
     fn resumed_event(&self, record: &MessageRecord) -> Option<Event> {
         let class = self.class_rules.index_of(&record.class, &record.rules)?;
         let first_run = record.attempts.iter().find(|attempt| !attempt.never_ran);
@@ -207,7 +210,7 @@
 }
 
 impl EndedMessage {
-    /// The client has been answered: the report is owed once more.
+    /// Queues the status report again, after the client has been answered.
     pub(super) fn report_again(
         self,
         store: &mut MessageStore,
@@ -230,7 +233,7 @@
         }
     }
 
-    /// The client had left before its answer: it will hand the message in once more.
+    /// Revokes the new record, as the client left before its answer and will send the message again.
     pub(super) fn revoke(self, store: &mut MessageStore) {
         if let EndedMessage::Reported(record) = self {
             store.wal.append_revoked(record.number);
@@ -239,7 +242,7 @@
 }
 
 impl RecordedMessage {
-    /// The client has been answered: the message is held from here on. Returns the event for the decision module.
+    /// Adds the message to the store, after its client has been answered. Returns the event for the decision module.
     pub(super) fn insert_into(self, store: &mut MessageStore, now: Millis) -> Event {
         store.counters.accepted += 1;
         let record = self.record;
@@ -262,7 +265,8 @@
         event
     }
 
-    /// The client had left before its answer: when it sends the message again, that must not pass for a duplicate.
+    /// Revokes the record, as the client left before its answer: when it sends the message again, that must not count
+    /// as a duplicate.
     pub(super) fn revoke(self, store: &mut MessageStore) {
         store.counters.clients_left += 1;
         store.wal.append_revoked(self.record.number);
--- a/crates/sender/src/pipeline/completion.rs
+++ b/crates/sender/src/pipeline/completion.rs
@@ -1,4 +1,4 @@
-//! The ends of attempts and messages: their records, their counts, and what the decision module is told of them.
+//! Ends of attempts and messages: records and counts them, and creates the events for the decision module.
 
 use martenlatch_clock::{Millis, nanos};
 use martenlatch_policy::interface::{Event, MessageId, Outcome};
@@ -10,12 +10,12 @@
 use crate::counters::Counters;
 use crate::egress::AttemptResult;
 
-/// A success counts as the delivery of its message if it was read so long before the deadline: the client's time began a
-/// little earlier than ours, and the platform counts no success from behind it.
+/// How long before the deadline a success must have been read to count as the delivery of its message. The client's
+/// time for the message started slightly earlier than ours, and the platform counts no success after that time.
 pub(super) const LATE_SUCCESS_GUARD: Millis = 50.0;
 
-/// An attempt has ended; its result was read before `read_by`. Returns the event for the decision module, if the message
-/// is still held.
+/// Processes the result of an attempt that has ended; it was read before `read_by`. Returns the event for the decision
+/// module if the message is still in the store.
 pub(super) fn record_outcome(
     result: &AttemptResult,
     store: &mut MessageStore,
@@ -72,7 +72,7 @@
     *counter += 1;
 }
 
-/// Marks an attempt as proven never to have run. False if it was marked before, or has no record.
+/// Marks an attempt as proven never to have run. Returns false if it was already marked or has no record.
 fn mark_never_ran(message: &mut StoredMessage, attempt: usize) -> bool {
     match message.record.attempts.get_mut(attempt) {
         Some(record) if !record.never_ran => {
@@ -83,8 +83,8 @@
     }
 }
 
-/// Whether an answer can still end the message. If it was given up in the same round, a success counts as its one end,
-/// provided that the status report has not been sent: it is withdrawn then.
+/// Whether an answer can still close the message. A success also closes a message that was given up in the same round,
+/// if its status report has not been sent yet: the report is withdrawn here.
 fn can_still_close(
     message: &StoredMessage,
     outcome: Outcome,
@@ -99,8 +99,8 @@
     }
 }
 
-/// An endpoint has answered as the time of the message ran out, or behind it. The platform may not count this as a
-/// delivery, so it is told of the end; for a message that it holds for delivered, that changes nothing.
+/// Gives up a message whose endpoint answered just before or after the deadline. The platform may not count this as a
+/// delivery, so a status report is sent; if the platform has counted the delivery, the report changes nothing.
 fn end_by_late_success(
     id: MessageId,
     store: &mut MessageStore,
@@ -112,11 +112,11 @@
     store.remove_if_finished(id.0);
 }
 
-/// An endpoint's answer ends a message: it is delivered, or the endpoint says that it is gone.
+/// Closes a message after an endpoint's answer: it is delivered, or it is `gone` (status 410).
 fn close_message(number: u64, gone: bool, store: &mut MessageStore) {
     let mut class = None;
     if let Some(message) = store.messages.get_mut(&number) {
-        // It may have been given up in this round, and its report withdrawn.
+        // The message may have been given up in this round and its report withdrawn.
         message.record.final_status = None;
         class = Some(message.record.class.clone());
     }
@@ -133,7 +133,7 @@
     store.advance(number, MessageState::Closed);
 }
 
-/// Gives an open message up: it ends undelivered, and from here on its status report is owed.
+/// Gives up an open message: it ends as undelivered, and its status report is queued.
 pub(super) fn give_up(
     id: MessageId,
     status: FinalStatus,
@@ -162,7 +162,7 @@
     store.advance(number, MessageState::Reporting);
 }
 
-/// The platform has confirmed the status report of a message.
+/// Closes a message whose status report the platform has confirmed.
 pub(super) fn confirm_report(number: u64, store: &mut MessageStore) {
     debug!(number, "status report confirmed");
     if let Some(message) = store.messages.get(&number)
@@ -177,7 +177,7 @@
     store.advance(number, MessageState::Closed);
 }
 
-/// Compacts the write-ahead log when it has grown enough.
+/// Compacts the write-ahead log if it has grown enough.
 pub(super) fn compact_log(store: &mut MessageStore, now: Millis) {
     if !store.wal.wants_compaction(now) {
         return;
--- a/crates/sender/src/pipeline/decision.rs
+++ b/crates/sender/src/pipeline/decision.rs
@@ -1,4 +1,5 @@
-//! The decision module within the pipeline: collects the events of a round, and runs the module once on all of them.
+//! Connects the decision module to the pipeline: collects the events of a round and runs the module once on all of
+//! them.
 
 use martenlatch_clock::{Millis, nanos};
 use martenlatch_policy::Policy;
@@ -7,14 +8,14 @@
 /// The decision module, its events and its timer.
 pub struct Decision {
     pub(super) policy: Policy,
-    /// Events that the module has not seen yet, in the order in which they happened.
+    /// Events that the module has not processed yet, in the order in which they happened.
     pub(super) events: Vec<Event>,
-    /// When the module wants to run next, if nothing else happens.
+    /// When the module has asked to run next, if no event comes first.
     pub(super) wake_at: Option<Millis>,
 }
 
 impl Decision {
-    /// A module that has seen nothing yet, or what its state says.
+    /// Wraps a module that is new or was restored from its predecessor's state. No events are pending.
     pub(super) fn new(policy: Policy) -> Decision {
         Decision {
             policy,
@@ -23,7 +24,7 @@
         }
     }
 
-    /// Runs the module on the events so far, if there are any. Returns what it wants done.
+    /// Runs the module on the pending events, if there are any. Returns its actions.
     pub(super) fn turn(&mut self, now: Millis) -> Vec<Action> {
         if self.wake_at.is_some_and(|wake_at| wake_at <= now) {
             self.wake_at = None;
--- a/crates/sender/src/pipeline/dispatch.rs
+++ b/crates/sender/src/pipeline/dispatch.rs
@@ -1,7 +1,7 @@
-//! Starts attempts: from the module's action to the request's first byte.
+//! Starts attempts: the steps from an action of the decision module to the first byte of the request.
 //!
-//! An attempt is recorded in the write-ahead log once its connection is up and before its first byte. A request that
-//! is not recorded is not sent: after a crash it would count as one that never ran.
+//! An attempt is recorded in the write-ahead log once its connection is established and before its first byte is sent.
+//! A request without a record is not sent: after a crash it would count as an attempt that never ran.
 
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
 use super::send_gate::SendGate;
 use crate::egress::{AttemptRequest, AttemptResult, Egress, SendPermission};
 
-/// One attempt that the decision module wants.
+/// An attempt that the decision module has requested.
 pub struct Attempt {
     pub(super) id: MessageId,
     /// The message must not be sent again once an attempt may have run.
@@ -22,15 +22,16 @@
     pub(super) endpoint: EndpointId,
     /// The endpoint's kind, by its index in the settings.
     pub(super) kind: usize,
-    /// None if the endpoint is no longer listed.
+    /// `None` if the endpoint is no longer listed.
     pub(super) address: Option<SocketAddr>,
-    /// How long the endpoint may take, in milliseconds.
+    /// How long the endpoint may take to answer.
     pub(super) timeout: Millis,
-    /// The last instant at which the request may begin.
+    /// The last instant at which the request may be sent.
     pub(super) latest_start: Millis,
 }
 
-/// Starts an attempt: egress finds it a connection. It begins in [`send_ready`], once that is up.
+/// Starts an attempt: egress assigns a connection to it. Its request is sent by [`send_ready`] once that connection is
+/// established.
 pub(super) fn start_attempt(
     attempt: &Attempt,
     store: &mut MessageStore,
@@ -66,7 +67,7 @@
         destination: record.destination,
         timeout: attempt.timeout,
         latest_start: attempt.latest_start,
-        // A retry has failed once already, and should not fail again because of a stale connection.
+        // A message that has failed once should not fail again because of a stale connection.
         must_not_be_lost: attempt.non_idempotent || number > 0,
         head: head.as_bytes(),
         body: &record.body,
@@ -74,7 +75,7 @@
     egress.start(&request, address, now);
 }
 
-/// Adds an attempt to a message and returns its number. Until it begins, it counts as one that never ran.
+/// Adds an attempt to a message and returns its number. Until its request is sent, it counts as one that never ran.
 fn add_attempt(message: &mut StoredMessage, now: Millis) -> u32 {
     let number = message.record.attempts.len() as u32;
     message.record.attempts.push(AttemptRecord {
@@ -85,7 +86,7 @@
     number
 }
 
-/// The result of an attempt whose endpoint is no longer listed.
+/// The result of an attempt that is not sent because its endpoint is no longer listed.
 fn not_sent(id: MessageId, attempt: u32) -> AttemptResult {
     AttemptResult {
         id,
@@ -111,7 +112,7 @@
     )
 }
 
-/// Sends the requests whose connections are up, each behind its record.
+/// Sends the requests whose connections are established, each after its attempt has been recorded.
 pub(super) fn send_ready(
     store: &mut MessageStore,
     egress: &mut Egress,
@@ -134,7 +135,7 @@
     );
 }
 
-/// Records that an attempt begins now, if that is possible.
+/// Records that an attempt begins now. The request may be sent only if that succeeds.
 fn record_attempt(
     store: &mut MessageStore,
     id: MessageId,
--- a/crates/sender/src/pipeline/driver.rs
+++ b/crates/sender/src/pipeline/driver.rs
@@ -1,4 +1,4 @@
-//! The driver: holds the stages of the pipeline, and runs them once in each round of the event loop.
+//! The driver: owns the stages of the pipeline and runs each of them once per round of the event loop.
 
 use std::net::SocketAddr;
 
@@ -25,33 +25,34 @@
 use crate::peer_service::PeerService;
 use crate::safety::ViolationCounter;
 
-/// A message that is still open so long after its deadline is ended here. The decision module should have ended it;
-/// this makes sure that its status report leaves before the platform counts the message as lost.
+/// How long after its deadline a message that is still open is ended by the driver. The decision module should have
+/// ended it by then; this ensures that its status report is sent before the platform counts the message as lost.
 pub(super) const OVERDUE_AFTER: Millis = 120.0;
-/// How long the loop sleeps when there is more to read, and no buffer to read it into.
+/// How long the loop sleeps when there is more to read but no buffer to read it into.
 const BUFFER_WAIT: Millis = 3.0;
-/// The longest sleep of the loop. Two of them bound what is not known of the age of a request that an idle sender reads.
+/// The longest sleep of the loop. Two sleeps bound the uncertainty about the age of a request that an idle sender
+/// reads.
 const MAX_SLEEP: Millis = 50.0;
-/// The longest sleep during shutdown, whose instants must not be slept past.
+/// The longest sleep during shutdown, so that no step of the shutdown runs late.
 const MAX_SLEEP_IN_SHUTDOWN: Millis = 20.0;
 
-/// Runs the pipeline, a round at a time.
+/// Runs the pipeline, one round at a time.
 pub struct Driver {
     pub(super) names: SettingsNames,
     /// The address on which clients connect.
     pub(super) listen: SocketAddr,
-    /// The most descriptors the process may have open.
+    /// The largest number of descriptors that the process may have open.
     pub(super) descriptor_limit: usize,
     pub(super) clock: Clock,
     pub(super) poll_history: PollHistory,
-    /// The endpoint list of a start that was held up, until it is used.
+    /// The configured endpoint list after a delayed start, until it is used or discovery answers.
     pub(super) deferred_list: Option<DeferredList>,
-    /// The waits that endpoints have asked for.
+    /// The Retry-After times that endpoints have requested.
     pub(super) retry_after_table: RetryAfterTable,
-    /// Steps that would have broken a safety rule.
+    /// Counts the steps that would have broken a safety rule.
     pub(super) violations: ViolationCounter,
     pub(super) handle: Handle,
-    /// Buffers for the watch and the status reports, of which attempts must not take the last one.
+    /// Buffers for the watch and the status reports. They have their own pool, so that attempts cannot exhaust it.
     pub(super) control_buffers: BufferPool,
     pub(super) ingress: Ingress,
     pub(super) admission: Admission,
@@ -60,18 +61,18 @@
     pub(super) store: MessageStore,
     pub(super) egress: Egress,
     pub(super) directory: EndpointDirectory,
-    /// The operators' connections, if there is an address for them.
+    /// The operators' connections, if the configuration has an address for them.
     pub(super) operators: Option<Operators>,
-    /// The other senders, where senders know one another.
+    /// The exchange with other senders, if peers are configured.
     pub(super) peers: Option<PeerService>,
-    /// Sockets that had more to read than one round takes.
+    /// Sockets that had more to read than one round reads.
     pub(super) unfinished_sources: Vec<EventSource>,
-    /// When the process was told to shut down.
+    /// When the shutdown began, or `None` if it has not begun.
     pub(super) shutdown_started: Option<Millis>,
 }
 
 impl Driver {
-    /// Answers operators from now on.
+    /// Sets the connections on which operators are answered.
     pub fn set_operators(&mut self, operators: Option<Operators>) {
         self.operators = operators;
     }
@@ -86,8 +87,8 @@
         self.listen
     }
 
-    /// Runs one round: reads what is ready, runs what is due, lets the decision module decide, and carries its actions
-    /// out. False once the process may exit.
+    /// Runs one round: reads the ready sources, runs the due timers, runs the decision module and performs its actions.
+    /// Returns false once the process may exit.
     pub fn round(&mut self, ready: Vec<EventSource>) -> bool {
         let now = self.clock.now();
         self.store.counters.rounds += 1;
@@ -95,10 +96,10 @@
         let messages = self.read_ready_sources(ready, now);
         self.egress.expire_timeouts(now);
         self.unfinished_sources.extend(self.ingress.sweep(now));
-        let stopped = self.stop_ingress_when_due(now);
-        self.admit_messages(messages, stopped, now);
+        let accepting_stopped = self.stop_ingress_when_due(now);
+        self.admit_messages(messages, accepting_stopped, now);
         self.process_attempt_results(now);
-        // After the results, whose Retry-After holds back attempts that have not begun.
+        // After the results have been processed: a Retry-After among them holds back attempts that have not begun.
         self.send_ready(now);
         self.end_overdue_messages(now);
         self.directory
@@ -115,7 +116,7 @@
         keep_running
     }
 
-    /// Reads every source that is ready or was not finished in the last round. Returns the messages of clients.
+    /// Reads every source that is ready or had more to read in the last round. Returns the messages of clients.
     fn read_ready_sources(
         &mut self,
         mut ready: Vec<EventSource>,
@@ -141,7 +142,7 @@
         messages
     }
 
-    /// Reads one source. True if there is more to read.
+    /// Reads one source. Returns true if there is more to read.
     fn read_source(
         &mut self,
         source: EventSource,
@@ -185,27 +186,33 @@
         }
     }
 
-    /// Decides on the messages of this round, those of the latest deadline first: a flood of messages with no time
-    /// left, which the decision module ends in this round, must not take the room of usual ones.
-    fn admit_messages(&mut self, mut messages: Vec<IncomingMessage>, stopped: bool, now: Millis) {
+    /// Decides on the messages of this round, latest deadline first: a flood of messages with no time left, which the
+    /// decision module ends in the same round, must not displace messages with the usual time.
+    fn admit_messages(
+        &mut self,
+        mut messages: Vec<IncomingMessage>,
+        accepting_stopped: bool,
+        now: Millis,
+    ) {
         messages.sort_by(|a, b| b.deadline.total_cmp(&a.deadline));
         for message in messages {
-            let event = self.admit(message, stopped, now);
+            let event = self.admit(message, accepting_stopped, now);
             self.decision.events.extend(event);
         }
     }
 
-    /// Decides on a message and answers its client. An accepted message is recorded, then answered, then held.
+    /// Decides on a message and answers its client. An accepted message is recorded in the log, then its client is
+    /// answered, then the message is added to the store.
     pub(super) fn admit(
         &mut self,
         message: IncomingMessage,
-        stopped: bool,
+        accepting_stopped: bool,
         now: Millis,
     ) -> Option<Event> {
         let client = message.client;
-        let decision = self
-            .admission
-            .decide(message, &mut self.store, &self.directory, stopped);
+        let decision =
+            self.admission
+                .decide(message, &mut self.store, &self.directory, accepting_stopped);
         let answered = self.ingress.answer_decision(client, &decision, now);
         match decision {
             AdmissionDecision::Accepted(message) if answered => {
@@ -230,8 +237,8 @@
         }
     }
 
-    /// Turns the results of attempts into events. A Retry-After holds back the destination's attempts that have not
-    /// begun.
+    /// Turns the results of attempts into events. After a Retry-After, the destination's attempts that have not begun
+    /// are cancelled.
     pub(super) fn process_attempt_results(&mut self, now: Millis) {
         self.count_metrics();
         let held_back = self.held_back_destinations();
@@ -248,7 +255,7 @@
 
     fn process_attempt_result(&mut self, result: &AttemptResult, now: Millis) {
         self.record_retry_after(result, now);
-        // Read anew: the process may have been held up since the round began.
+        // The clock is read again, as the process may have been delayed since the round began.
         let read_by = self.clock.now();
         let event =
             completion::record_outcome(result, &mut self.store, &mut self.status_reporter, read_by);
@@ -268,8 +275,8 @@
             .record(result, record.destination, kind, now);
     }
 
-    /// The destinations whose endpoints have just asked for a wait. All unsent attempts to such a destination are
-    /// withdrawn, also where its endpoints are routes of their own: the next turn decides on them anew.
+    /// The destinations of which an endpoint has just answered with a Retry-After. All unsent attempts to such a
+    /// destination are cancelled, even where each endpoint is a route of its own: the next turn decides on them again.
     fn held_back_destinations(&self) -> Vec<u64> {
         self.egress
             .results
@@ -282,8 +289,8 @@
             .collect()
     }
 
-    /// Ends messages that are still open well after their deadlines, so that their status reports are sent whatever
-    /// goes wrong elsewhere.
+    /// Ends messages that are still open well after their deadlines, so that their status reports are sent even if
+    /// another stage fails.
     fn end_overdue_messages(&mut self, now: Millis) {
         while let Some(number) = self.store.pop_overdue(now - OVERDUE_AFTER) {
             error!(number, "message ended after its deadline");
@@ -295,7 +302,7 @@
         }
     }
 
-    /// Runs the decision module, and carries its actions out.
+    /// Runs the decision module and performs its actions.
     fn decide(&mut self, now: Millis) {
         let actions = self.decision.turn(now);
         if !actions.is_empty() {
@@ -324,14 +331,14 @@
         *longest = took_ms.max(*longest);
     }
 
-    /// How long the loop may sleep, in milliseconds, if nothing becomes ready.
+    /// How long the event loop may wait for a socket to become ready.
     pub fn poll_timeout(&self) -> Millis {
-        let unseen = !self.decision.events.is_empty() || !self.egress.results.is_empty();
-        let unfinished = !self.unfinished_sources.is_empty();
-        if unfinished && !unseen && self.lacks_buffers() {
+        let has_unprocessed = !self.decision.events.is_empty() || !self.egress.results.is_empty();
+        let has_unfinished = !self.unfinished_sources.is_empty();
+        if has_unfinished && !has_unprocessed && self.lacks_buffers() {
             return BUFFER_WAIT;
         }
-        if unfinished || unseen {
+        if has_unfinished || has_unprocessed {
             return 0.0;
         }
         let longest = if self.shutdown_started.is_some() {
@@ -342,14 +349,14 @@
         (self.next_deadline() - self.clock.now()).clamp(0.0, longest)
     }
 
-    /// Whether a pool has no buffer left, so that what is unfinished has to wait for one.
+    /// Whether any buffer pool is exhausted, so that unfinished sources have to wait for a buffer.
     fn lacks_buffers(&self) -> bool {
         self.ingress.pool.is_exhausted()
             || self.egress.pool.is_exhausted()
             || self.control_buffers.is_exhausted()
     }
 
-    /// When the next state has something to do.
+    /// When the next stage has a timer due.
     fn next_deadline(&self) -> Millis {
         let deadlines = [
             self.egress.next_deadline(),
--- a/crates/sender/src/pipeline/mod.rs
+++ b/crates/sender/src/pipeline/mod.rs
@@ -1,8 +1,8 @@
-//! The path of a message through the sender, and the [`Driver`] that runs it, a round at a time.
+//! The stages that a message passes in the sender, and the [`Driver`] that runs them, one round at a time.
 //!
-//! A message passes ingress (its client's connection), admission (accepted or not), the decision module (when to
-//! attempt which endpoint), dispatch and egress (the attempts), and completion (its one end). Only the driver calls
-//! the decision module, in types that know no protocol.
+//! A message passes ingress (its client's connection), admission (accepted or rejected), the decision module (when to
+//! attempt which endpoint), dispatch and egress (the attempts), and completion (its single end). Only the driver calls
+//! the decision module, through types that are independent of any protocol.
 
 mod actions;
 mod admission;
--- a/crates/sender/src/pipeline/send_gate.rs
+++ b/crates/sender/src/pipeline/send_gate.rs
@@ -1,7 +1,9 @@
-//! The gate in front of the first byte of every request: collects what [`crate::safety`] has to know, and asks it.
+//! The check before the first byte of every request: collects the facts that [`crate::safety`] needs and applies its
+//! rules.
 //!
-//! The decision module decides on attempts some time before their connections are up. Whatever has changed meanwhile,
-//! or went wrong in a decision, is found here: a request that breaks a rule is not sent, and counts as a violation.
+//! The decision module decides on attempts some time before their connections are established. This check finds what
+//! has changed since then and what was decided wrongly: a request that breaks a rule is not sent, and counts as a
+//! violation.
 
 use std::collections::HashMap;
 
@@ -14,30 +16,31 @@
 use crate::egress::AttemptResult;
 use crate::safety::{self, RequestFacts, ViolationCounter};
 
-/// The decision module counts in nanoseconds, the pipeline in fractional milliseconds: instants that are the same may
-/// differ by less than this.
+/// The decision module uses whole nanoseconds, the pipeline fractional milliseconds: representations of the same
+/// instant may differ by less than this.
 const ROUNDING_TOLERANCE: Millis = 1.0;
-/// Waits that are over are forgotten once there are so many.
+/// Number of routes with a Retry-After from which on expired ones are removed.
 const RETRY_AFTER_PRUNE_THRESHOLD: usize = 1_024;
 
-/// What a Retry-After holds for.
+/// The target to which a Retry-After applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Route {
     Destination(u64),
-    /// An endpoint of a kind whose endpoints have limits of their own.
+    /// An endpoint of a kind whose endpoints each have their own limits.
     Endpoint(EndpointId),
 }
 
-/// Until when each route has asked not to be sent anything, noted apart from the decision module.
+/// The instant until which each route has asked not to be sent anything. Kept independently of the decision module, to
+/// check its decisions.
 #[derive(Default)]
 pub(super) struct RetryAfterTable {
-    /// For each kind of endpoint, whether its endpoints have limits of their own.
+    /// For each kind of endpoint, whether its endpoints each have their own limits.
     per_endpoint: Vec<bool>,
     until_by_route: HashMap<Route, Millis>,
 }
 
 impl RetryAfterTable {
-    /// An empty table. `per_endpoint` says for each kind whether its endpoints have limits of their own.
+    /// An empty table. `per_endpoint` states for each kind whether its endpoints each have their own limits.
     pub(super) fn new(per_endpoint: Vec<bool>) -> RetryAfterTable {
         RetryAfterTable {
             per_endpoint,
@@ -53,7 +56,7 @@
         }
     }
 
-    /// Notes the Retry-After of a result, if it has one.
+    /// Records the Retry-After of a result, if it has one.
     pub(super) fn record(
         &mut self,
         result: &AttemptResult,
@@ -83,7 +86,7 @@
     }
 }
 
-/// Whether requests may begin.
+/// Decides whether a request may be sent, by the safety rules.
 pub(super) struct SendGate<'a> {
     pub(super) class_rules: &'a ClassRules,
     pub(super) directory: &'a EndpointDirectory,
@@ -92,7 +95,7 @@
 }
 
 impl SendGate<'_> {
-    /// Whether a request for a message may be sent to an endpoint now.
+    /// Whether a request for a message may be sent to an endpoint now. A refusal counts as a violation.
     pub(super) fn permits(
         &self,
         message: &StoredMessage,
@@ -118,7 +121,7 @@
                 .class_rules
                 .is_non_idempotent(&record.class, &record.rules),
             first_run: first_run.map(|attempt| attempt.sent),
-            // Only a repeat needs the window, which takes some decoding.
+            // The window is decoded only for a repeat, the only request that needs it.
             idempotency_window: first_run.and_then(|_| {
                 self.class_rules
                     .idempotency_window(&record.class, &record.rules)
--- a/crates/sender/src/pipeline/status_reports/mod.rs
+++ b/crates/sender/src/pipeline/status_reports/mod.rs
@@ -1,8 +1,8 @@
-//! Reports the final status of undelivered messages to the platform, each until the platform has confirmed it.
+//! Reports the final status of undelivered messages to the platform, and repeats each report until it is confirmed.
 //!
-//! Reports go out in batches. A batch that is not confirmed in time is sent again on another connection, so that a
-//! connection that has fallen silent holds up no report; [`timing`] says when. A batch that the platform refuses is
-//! sent again in halves, so that a report that it cannot read does not hold up the others.
+//! Reports are sent in batches. A batch that is not confirmed in time is sent again on another connection, so that a
+//! silent connection delays no report; [`timing`] defines the times. A batch that the platform refuses is sent again in
+//! halves, so that a report that the platform cannot read does not delay the others.
 
 mod report_connection;
 mod timing;
@@ -21,34 +21,33 @@
 use report_connection::{BatchProgress, ReportConnection};
 use timing::{CONFIRMATION_TIMEOUT, FailureStreak, ReportTiming};
 
-/// Most connections to the platform.
+/// The largest number of connections to the platform.
 pub(super) const MAX_REPORT_CONNECTIONS: usize = 4;
-/// Another connection is opened once all others have carried their batches for so long.
+/// Another connection is opened once the batches on all open ones have waited this long for their answers.
 const NEW_CONNECTION_DELAY: Millis = 10.0;
-/// Most reports in one batch.
+/// The largest number of reports in one batch.
 const MAX_BATCH: usize = 32;
-/// How often a report is looked at that waits for the record of its final status.
+/// How often a report is checked whose final status has not been recorded in the log yet.
 const RECORD_CHECK_INTERVAL: Millis = 50.0;
 
-/// Sends status reports. Messages are named by their numbers.
+/// Sends status reports. Messages are identified by their numbers.
 pub struct StatusReporter {
     pub(super) platform: SocketAddr,
     handle: Handle,
     pool: BufferPool,
-    /// When the process process_started.
     process_started: Millis,
-    /// The reports that the platform has not confirmed.
+    /// The reports that the platform has not confirmed, by message number.
     unconfirmed: BTreeMap<u64, ReportTiming>,
     connections: Vec<ReportConnection>,
     failures: FailureStreak,
     batch_size: usize,
-    /// No report is due before this instant.
+    /// The earliest instant at which a report may be due.
     next_due: Millis,
     pub(super) jitter: Jitter,
 }
 
 impl StatusReporter {
-    /// A reporter with nothing to report.
+    /// A reporter without reports.
     pub(super) fn new(
         platform: SocketAddr,
         handle: Handle,
@@ -70,14 +69,14 @@
         }
     }
 
-    /// A message has ended undelivered: its report is unconfirmed from here on.
+    /// Adds the report of a message that has ended undelivered.
     pub(super) fn enqueue(&mut self, record: &MessageRecord) {
         let timing = ReportTiming::new(record.deadline);
         self.unconfirmed.insert(record.number, timing);
         self.next_due = f64::NEG_INFINITY;
     }
 
-    /// A report is unconfirmed once more from here on, even if it was sent: a confirmation of that does not count any more.
+    /// Adds a report again, even if it was sent before: a confirmation of the earlier send no longer counts.
     pub(super) fn repeat(&mut self, record: &MessageRecord) {
         for connection in &mut self.connections {
             connection.exclude(record.number);
@@ -85,14 +84,14 @@
         self.enqueue(record);
     }
 
-    /// Whether a report is on a connection.
+    /// Whether a report has been sent on a connection and is waiting for its confirmation.
     #[cfg(test)]
     pub(super) fn is_sent(&self, number: u64) -> bool {
         let report = self.unconfirmed.get(&number);
         report.is_some_and(|report| report.sent_at.is_some())
     }
 
-    /// How long reports that are not urgent wait after so many failures in a row.
+    /// How long reports that are not urgent wait after this number of further failures in a row.
     #[cfg(test)]
     pub(super) fn backoff_after_failures(&mut self, failures: u32, now: Millis) -> Millis {
         for _ in 0..failures {
@@ -111,7 +110,7 @@
         self.unconfirmed.keys().copied()
     }
 
-    /// Takes back a report that has not been sent. False if there is none.
+    /// Removes a report that has never been sent. Returns false if there is none.
     pub(super) fn withdraw(&mut self, number: u64) -> bool {
         let unsent = self
             .unconfirmed
@@ -120,8 +119,8 @@
         unsent && self.unconfirmed.remove(&number).is_some()
     }
 
-    /// Reports to another address from now on, unconfirmed reports included. The platform may get such a report
-    /// twice, which does no harm; waiting for the old address might be too late.
+    /// Sends all reports to another address from now on, unconfirmed ones included. The platform may receive such a
+    /// report twice, which does no harm, whereas waiting for the old address might take too long.
     pub(super) fn move_to(&mut self, platform: SocketAddr) {
         self.platform = platform;
         self.connections.clear();
@@ -132,7 +131,7 @@
         self.next_due = f64::NEG_INFINITY;
     }
 
-    /// Sends what is due.
+    /// Sends the reports that are due.
     pub(super) fn run_due(&mut self, store: &MessageStore, now: Millis) {
         if self.unconfirmed.is_empty() || now < self.next_due {
             return;
@@ -163,8 +162,8 @@
         }
     }
 
-    /// A connection for the next batch, which is removed from the others. None while a batch that has just been sent may
-    /// still be confirmed, or if no connection can be opened.
+    /// The connection for the next batch. An open one is removed from the list. `None` if a batch was sent so recently
+    /// that its confirmation may be about to arrive.
     fn free_connection(&mut self, now: Millis) -> Option<FreeConnection> {
         while let Some(index) = self.connections.iter().position(ReportConnection::is_idle) {
             let mut connection = self.connections.swap_remove(index);
@@ -180,7 +179,8 @@
         Some(FreeConnection::ToBeOpened)
     }
 
-    /// Sends a batch of the reports that are due, urgent ones first. False if there are none, or if that failed.
+    /// Sends a batch of the reports that are due, urgent ones first. Returns false if no report is due or the batch could
+    /// not be sent.
     fn send_batch(
         &mut self,
         connection: FreeConnection,
@@ -215,14 +215,14 @@
         }
         for number in connection.numbers() {
             if let Some(report) = self.unconfirmed.get_mut(number) {
-                report.sent(now);
+                report.mark_sent(now);
             }
         }
         self.connections.push(connection);
         true
     }
 
-    /// Keeps one connection for the reports to come.
+    /// Keeps an idle connection for later reports, unless another one is kept already.
     fn keep_idle(&mut self, connection: ReportConnection) {
         if !self.connections.iter().any(ReportConnection::is_idle) {
             self.connections.push(connection);
@@ -231,8 +231,8 @@
 
     /// The reports of the next batch.
     ///
-    /// A final status that the log could not take is reported once it is recorded, or once the deadline has passed:
-    /// before, a process that dies would leave a message behind that the next one sends although it has ended.
+    /// A final status that the log could not record is reported only once it is recorded or the deadline has passed. If
+    /// it were reported earlier and the process died, the next process would send the message although it has ended.
     fn due_batch(&mut self, store: &MessageStore, now: Millis) -> Batch {
         let recorded = store.wal.is_complete();
         let mut urgent = Vec::new();
@@ -257,7 +257,7 @@
         }
     }
 
-    /// A new connection. Where there are too many, the one that has carried its batch for the longest gives way.
+    /// Opens a new connection. If there are too many, the one whose batch has waited the longest is closed.
     fn open_connection(&mut self) -> Option<ReportConnection> {
         if self.connections.len() >= MAX_REPORT_CONNECTIONS {
             let oldest = (0..self.connections.len()).min_by(|a, b| {
@@ -276,7 +276,7 @@
         connection.ok().map(ReportConnection::new)
     }
 
-    /// Finds out when the next report is due.
+    /// Determines when the next report is due.
     fn schedule(&mut self, store: &MessageStore, now: Millis) {
         let recorded = store.wal.is_complete();
         let due = self.unconfirmed.values().map(|report| {
@@ -287,7 +287,7 @@
                 due_at.max((now + RECORD_CHECK_INTERVAL).min(report.deadline))
             }
         });
-        // What is due already waits for a connection.
+        // A report that is due already is waiting for a connection.
         self.next_due = due
             .fold(f64::INFINITY, f64::min)
             .max(now + NEW_CONNECTION_DELAY);
@@ -318,12 +318,12 @@
             self.batch_size = MAX_BATCH;
             self.next_due = f64::NEG_INFINITY;
         }
-        // One that was sent on several connections is confirmed once.
+        // A report that was sent on several connections is confirmed only once.
         confirmed.retain(|number| self.unconfirmed.remove(number).is_some());
         confirmed
     }
 
-    /// The batch of a connection was not confirmed: the connection is closed, and the batch is sent again after a backoff.
+    /// Closes a connection whose batch was not confirmed. The batch is sent again after a backoff.
     fn fail_connection(&mut self, index: usize, now: Millis, reason: &str) {
         let connection = self.connections.swap_remove(index);
         self.count_failure(now, connection.numbers().len(), reason);
@@ -344,8 +344,8 @@
         self.next_due = f64::NEG_INFINITY;
     }
 
-    /// The platform refuses a batch: the next one is half as large. One that is refused alone does not hold up the
-    /// others: it is due again only after the time for a confirmation.
+    /// Handles the platform's refusal of a batch: the next batch is half as large. A report that is refused on its own
+    /// is due again only after [`CONFIRMATION_TIMEOUT`], so that it does not delay the others.
     fn on_refusal(&mut self, index: usize, now: Millis) {
         self.batch_size = (self.batch_size / 2).max(1);
         let refused_alone = match self.connections[index].numbers() {
@@ -359,15 +359,15 @@
     }
 }
 
-/// A connection for the next batch.
+/// The connection for the next batch.
 enum FreeConnection {
     Open(ReportConnection),
     ToBeOpened,
 }
 
-/// Reports that are due.
+/// The reports of one batch.
 struct Batch {
-    /// Their messages, those of urgent reports first.
+    /// The numbers of their messages, urgent reports first.
     numbers: Vec<u64>,
     /// Whether any of them is urgent.
     urgent: bool,
@@ -378,7 +378,7 @@
     records.map(report_line).collect()
 }
 
-/// The line that reports a message's final status.
+/// The line of a batch that reports a message's final status.
 fn report_line(record: &MessageRecord) -> String {
     let id = serde_json::Value::from(&*record.id);
     match record.final_status.unwrap_or(FinalStatus::Undeliverable) {
--- a/crates/sender/src/pipeline/status_reports/report_connection.rs
+++ b/crates/sender/src/pipeline/status_reports/report_connection.rs
@@ -1,4 +1,4 @@
-//! One connection to the platform, with the batch of reports on it.
+//! One connection to the platform and the batch of reports that was sent on it.
 
 use std::net::SocketAddr;
 
@@ -10,28 +10,28 @@
 /// A connection to the platform. It carries one batch at a time.
 pub(super) struct ReportConnection {
     connection: Connection,
-    /// A batch was sent, and is not answered.
+    /// A batch was sent and has not been answered.
     awaits_answer: bool,
-    /// The messages whose reports an answer confirms.
+    /// The messages whose reports the platform's next answer confirms.
     numbers: Vec<u64>,
     /// When the batch was sent.
     pub(super) sent_at: Millis,
 }
 
-/// What has come of a batch.
+/// The result of reading the answer to a batch.
 pub(super) enum BatchProgress {
-    /// Nothing so far.
+    /// The platform has not answered yet.
     Pending,
-    /// The platform has confirmed it.
+    /// The platform has confirmed the batch.
     Confirmed,
-    /// The platform refuses it.
+    /// The platform has refused the batch.
     Refused,
-    /// The connection has ended.
+    /// The connection has ended or cannot be used any more.
     ConnectionLost,
 }
 
 impl ReportConnection {
-    /// A lane without a batch.
+    /// Wraps a connection on which no batch has been sent.
     pub(super) fn new(connection: Connection) -> ReportConnection {
         ReportConnection {
             connection,
@@ -41,35 +41,35 @@
         }
     }
 
-    /// Whether it carries no batch.
+    /// Whether no batch is waiting for an answer on it.
     pub(super) fn is_idle(&self) -> bool {
         !self.awaits_answer
     }
 
-    /// The messages whose reports an answer confirms.
+    /// The messages whose reports the platform's next answer confirms.
     pub(super) fn numbers(&self) -> &[u64] {
         &self.numbers
     }
 
-    /// The batch is answered: these messages are confirmed.
+    /// Marks the batch as answered. Returns the messages whose reports are confirmed.
     pub(super) fn take_confirmed(&mut self) -> Vec<u64> {
         self.awaits_answer = false;
         std::mem::take(&mut self.numbers)
     }
 
-    /// Whether a batch can still be sent on it. Reading from it first shows whether the platform has closed it, before
-    /// a batch is lost on it.
+    /// Whether a batch can still be sent on it. It is read first, to notice that the platform has closed it before a
+    /// batch is lost on it.
     pub(super) fn is_usable(&mut self) -> bool {
         self.connection.receive();
         !self.connection.eof && !self.connection.broken
     }
 
-    /// The confirmation of its batch does not count for this message.
+    /// Excludes a message from its batch, so that the batch's confirmation does not count for that message.
     pub(super) fn exclude(&mut self, number: u64) {
-        self.numbers.retain(|carried| *carried != number);
+        self.numbers.retain(|batch_number| *batch_number != number);
     }
 
-    /// Writes a batch. False if the connection did not take it.
+    /// Writes a batch. Returns false if that failed.
     pub(super) fn send(
         &mut self,
         platform: SocketAddr,
@@ -91,7 +91,7 @@
         !self.connection.broken
     }
 
-    /// Goes on writing, and reads what the platform has answered.
+    /// Continues to write the batch, and reads the platform's answer.
     pub(super) fn progress(&mut self) -> BatchProgress {
         self.connection.flush();
         self.connection.receive();
@@ -112,8 +112,8 @@
         BatchProgress::Confirmed
     }
 
-    /// Takes an answer off the connection. False if the connection cannot be used again: a body that has not arrived
-    /// yet is not waited for.
+    /// Removes an answer from the input. Returns false if the connection cannot be used again, which includes that the
+    /// answer's body is incomplete: the rest of it is not waited for.
     fn consume_response(&mut self, response: &http::Response) -> bool {
         let body = self.connection.bytes().len() - response.consumed;
         self.connection.consume(response.consumed + body);
--- a/crates/sender/src/pipeline/status_reports/timing.rs
+++ b/crates/sender/src/pipeline/status_reports/timing.rs
@@ -1,57 +1,59 @@
-//! When a status report is sent, and sent again. Pure functions of instants.
+//! When a status report is sent and repeated, as pure functions of instants.
 //!
-//! The platform counts a message as lost if it has not heard of its end 300 ms behind its deadline. A report is urgent
-//! around that time: it is repeated soon, whatever has failed before. At all other times the platform is spared.
+//! The platform counts a message as lost if it has received no final status by 300 ms after the deadline. A report is
+//! urgent around that time: it is repeated soon, whatever has failed before. At all other times it is repeated slowly,
+//! to reduce the load on the platform.
 
 use martenlatch_clock::Millis;
 
-/// A report is urgent from so long before its message's deadline.
+/// How long before its message's deadline a report becomes urgent.
 const URGENT_LEAD: Millis = 50.0;
-/// A report is urgent until so long after its message's deadline, or after the start of the process: the platform
-/// grants a restarted sender this time.
+/// How long after its message's deadline, or after the start of the process if that is later, a report remains urgent:
+/// the platform grants a restarted sender this time.
 const URGENT_SPAN: Millis = 1_500.0;
 
 /// How long the platform may take to confirm a report that is not urgent.
 pub(super) const CONFIRMATION_TIMEOUT: Millis = 1_000.0;
-/// How long it may take for an urgent one that was sent once; twice as long after each further time.
+/// How long it may take to confirm an urgent report that was sent once. Doubles with each time that it is sent again.
 const URGENT_CONFIRMATION_TIMEOUT: Millis = 40.0;
 
-/// The backoff after a failure, which doubles with each one in a row up to [`MAX_BACKOFF`].
+/// The backoff after the first failure. Doubles with each further failure in a row, up to [`MAX_BACKOFF`].
 const MIN_BACKOFF: Millis = 50.0;
 const MAX_BACKOFF: Millis = 1_000.0;
-/// The backoff while a report is urgent.
+/// The backoff of an urgent report.
 const URGENT_BACKOFF: Millis = 20.0;
-/// The same after many failures in a row: the platform is down, and must not be flooded by all senders.
+/// The longest backoff of an urgent report from [`MANY_FAILURES`] on: the platform is down, and all senders together
+/// must not flood it.
 const LONG_URGENT_BACKOFF: Millis = 100.0;
-/// FailureStreak in a row that are many.
+/// Failures in a row from which on an urgent report backs off for longer.
 const MANY_FAILURES: u32 = 10;
 
-/// What the time of a report depends on.
+/// The state of one report that determines when it is sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ReportTiming {
     /// The deadline of its message.
     pub(super) deadline: Millis,
-    /// When it was sent last; none if it is on no connection.
+    /// When it was last sent, or `None` if it is on no connection.
     pub(super) sent_at: Option<Millis>,
-    /// How often it was sent again because no answer came to the time before.
+    /// How often it was sent again because the send before it was not answered.
     pub(super) unanswered_sends: u32,
     /// Whether it was ever sent.
     pub(super) was_sent: bool,
 }
 
-/// The failures in a row, up to now.
+/// The current sequence of failures without a confirmation between them.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FailureStreak {
-    /// How many there were since the last confirmation.
+    /// The number of failures since the last confirmation.
     pub(super) length: u32,
-    /// When the last one was.
+    /// When the last failure occurred.
     pub(super) last_at: Millis,
-    /// Random part of a backoff that is waited for, around 1.
+    /// Random factor around 1 by which the backoff is multiplied.
     pub(super) jitter_factor: f64,
 }
 
 impl FailureStreak {
-    /// No failure so far.
+    /// No failure since the last confirmation.
     pub(super) fn none() -> FailureStreak {
         FailureStreak {
             length: 0,
@@ -60,7 +62,7 @@
         }
     }
 
-    /// When reports may be sent again.
+    /// When reports may be sent again after the last failure.
     pub(super) fn backoff_until(&self, urgent: bool) -> Millis {
         self.last_at + self.backoff(urgent) * self.jitter_factor
     }
@@ -93,8 +95,8 @@
         }
     }
 
-    /// It is sent, once more if it is on a connection already.
-    pub(super) fn sent(&mut self, now: Millis) {
+    /// Notes that the report was sent, possibly while it was already on a connection.
+    pub(super) fn mark_sent(&mut self, now: Millis) {
         self.unanswered_sends = match self.sent_at {
             Some(_) => self.unanswered_sends + 1,
             None => 0,
@@ -103,20 +105,20 @@
         self.was_sent = true;
     }
 
-    /// Whether the report is urgent, in a process that process_started at an instant.
+    /// Whether the report is urgent.
     pub(super) fn is_urgent(&self, process_started: Millis, now: Millis) -> bool {
         now >= self.urgent_from() && now <= self.urgent_until(process_started)
     }
 
-    /// When the report is to be sent next. In the past for one that is due.
+    /// When the report is due to be sent next. In the past if it is due already.
     pub(super) fn due_at(&self, failures: &FailureStreak, process_started: Millis) -> Millis {
         let regular = self
-            .repeated_at(CONFIRMATION_TIMEOUT)
+            .repeat_at(CONFIRMATION_TIMEOUT)
             .max(failures.backoff_until(false));
         let doublings = self.unanswered_sends.min(u32::BITS / 2);
         let confirmation_timeout = URGENT_CONFIRMATION_TIMEOUT * f64::from(1_u32 << doublings);
         let urgent = self
-            .repeated_at(confirmation_timeout)
+            .repeat_at(confirmation_timeout)
             .max(failures.backoff_until(true))
             .max(self.urgent_from());
         if urgent <= self.urgent_until(process_started) {
@@ -126,8 +128,8 @@
         }
     }
 
-    /// When a report that is not confirmed is sent again.
-    fn repeated_at(&self, confirmation_timeout: Millis) -> Millis {
+    /// When the report is sent again if it is not confirmed within a timeout.
+    fn repeat_at(&self, confirmation_timeout: Millis) -> Millis {
         self.sent_at
             .map_or(f64::NEG_INFINITY, |sent_at| sent_at + confirmation_timeout)
     }
