--- a/crates/sender/src/pipeline/builder.rs
+++ b/crates/sender/src/pipeline/builder.rs
@@ -1,5 +1,5 @@
-//! Builds the [`Driver`] of a process: a fresh start from the write-ahead log, or a takeover from the state that the
-//! predecessor has passed.
+//! Builds the [`Driver`] of a process: in a fresh start from the write-ahead log, or in a takeover from the state of
+//! the predecessor.
 
 use std::collections::BTreeMap;
 use std::net::TcpListener;
@@ -35,36 +35,36 @@
 use crate::peer_service::PeerService;
 use crate::safety::ViolationCounter;
 
-/// An input and an output buffer for each connection.
+/// Each connection has an input and an output buffer.
 const BUFFERS_PER_CONNECTION: usize = 2;
 /// Buffers for the connections of the watch and of the status reports.
 const CONTROL_BUFFERS: usize = (1 + MAX_REPORT_CONNECTIONS) * BUFFERS_PER_CONNECTION;
-/// The part of the memory limit for buffers, as a divisor.
+/// The share of the memory limit for buffers, as a divisor.
 const BUFFER_MEMORY_DIVISOR: u64 = 2;
-/// Clients may have this part of the descriptors, as a divisor; the rest is for endpoints, discovery and files.
+/// The share of the descriptors for clients, as a divisor. The rest is for endpoints, discovery and files.
 const CLIENT_DESCRIPTORS_DIVISOR: usize = 2;
-/// Each client takes two buffers, and leaves one for endpoints.
+/// Each client uses two buffers, and a third is left for endpoints.
 const BUFFERS_CLAIMED_PER_CLIENT: usize = 3;
-/// Endpoints may have this part of the descriptors, as a divisor.
+/// The share of the descriptors for endpoints, as a divisor.
 const ENDPOINT_DESCRIPTORS_DIVISOR: usize = 3;
 
 /// An instant before every idempotency window.
 const LONG_AGO: Millis = 0.0;
 
-/// What a process starts with.
+/// The way in which a process starts, with its inputs.
 pub enum StartMode {
-    /// The write-ahead log holds what earlier processes have left.
+    /// A start from the write-ahead log, which has the messages that earlier processes left open.
     Fresh {
-        /// Its own listener.
+        /// The listener for clients, opened by this process.
         listener: TcpListener,
         /// When the process started.
         process_started: Instant,
     },
-    /// The state of the process before it, and its descriptors, the listener's first.
+    /// A start from the state of the predecessor and its descriptors, of which the listener is the first.
     Takeover(Box<ProcessState<Policy>>, InheritedDescriptors),
 }
 
-/// How many connections and buffers the limits on descriptors and memory allow.
+/// The numbers of connections and buffers that the limits on descriptors and memory allow.
 struct ConnectionCapacity {
     max_clients: usize,
     endpoint_buffers: usize,
@@ -72,7 +72,8 @@
 }
 
 impl ConnectionCapacity {
-    /// Clients have buffers of their own, so that slow clients cannot starve endpoints.
+    /// Computes the capacity. Clients and endpoints have separate buffers, so that slow clients cannot starve
+    /// endpoints.
     fn new(config: &Config, settings: &Settings) -> ConnectionCapacity {
         let operator_connections = match config.operator {
             Some(_) => operator::CALLERS + 1,
@@ -97,13 +98,13 @@
     }
 }
 
-/// What the predecessor has passed that is restored once the driver stands.
+/// The part of the predecessor's state that is restored once the driver has been assembled.
 struct InheritedState {
     state: RemainingState,
     descriptors: InheritedDescriptors,
 }
 
-/// What a fresh start and a takeover differ in.
+/// The parts of the driver that a fresh start and a takeover obtain differently.
 struct DriverParts {
     listener: TcpListener,
     settings: Settings,
@@ -111,7 +112,7 @@
     policy: Policy,
     wal: WriteAheadLog,
     next_number: u64,
-    /// What the log holds of earlier processes; a takeover inherits this with its state.
+    /// The messages that earlier processes left in the log. Empty in a takeover, which inherits them with the state.
     recovered: BTreeMap<u64, MessageRecord>,
     inherited_state: Option<InheritedState>,
 }
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Starts from the write-ahead log.
+    /// The parts of a fresh start from the write-ahead log.
     fn fresh(
         config: &Config,
         listener: TcpListener,
@@ -155,7 +156,7 @@
         })
     }
 
-    /// Starts from the state of the predecessor, which may go on until this process has committed to take over.
+    /// The parts of a takeover. The predecessor may still continue until this process has committed to take over.
     fn takeover(
         config: &Config,
         state: ProcessState<Policy>,
@@ -195,7 +196,7 @@
     /// Builds the driver of a process.
     ///
     /// # Errors
-    /// Where the settings, the listener or the passed state cannot be used.
+    /// Returns an error if the settings, the listener or the predecessor's state cannot be used.
     pub fn new(
         config: Config,
         start: StartMode,
@@ -228,7 +229,7 @@
         Ok(driver)
     }
 
-    /// Puts the stages together. Nothing is held yet.
+    /// Assembles the stages. The store is still empty.
     fn assemble(
         config: &Config,
         parts: DriverParts,
@@ -289,7 +290,8 @@
         })
     }
 
-    /// Holds what the log has of earlier processes. Returns the events for the decision module.
+    /// Adds the messages that the log has of earlier processes to the store. Returns the events for the decision
+    /// module.
     fn resume(&mut self, recovered: BTreeMap<u64, MessageRecord>) -> Vec<Event> {
         let mut events = Vec::new();
         for mut record in recovered.into_values() {
@@ -305,7 +307,8 @@
     }
 }
 
-/// The time since the attempts of a message is not known: no idempotency window is proven to be open still.
+/// Replaces the times of a message's attempts by [`LONG_AGO`]. The time since the attempts is unknown if the clock is
+/// not continuous, so no idempotency window is proven to be still open.
 fn forget_attempt_times(record: &mut MessageRecord) {
     for attempt in &mut record.attempts {
         attempt.sent = LONG_AGO;
--- a/crates/sender/src/pipeline/endpoint_updates.rs
+++ b/crates/sender/src/pipeline/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! Updates of the endpoint list: from discovery's watch, and from operators' cordons.
+//! Applies updates of the endpoint list, from discovery's watch and from operators' cordons.
 
 use martenlatch_clock::Millis;
 use martenlatch_policy::interface::{EndpointEntry, EndpointId, EndpointState, Event};
@@ -8,7 +8,7 @@
 use crate::discovery::EndpointListChange;
 
 impl Driver {
-    /// Reads the watch. True if there is more to read.
+    /// Reads the watch. Returns true if there is more to read.
     pub(super) fn read_watch(&mut self, now: Millis) -> bool {
         let (changes, more) = self.directory.on_ready(now);
         for change in changes {
@@ -17,8 +17,8 @@
         more
     }
 
-    /// Passes a change of the endpoint list to the decision module, in the round that brings it. Attempts that have
-    /// not begun are cancelled where they may no longer go.
+    /// Passes a change of the endpoint list to the decision module in the same round. Attempts that have not begun are
+    /// cancelled if their endpoints no longer take requests.
     pub(super) fn apply_endpoint_change(&mut self, change: EndpointListChange) {
         let now = self.clock.now();
         self.cancel_attempts_to_removed(&change, now);
@@ -42,8 +42,8 @@
         self.decision.events.extend(gossip);
     }
 
-    /// Cancels attempts that have not begun, to endpoints that are no longer active. A complete list also removes
-    /// those that it does not name.
+    /// Cancels attempts that have not begun to endpoints that are no longer active. A complete list also removes the
+    /// endpoints that it does not contain.
     fn cancel_attempts_to_removed(&mut self, change: &EndpointListChange, now: Millis) {
         let is_listed = |endpoint: EndpointId, active: bool| {
             change.entries.iter().any(|entry| {
@@ -61,8 +61,8 @@
             .cancel_unsent(|_, endpoint| is_removed(endpoint), now);
     }
 
-    /// What peers know of endpoints that were just listed. The decision module hears it together with the list, before
-    /// anything can be sent to them.
+    /// The events with the peers' knowledge of endpoints that were just listed. The decision module receives them
+    /// together with the list, before anything can be sent to these endpoints.
     fn gossip_about(&mut self, entries: &[EndpointEntry], now: Millis) -> Vec<Event> {
         let directory = &self.directory;
         let endpoint_name = |endpoint| directory.endpoint_name(endpoint);
--- a/crates/sender/src/pipeline/ingress/client.rs
+++ b/crates/sender/src/pipeline/ingress/client.rs
@@ -97,8 +97,9 @@
 
     /// Writes an answer.
     ///
-    /// A client that has ended its sending may have left; it resets the connection in reply to the first byte then, which
-    /// is therefore written alone. Behind the whole answer, a reset would not tell whether the client has read it.
+    /// A client that has ended its sending may have left; it resets the connection in reply to the first byte then,
+    /// which is therefore written alone. Behind the whole answer, a reset would not tell whether the client has read
+    /// it.
     ///
     /// # Errors
     /// Why the connection has to be closed, where the client cannot have read the answer.
--- a/crates/sender/src/pipeline/ingress/eviction.rs
+++ b/crates/sender/src/pipeline/ingress/eviction.rs
@@ -52,8 +52,8 @@
 }
 
 impl Ingress {
-    /// The clients that do not wait for an answer, nor for the rest of one, in the order in which they are evicted: within a rank, the longest
-    /// there first.
+    /// The clients that do not wait for an answer, nor for the rest of one, in the order in which they are evicted:
+    /// within a rank, the longest there first.
     fn eviction_order(&self, now: Millis) -> Vec<EvictionCandidate> {
         let mut order: Vec<EvictionCandidate> = self
             .clients
--- a/crates/sender/src/pipeline/ingress/request.rs
+++ b/crates/sender/src/pipeline/ingress/request.rs
@@ -108,8 +108,8 @@
         }))
     }
 
-    /// The earliest instant at which the request of a client may have arrived. Its time counts from there: an end that is
-    /// reported by the time of the read would come too late where the process was held up.
+    /// The earliest instant at which the request of a client may have arrived. Its time counts from there: an end that
+    /// is reported by the time of the read would come too late where the process was held up.
     fn earliest_arrival(&self, client: usize, now: Millis) -> Millis {
         self.clients[client]
             .input_since
--- a/crates/sender/src/pipeline/known_list.rs
+++ b/crates/sender/src/pipeline/known_list.rs
@@ -1,7 +1,8 @@
-//! The endpoint list that a process is started with, as the sender last had it.
+//! The endpoint list with which a process starts: the last one that the sender had, from the configuration.
 //!
-//! It counts as of the start. Endpoints may drain while a start is held up, and requests to them must stop 1 s later:
-//! behind a slow start, discovery is asked first. Only where it stays silent for long, an old list is better than none.
+//! The list describes the endpoints as of the start of the process. They may begin to drain while the start is delayed,
+//! and requests to them must stop 1 s later. After a slow start, discovery is therefore asked first, and the list is used
+//! only if discovery does not answer for long: an old list is better than none.
 
 use std::time::{Duration, Instant};
 
@@ -13,19 +14,19 @@
 use crate::Config;
 use crate::discovery::EndpointListChange;
 
-/// The list is used at once where the start took no longer than this. Discovery's first answer may take another 500 ms.
+/// The longest start after which the list is used at once. Discovery's first answer may take another 500 ms.
 const MAX_PROMPT_START: Duration = Duration::from_millis(400);
-/// How long discovery is waited for behind a start that took longer.
+/// How long to wait for discovery after a start that took longer.
 const DISCOVERY_TIMEOUT: Millis = 5_000.0;
 
-/// A list that is used unless discovery answers first.
+/// The configured list after a delayed start. It is used unless discovery answers first.
 pub struct DeferredList {
     list: Value,
     use_at: Millis,
 }
 
 impl Driver {
-    /// Uses the list of the configuration, now or later, in a process that started at an instant.
+    /// Uses the list of the configuration at once after a prompt start, or defers it after a delayed one.
     pub(super) fn apply_or_defer_known_list(&mut self, config: &Config, process_started: Instant) {
         if !config.known.is_object() {
             return;
@@ -34,14 +35,14 @@
             self.apply_known_list(&config.known);
             return;
         }
-        info!("the start was held up: discovery is asked before anything is sent");
+        info!("start delayed: waiting for discovery before anything is sent");
         self.deferred_list = Some(DeferredList {
             list: config.known.clone(),
             use_at: self.clock.now() + DISCOVERY_TIMEOUT,
         });
     }
 
-    /// Uses the deferred list once discovery has been silent for long enough.
+    /// Uses the deferred list once discovery has not answered for [`DISCOVERY_TIMEOUT`].
     pub(super) fn apply_deferred_list(&mut self, now: Millis) {
         if self.directory.has_heard_discovery() {
             self.deferred_list = None;
@@ -51,7 +52,7 @@
         }
     }
 
-    /// When [`Driver::apply_deferred_list`] has something to do.
+    /// When [`Driver::apply_deferred_list`] uses the deferred list, if there is one.
     pub(super) fn deferred_list_deadline(&self) -> Option<Millis> {
         self.deferred_list.as_ref().map(|deferred| deferred.use_at)
     }
--- a/crates/sender/src/pipeline/message_store.rs
+++ b/crates/sender/src/pipeline/message_store.rs
@@ -1,7 +1,7 @@
-//! The messages that this process holds, and what all stages of the pipeline share: the write-ahead log and the
-//! counters.
+//! The messages that this process holds, with the write-ahead log and the counters that all stages of the pipeline
+//! share.
 //!
-//! A message is held from its record in the log until it is over and none of its attempts is in flight.
+//! A message is held from its record in the log until it is closed and none of its attempts is in flight.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
@@ -12,39 +12,39 @@
 use crate::class_metrics::ClassMetrics;
 use crate::counters::Counters;
 
-/// How far a message has come. Passed to a successor: the order of the variants is fixed.
+/// The progress of a message. Passed to a successor process, so the order of the variants is fixed.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum MessageState {
     /// Neither delivered nor given up.
     Open,
-    /// Given up; the platform has not confirmed the status report yet.
+    /// Given up, but the platform has not confirmed the status report yet.
     Reporting,
     /// Delivered, or given up with a confirmed status report.
     Closed,
 }
 
-/// A message that has been accepted.
+/// A message that has been accepted and is held.
 pub struct StoredMessage {
     pub(super) record: MessageRecord,
     pub(super) state: MessageState,
-    /// Attempts that have no result yet.
+    /// The number of attempts that have no result yet.
     pub(super) attempts_in_flight: u32,
-    /// Recovered from an earlier process, and not attempted by any process yet.
+    /// Recovered from an earlier process and not attempted by any process yet.
     pub(super) unattempted: bool,
-    /// Its end was counted before: its report is only sent again.
+    /// Its end was counted before, and only its report is sent again.
     pub(super) end_counted: bool,
 }
 
-/// The deadline of a message as an ordered key, with its number.
+/// The deadline of a message as an ordered key, followed by the message's number.
 type DeadlineKey = (u64, u64);
 
 /// All held messages, by number and by id.
 pub struct MessageStore {
     pub(super) messages: BTreeMap<u64, StoredMessage>,
     pub(super) numbers_by_id: HashMap<Rc<str>, u64>,
-    /// The open messages in the order of their deadlines.
+    /// The open messages, earliest deadline first.
     by_deadline: BTreeSet<DeadlineKey>,
-    /// How many messages are open.
+    /// The number of open messages.
     pub(super) open_count: usize,
     /// The number of the next message.
     pub(super) next_number: u64,
@@ -53,13 +53,13 @@
     pub(super) class_metrics: ClassMetrics,
 }
 
-/// The bits of a non-negative float have the order of the float itself.
+/// The key by which a message is ordered. A non-negative float's bits have the same order as the float itself.
 fn deadline_key(record: &MessageRecord) -> DeadlineKey {
     (record.deadline.max(0.0).to_bits(), record.number)
 }
 
 impl MessageStore {
-    /// A store that holds nothing yet.
+    /// A store without messages.
     pub(super) fn new(
         wal: WriteAheadLog,
         next_number: u64,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Holds a message that the log has.
+    /// Adds a message that the log has recorded.
     pub(super) fn insert(&mut self, record: MessageRecord, state: MessageState) {
         self.numbers_by_id.insert(record.id.clone(), record.number);
         if state == MessageState::Open {
@@ -108,7 +108,7 @@
             .is_some_and(|message| message.state == MessageState::Open)
     }
 
-    /// The number of a held message of this id that was given up and whose report the platform has not confirmed.
+    /// The number of the held message with this id, if it was given up and the platform has not confirmed its report.
     pub(super) fn number_being_reported(&self, id: &Rc<str>) -> Option<u64> {
         let number = *self.numbers_by_id.get(id)?;
         let message = self.messages.get(&number)?;
@@ -122,12 +122,12 @@
             .is_some_and(|message| message.attempts_in_flight > 0)
     }
 
-    /// Whether a message of this id is held, or is among the last ones that were closed.
+    /// Whether a message with this id is held or was recently closed.
     pub(super) fn is_known(&self, id: &Rc<str>) -> bool {
         self.numbers_by_id.contains_key(id) || self.wal.recently_closed.contains(id)
     }
 
-    /// Moves a message to a later state; the log learns of its close.
+    /// Moves a message to a later state. If it is closed, this is recorded in the log.
     pub(super) fn advance(&mut self, number: u64, state: MessageState) {
         let Some(message) = self.messages.get_mut(&number) else {
             return;
@@ -147,7 +147,8 @@
         self.remove_if_finished(number);
     }
 
-    /// Takes the open message of the earliest deadline out of the order of deadlines, if that is before an instant.
+    /// Removes the open message with the earliest deadline from the deadline order, if that deadline is before an
+    /// instant. The message itself stays in the store.
     pub(super) fn pop_overdue(&mut self, before: Millis) -> Option<u64> {
         let first = *self.by_deadline.first()?;
         let (deadline_bits, number) = first;
@@ -158,7 +159,7 @@
         Some(number)
     }
 
-    /// Lets go of a message that is closed and has no attempt in flight.
+    /// Removes a message if it is closed and has no attempt in flight.
     pub(super) fn remove_if_finished(&mut self, number: u64) {
         let finished = self.messages.get(&number).is_some_and(|message| {
             message.state == MessageState::Closed && message.attempts_in_flight == 0
--- a/crates/sender/src/pipeline/metrics.rs
+++ b/crates/sender/src/pipeline/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and gauges of the running process.
+//! The counters and gauges of the running process.
 
 use tracing::info;
 
@@ -22,7 +22,7 @@
         self.store.class_metrics.print(&gauges);
     }
 
-    /// The gauges, with everything counted that has happened up to now.
+    /// The current gauges. Everything that has happened up to now is counted first.
     pub(super) fn gauges(&mut self) -> Gauges {
         self.count_metrics();
         let policy = &self.decision.policy;
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Counts what egress and ingress have noted since the last time: attempts whose last byte was sent, and messages
-    /// that were rejected before they were complete.
+    /// Counts what egress and ingress have recorded since the last call: attempts whose last byte was sent, and
+    /// messages that were rejected before they were complete.
     pub(super) fn count_metrics(&mut self) {
         for id in std::mem::take(&mut self.egress.sent) {
             if let Some(message) = self.store.messages.get(&id.0) {
--- a/crates/sender/src/pipeline/operator_calls.rs
+++ b/crates/sender/src/pipeline/operator_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of operators, and reloading the configuration.
+//! Operators' calls, and the reload of the configuration.
 
 use martenlatch_clock::Millis;
 use tracing::{info, warn};
@@ -9,19 +9,19 @@
 use crate::cordons::CordonError;
 use crate::operator::{self, Call};
 
-/// Why a call is refused. `Display` is the reason that the operator gets.
+/// Why a call is refused. Its `Display` text is sent to the operator as the reason.
 #[derive(Debug, thiserror::Error)]
 enum CallError {
-    /// The health check of a process that accepts no more clients.
+    /// A health check failed because the process accepts no more clients.
     #[error("ending: no more clients are taken")]
     ShuttingDown,
-    /// A cordon cannot be set or lifted.
+    /// A cordon could not be set or lifted.
     #[error(transparent)]
     Cordon(#[from] CordonError),
 }
 
 impl Driver {
-    /// Reads an operator's call, and answers it once it is complete.
+    /// Reads an operator's call and answers it once it is complete.
     pub(super) fn answer_operator(&mut self, index: usize, now: Millis) {
         let Some(operators) = &mut self.operators else {
             return;
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Performs a call. Returns the lines of its answer.
+    /// Performs a call and returns the lines of its answer.
     fn perform_call(&mut self, call: Call) -> Result<String, CallError> {
         match call {
             Call::Health => self.health(),
@@ -59,7 +59,8 @@
         Ok("serving\n".into())
     }
 
-    /// Cordons an endpoint, or lifts its cordon: on disk and in the decision module's events before the answer.
+    /// Cordons an endpoint or lifts its cordon. The change is on disk and in the decision module's events before the
+    /// call is answered.
     fn set_cordon(&mut self, endpoint: &str, cordoned: bool) -> Result<String, CallError> {
         let change = self.directory.set_cordon(endpoint, cordoned)?;
         let changed = change.is_some();
@@ -70,8 +71,8 @@
         Ok(if cordoned { "out\n" } else { "in\n" }.into())
     }
 
-    /// SIGHUP: the configuration was read again. Of it, `discovery` takes effect at once, the rest at the next start. A
-    /// configuration that cannot be used changes nothing.
+    /// Applies the configuration that was read again after SIGHUP. Its `discovery` field takes effect at once, the rest
+    /// at the next start. A configuration that cannot be used changes nothing.
     pub fn reload(&mut self, config: Result<Config, ConfigError>) {
         match config {
             Ok(config) => {
--- a/crates/sender/src/pipeline/poll_history.rs
+++ b/crates/sender/src/pipeline/poll_history.rs
@@ -1,7 +1,7 @@
-//! Since when a socket that the event loop has just reported may have been readable.
+//! The earliest instant since which a socket that the event loop has just reported may have been readable.
 //!
-//! A process that is held up reads what has come long after it arrived, and the system does not say when that was. What
-//! one poll reports and the poll before it did not has come after that earlier poll began.
+//! A process that was delayed reads bytes long after they arrived, and the operating system does not report when that
+//! was. If one poll reports a socket and the poll before it did not, the bytes arrived after that earlier poll began.
 
 use martenlatch_clock::Millis;
 
@@ -12,7 +12,7 @@
 }
 
 impl PollHistory {
-    /// No poll so far: nothing is known of when anything came.
+    /// A history without polls: arrival times have no lower bound.
     pub(super) fn new() -> PollHistory {
         PollHistory {
             last: f64::NEG_INFINITY,
@@ -20,13 +20,13 @@
         }
     }
 
-    /// A round has ended, and the next poll begins.
+    /// Records that a round has ended and the next poll begins now.
     pub(super) fn record_poll_start(&mut self, now: Millis) {
         self.before_last = self.last;
         self.last = now;
     }
 
-    /// What the last poll reported as readable, and the one before it did not, came after this instant.
+    /// The instant after which the bytes arrived that the last poll reported and the one before it did not.
     pub(super) fn readable_since(&self) -> Millis {
         self.before_last
     }
--- a/crates/sender/src/pipeline/process_state.rs
+++ b/crates/sender/src/pipeline/process_state.rs
@@ -1,7 +1,7 @@
-//! The state that one process of the sender passes to its successor, cut between two rounds.
+//! The state that one process of the sender passes to its successor, captured between two rounds.
 //!
-//! The state is in postcard form: the order of fields and variants is fixed, their names are not. Restoring it touches
-//! nothing outside the process, because the predecessor may still decide to go on.
+//! The state is in postcard form: the order of fields and variants is fixed, their names are not. Restoring it changes
+//! nothing outside the process, because the predecessor may still decide to continue.
 
 use std::os::fd::{AsFd, BorrowedFd};
 
@@ -18,11 +18,11 @@
 use crate::event_source::{Connection, EventSource, InheritedDescriptors};
 use crate::{Config, discovery, egress};
 
-/// Descriptors in use beside the connections that are passed: the event loop, the log, files, operators, the watch and
-/// the status reports.
+/// The number of descriptors reserved for everything except the connections that are passed: the event loop, the log,
+/// files, operators, the watch and the status reports.
 const OTHER_DESCRIPTORS: usize = 24;
 
-/// The names behind the numbers that the decision module uses.
+/// The names of the zones, kinds and classes that the decision module identifies by their indices.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct SettingsNames {
     zones: Vec<String>,
@@ -41,7 +41,7 @@
     }
 }
 
-/// A held message as it is passed.
+/// A held message in the form that is passed to the successor.
 #[derive(Serialize, Deserialize)]
 struct HeldMessage {
     record: MessageRecord,
@@ -49,11 +49,11 @@
     attempts_in_flight: u32,
 }
 
-/// The state of a process between two rounds. `P` is the decision module, owned or borrowed, and `L` the position in
-/// the write-ahead log; both are `()` once they have been taken out.
+/// The state of a process between two rounds. `P` is the decision module, owned or borrowed, and `L` is the position in
+/// the write-ahead log. Both are `()` once they have been taken out.
 #[derive(Serialize, Deserialize)]
 pub struct ProcessState<P, L = LogPosition> {
-    /// When the state was cut.
+    /// When the state was captured.
     captured_at: Millis,
     names: SettingsNames,
     /// The classes of the settings, followed by those of earlier settings.
@@ -70,10 +70,10 @@
     egress: egress::ConnectionSnapshot,
 }
 
-/// What is left of the state once the decision module and the log's position have been taken out.
+/// The rest of the state once the decision module and the log's position have been taken out.
 pub(super) type RemainingState = ProcessState<(), ()>;
 
-/// A predecessor's state in the parts that are restored one after the other.
+/// A predecessor's state, split into the parts that are restored one after another.
 pub(super) struct SplitState {
     pub(super) policy: Policy,
     pub(super) log_position: LogPosition,
@@ -84,7 +84,7 @@
     /// Decodes the state of a predecessor for a process of this configuration.
     ///
     /// # Errors
-    /// Where the state cannot be decoded, or belongs to a configuration of other names.
+    /// Returns an error if the state cannot be decoded, or belongs to a configuration with other names.
     pub fn decode(bytes: &[u8], config: &Config) -> Result<ProcessState<Policy>, SenderError> {
         let state: ProcessState<Policy> =
             postcard::from_bytes(bytes).map_err(SenderError::DecodeState)?;
@@ -94,12 +94,12 @@
         Ok(state)
     }
 
-    /// When the state was cut.
+    /// When the state was captured.
     pub fn captured_at(&self) -> Millis {
         self.captured_at
     }
 
-    /// Takes the decision module and the log's position out.
+    /// Separates the decision module and the log's position from the rest of the state.
     pub(super) fn split(self) -> SplitState {
         let remaining = ProcessState {
             captured_at: self.captured_at,
@@ -133,23 +133,24 @@
     }
 }
 
-/// What a process holds, for the log lines of a replacement.
+/// How much state a process has, for the log lines of a replacement.
 pub struct ProcessLoad {
-    /// Connections of clients.
+    /// Number of client connections.
     pub client_connections: usize,
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     pub active_attempts: usize,
-    /// Held messages.
+    /// Number of held messages.
     pub held_messages: usize,
 }
 
 impl Driver {
-    /// Whether the state can be cut now: the decision module has seen all that has happened.
+    /// Whether the state can be captured now, because the decision module has processed all events and results.
     pub fn is_quiescent(&self) -> bool {
         self.decision.events.is_empty() && self.egress.results.is_empty()
     }
 
-    /// Why this process cannot be replaced, if so: it is shutting down, or its peers know it by its address.
+    /// The reason why this process cannot be replaced, if there is one: it is shutting down, or its peers know it by
+    /// its address.
     pub fn replacement_obstacle(&self) -> Option<&'static str> {
         if self.shutdown_started.is_some() {
             Some("ending")
@@ -160,10 +161,10 @@
         }
     }
 
-    /// Closes idle connections until both processes together keep within the limit on descriptors.
+    /// Closes idle connections until this process and its successor together stay within the limit on descriptors.
     ///
     /// # Errors
-    /// Where more connections than that are in use.
+    /// Returns an error if too many connections are in use.
     pub fn close_idle_connections(&mut self) -> Result<(), SenderError> {
         let limit = (self.descriptor_limit / 2).saturating_sub(OTHER_DESCRIPTORS);
         let clients = self.ingress.clients.len();
@@ -179,11 +180,11 @@
         Ok(())
     }
 
-    /// The encoded state of this process, and the descriptors that go with it: the listener, the clients' connections
-    /// and the endpoints' connections.
+    /// Encodes the state of this process. Also returns the descriptors that belong to it, in this order: the listener,
+    /// the clients' connections and the endpoints' connections.
     ///
     /// # Errors
-    /// Where the listener is closed, or the state cannot be encoded.
+    /// Returns an error if the listener is closed, or the state cannot be encoded.
     pub fn encode_state(&self) -> Result<(Vec<u8>, Vec<BorrowedFd<'_>>), SenderError> {
         let listener = self
             .ingress
@@ -232,8 +233,8 @@
         }
     }
 
-    /// Restores what the predecessor passed beside its decision module, its log and its listener. All restored sockets
-    /// are looked at in the first round.
+    /// Restores the predecessor's state except for its decision module, its log and its listener. All restored sockets
+    /// are read in the first round.
     pub(super) fn restore_state(
         &mut self,
         state: RemainingState,
@@ -285,7 +286,7 @@
         Ok(())
     }
 
-    /// What this process holds now.
+    /// How much state this process has now.
     pub fn load(&self) -> ProcessLoad {
         ProcessLoad {
             client_connections: self.ingress.clients.len(),
--- a/crates/sender/src/pipeline/shutdown.rs
+++ b/crates/sender/src/pipeline/shutdown.rs
@@ -1,8 +1,8 @@
 //! Graceful shutdown.
 //!
-//! SIGKILL follows SIGTERM after 3.7 s at the earliest. Until then, in this order: messages are still accepted; the
-//! listener and idle connections are closed; no attempt begins that cannot end in time; what is open is left to the
-//! next process; clients without an answer are rejected; the process exits.
+//! SIGKILL follows SIGTERM after 3.7 s at the earliest. Until then, the steps are, in this order: messages are still
+//! accepted; the listener and idle connections are closed; no attempt begins that cannot end in time; open messages are
+//! left to the next process; clients without an answer are rejected; the process exits.
 
 use martenlatch_clock::{Millis, nanos};
 use martenlatch_policy::interface::Event;
@@ -11,20 +11,21 @@
 use super::driver::Driver;
 use super::ingress::NEWCOMER_GRACE;
 
-/// How long after SIGTERM messages are still accepted: clients learn only by their connections that this sender ends.
+/// How long after SIGTERM messages are still accepted: clients learn only from their connections that this sender is
+/// shutting down.
 pub(super) const ACCEPT_UNTIL: Millis = 600.0;
-/// When attempts have to be over, which leaves 400 ms for the steps below.
+/// When all attempts must have ended, after SIGTERM. This leaves 400 ms for the steps below.
 pub(super) const ATTEMPTS_DEADLINE: Millis = 3_300.0;
-/// When open messages and unconfirmed reports are no longer waited for. The results of the last attempts have been
+/// When the process stops waiting for open messages and unconfirmed reports. The results of the last attempts have been
 /// read and recorded by then.
 const STOP_WAITING_FOR_MESSAGES: Millis = ATTEMPTS_DEADLINE + 100.0;
-/// When clients whose requests are incomplete are rejected. They may use the time before to complete them.
+/// When clients with incomplete requests are rejected. Until then they may complete their requests.
 const REJECT_PARTIAL_REQUESTS: Millis = ATTEMPTS_DEADLINE + 200.0;
-/// When the process exits, whether or not clients have read their answers: 100 ms before SIGKILL.
+/// When the process exits even if clients have not read their answers: 100 ms before SIGKILL.
 const EXIT_DEADLINE: Millis = ATTEMPTS_DEADLINE + 300.0;
 
 impl Driver {
-    /// SIGTERM: starts the shutdown.
+    /// Starts the shutdown after SIGTERM.
     pub fn begin_shutdown(&mut self) {
         if self.shutdown_started.is_some() {
             return;
@@ -40,15 +41,15 @@
         self.decision.events.push(Event::ShutdownDeadline(deadline));
     }
 
-    /// Closes the listener and idle connections once messages are no longer accepted. True from then on.
+    /// Closes the listener and idle connections once messages are no longer accepted. Returns true from then on.
     pub(super) fn stop_ingress_when_due(&mut self, now: Millis) -> bool {
-        let stopped = self
+        let accepting_stopped = self
             .shutdown_started
             .is_some_and(|started| now >= started + ACCEPT_UNTIL);
-        if stopped {
+        if accepting_stopped {
             self.stop_ingress(now);
         }
-        stopped
+        accepting_stopped
     }
 
     fn stop_ingress(&mut self, now: Millis) {
@@ -58,7 +59,8 @@
             .extend(self.ingress.take_accepted_ready());
     }
 
-    /// Whether the process may exit: everything is done, or the time is up, and no client is left without an answer.
+    /// Whether the process may exit: all work is done or the time is up, and no client is left without an answer.
+    /// Before it returns true, all clients' connections are closed and the last results are processed.
     pub(super) fn may_exit(&mut self, now: Millis) -> bool {
         let Some(started) = self.shutdown_started else {
             return false;
@@ -89,11 +91,12 @@
             && self.store.open_count == 0
     }
 
-    /// Whether a client is owed an answer, or has just connected and is about to send its request.
+    /// Whether any client is waiting for an answer, or has just connected and is about to send its request.
     fn has_unanswered_clients(&self, now: Millis) -> bool {
         self.ingress.clients.iter().any(|(_, client)| {
-            let newcomer = !client.has_sent_request && now < client.phase_started + NEWCOMER_GRACE;
-            client.has_pending_answer() || (newcomer && !client.closing)
+            let is_newcomer =
+                !client.has_sent_request && now < client.phase_started + NEWCOMER_GRACE;
+            client.has_pending_answer() || (is_newcomer && !client.closing)
         })
     }
 }
--- a/crates/sender/src/pipeline/status_reports/mod.rs
+++ b/crates/sender/src/pipeline/status_reports/mod.rs
@@ -179,8 +179,8 @@
         Some(FreeConnection::ToBeOpened)
     }
 
-    /// Sends a batch of the reports that are due, urgent ones first. Returns false if no report is due or the batch could
-    /// not be sent.
+    /// Sends a batch of the reports that are due, urgent ones first. Returns false if no report is due or the batch
+    /// could not be sent.
     fn send_batch(
         &mut self,
         connection: FreeConnection,
