--- a/crates/sender/src/pipeline/ingress/accept.rs
+++ b/crates/sender/src/pipeline/ingress/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting the connections of clients.
+//! Accepts clients' connections.
 
 use std::io::{Error, ErrorKind};
 use std::net::TcpStream;
@@ -11,13 +11,13 @@
 use crate::counters::Counters;
 use crate::event_source::{Connection, EventSource};
 
-/// Most connections accepted in one round: a burst must not stall the loop.
+/// The largest number of connections accepted in one round, so that a burst does not stall the loop.
 const MAX_ACCEPTS_PER_ROUND: usize = 64;
 /// How long accepting pauses when the process is out of descriptors.
 const ACCEPT_PAUSE: Millis = 50.0;
 
 impl Ingress {
-    /// Accepts the connections that wait. True if there may be more.
+    /// Accepts the waiting connections. Returns true if there may be more.
     pub(in crate::pipeline) fn accept(&mut self, now: Millis, counters: &mut Counters) -> bool {
         self.accept_retry_at = None;
         let Some(listener) = self.listener.clone() else {
@@ -35,7 +35,7 @@
                     self.waiting_since = None;
                     return false;
                 }
-                // The client has gone again, or a signal has come.
+                // The client has disconnected already, or a signal interrupted the call.
                 Err(error) if http::concerns_one_connection(&error) => {}
                 Err(error) => {
                     self.pause_accepting(&error, now);
@@ -46,8 +46,8 @@
         true
     }
 
-    /// Adds a client that may have waited since an instant. It is read from at once: what comes later is younger than
-    /// its connection.
+    /// Adds a client that may have waited since `waiting_since`. It is read at once: bytes that arrive later are known
+    /// to be more recent than its connection.
     fn add_client(&mut self, stream: TcpStream, now: Millis, waiting_since: Millis) {
         if self.clients.len() >= self.limits.max_clients {
             self.evict(now, true);
@@ -63,13 +63,15 @@
                     self.accepted_ready.push(source);
                 }
             }
-            // Nothing has been read: the client sees a reset, or the end of a connection on which nothing was done.
+            // Nothing has been read from the client. It sees a reset or the end of a connection on which nothing was
+            // processed.
             Err(error) => warn!(error = ?error.kind(), "client connection not watched"),
         }
     }
 
-    /// The event loop will not report the waiting connections again, so accepting is tried again soon, but not at once.
-    /// Where descriptors or memory are short, an idle client makes room meanwhile.
+    /// Pauses accepting for [`ACCEPT_PAUSE`] after an error. The event loop will not report the waiting connections
+    /// again, so accepting is retried on a timer. If descriptors or memory are short, an idle client is evicted
+    /// meanwhile.
     fn pause_accepting(&mut self, error: &Error, now: Millis) {
         warn!(error = ?error.kind(), "accepting paused");
         if http::is_local_shortage(error) {
--- a/crates/sender/src/pipeline/ingress/answers.rs
+++ b/crates/sender/src/pipeline/ingress/answers.rs
@@ -12,16 +12,16 @@
 const STATUS_FAILED: u16 = 500;
 const STATUS_UNAVAILABLE: u16 = 503;
 
-/// The shortest Retry-After of a rejection. Nothing here knows when there will be room.
+/// The shortest Retry-After of a rejection. The sender cannot predict when it will accept messages again.
 const MIN_RETRY_AFTER: Millis = 1_000.0;
-/// Clients that were rejected together are spread up to this Retry-After.
+/// The longest Retry-After up to which clients that were rejected together are spread.
 const MAX_RETRY_AFTER: Millis = MIN_RETRY_AFTER * 1.5;
-/// Where clients follow only a shorter Retry-After, they are spread from this part of it on.
-const SHORT_RETRY_AFTER_PART: f64 = 0.75;
+/// If clients follow only a shorter Retry-After, the fraction of it from which on they are spread.
+const SHORT_RETRY_AFTER_FRACTION: f64 = 0.75;
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
 
 impl Ingress {
-    /// Answers a message as admission has decided. False if the client had left before it could be answered.
+    /// Answers a message as admission has decided. Returns false if the client left before it could be answered.
     pub(in crate::pipeline) fn answer_decision(
         &mut self,
         client: usize,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Answers a client. False if it had left before it could be answered.
+    /// Answers a client. Returns false if it left before it could be answered.
     pub(super) fn answer(&mut self, index: usize, status: u16, headers: &str, now: Millis) -> bool {
         let shutting_down = self.shutting_down;
         let Some(client) = self.clients.get_mut(index) else {
@@ -72,32 +72,32 @@
         true
     }
 
-    /// Rejects a client's request for now.
+    /// Rejects a client's request with status 503 and a Retry-After.
     fn answer_unavailable(&mut self, index: usize, now: Millis) -> bool {
         let retry_after = match self.retry_after() {
-            Some(span) => format!("Retry-After: {:.3}\r\n", span / MILLISECONDS_PER_SECOND),
+            Some(duration) => format!("Retry-After: {:.3}\r\n", duration / MILLISECONDS_PER_SECOND),
             None => String::new(),
         };
         self.answer(index, STATUS_UNAVAILABLE, &retry_after, now)
     }
 
-    /// A random Retry-After, so that clients that were rejected together do not return together; none if clients
-    /// follow none.
+    /// A random Retry-After, so that clients that were rejected together do not return together. `None` if clients do
+    /// not follow any.
     fn retry_after(&self) -> Option<Millis> {
         let limit = self.limits.max_retry_after.filter(|limit| *limit > 0.0)?;
-        let least = MIN_RETRY_AFTER.min(limit * SHORT_RETRY_AFTER_PART);
-        let most = MAX_RETRY_AFTER.min(limit);
-        Some(least + self.jitter.up_to(most - least))
+        let shortest = MIN_RETRY_AFTER.min(limit * SHORT_RETRY_AFTER_FRACTION);
+        let longest = MAX_RETRY_AFTER.min(limit);
+        Some(shortest + self.jitter.up_to(longest - shortest))
     }
 
-    /// Ends a client's connection with its next answer.
+    /// Closes a client's connection after its next answer.
     pub(in crate::pipeline) fn close_after_answer(&mut self, index: usize) {
         if let Some(client) = self.clients.get_mut(index) {
             client.close_after_answer = true;
         }
     }
 
-    /// Rejects a client whose request is not complete, and ends its connection.
+    /// Rejects a client whose request is not complete, and closes its connection.
     pub(super) fn reject_partial_request(&mut self, index: usize, now: Millis) {
         let class = self.class_of_partial_request(index);
         self.rejected_partial.extend(class);
@@ -105,7 +105,7 @@
         self.answer_unavailable(index, now);
     }
 
-    /// The class of an incomplete request. It is known once the whole path is there, with the space behind it.
+    /// The class of an incomplete request. It is known once the whole path and the space after it have arrived.
     fn class_of_partial_request(&self, index: usize) -> Option<usize> {
         let request = std::str::from_utf8(self.clients[index].connection.bytes()).ok()?;
         let (_method, rest) = request.split_once(' ')?;
@@ -113,8 +113,8 @@
         self.class_of(path)
     }
 
-    /// Rejects every client whose request has begun, as the process is about to exit: the last byte of such a request
-    /// may be on its way, and the client must get an answer.
+    /// Rejects every client whose request has begun, before the process exits: the last byte of such a request may be
+    /// in transit, and the client must get an answer.
     pub(in crate::pipeline) fn reject_partial_requests(&mut self, now: Millis) {
         let begun: Vec<usize> = self
             .clients
--- a/crates/sender/src/pipeline/ingress/client.rs
+++ b/crates/sender/src/pipeline/ingress/client.rs
@@ -1,4 +1,4 @@
-//! One client's connection.
+//! The connection of one client.
 
 use martenlatch_clock::Millis;
 use serde::{Deserialize, Serialize};
@@ -6,34 +6,35 @@
 use super::closing::CloseReason;
 use crate::event_source::Connection;
 
-/// A client. Passed to a successor, `C` is the connection's snapshot: the order of the fields is fixed.
+/// A client. When it is passed to a successor process, `C` is the snapshot of its connection. The order of the fields
+/// is fixed.
 #[derive(Serialize, Deserialize)]
 pub struct Client<C = Connection> {
     pub(in crate::pipeline) connection: C,
-    /// Its request is being decided on.
+    /// Its request is complete and has not been answered.
     pub(in crate::pipeline) awaiting_answer: bool,
-    /// Its next answer is the last one on this connection.
+    /// The connection is closed after its next answer.
     pub(in crate::pipeline) close_after_answer: bool,
-    /// It has been sent `100 Continue` for this request.
+    /// `100 Continue` has been sent for its current request.
     pub(in crate::pipeline) sent_continue: bool,
-    /// It has sent a message, or a health check, before.
+    /// It has sent a message or a health check on this connection.
     pub(in crate::pipeline) has_sent_request: bool,
-    /// When its request began, or its connection, or its closing.
+    /// When its current phase began: the connection, its request, the idle time after an answer, or the closing.
     pub(in crate::pipeline) phase_started: Millis,
-    /// It has been given its last answer, which it may still read. Nothing more is read from it.
+    /// Its last answer has been queued, and it may still be reading it. Nothing more is read from it.
     pub(in crate::pipeline) closing: bool,
-    /// How often the sending side was shut down behind the last answer: 0 or 1. A number, because an earlier version
-    /// passed a number to its successor here.
+    /// How often the sending side was shut down after the last answer: 0 or 1. It is a number because an earlier
+    /// version passed a number to its successor here.
     pub(in crate::pipeline) write_shutdowns: usize,
-    /// Bytes may wait unread since this instant; none if all that had come was read.
+    /// The instant since which unread bytes may have been waiting, or `None` if all bytes that had arrived were read.
     #[serde(skip, default = "unknown_instant")]
     pub(super) unread_since: Option<Millis>,
-    /// What was read last came after this instant.
+    /// The instant after which the bytes that were read last arrived.
     #[serde(skip, default = "long_ago")]
     pub(super) input_since: Millis,
 }
 
-/// The successor of a process does not know how long bytes have waited.
+/// The successor of a process does not know how long unread bytes have been waiting.
 fn unknown_instant() -> Option<Millis> {
     Some(long_ago())
 }
@@ -59,7 +60,7 @@
         }
     }
 
-    /// The same client with its connection in another form.
+    /// The same client with its connection in a different form, such as a snapshot.
     pub(in crate::pipeline) fn with_connection<D>(&self, connection: D) -> Client<D> {
         Client {
             connection,
@@ -77,19 +78,19 @@
 }
 
 impl Client {
-    /// Whether bytes of a request have arrived that are not consumed.
+    /// Whether bytes of a request have been read that are not consumed.
     pub(in crate::pipeline) fn has_input(&self) -> bool {
         !self.connection.bytes().is_empty()
     }
 
-    /// Whether the client is owed something: the answer to a request that has been read, wholly or in part, or the rest
-    /// of an answer that is not written yet. Its connection must not be closed before.
+    /// Whether the client is waiting for an answer to a request that has been read completely or in part, or for the
+    /// unwritten rest of an answer. Its connection must not be closed before that is sent.
     pub(in crate::pipeline) fn has_pending_answer(&self) -> bool {
         self.awaiting_answer || !self.connection.is_flushed() || (self.has_input() && !self.closing)
     }
 
-    /// Whether no answer can reach the client any more: it has reset the connection, or it has ended its sending
-    /// before its request was complete.
+    /// Whether no answer can reach the client any more: it has reset the connection, or has closed its sending side
+    /// without an answer pending.
     pub(in crate::pipeline) fn has_left(&self) -> bool {
         let answered = !self.awaiting_answer && self.connection.is_flushed();
         self.connection.broken || (self.connection.eof && answered)
@@ -97,12 +98,12 @@
 
     /// Writes an answer.
     ///
-    /// A client that has ended its sending may have left; it resets the connection in reply to the first byte then,
-    /// which is therefore written alone. Behind the whole answer, a reset would not tell whether the client has read
-    /// it.
+    /// A client that has closed its sending side may have left. In that case it resets the connection in reply to the
+    /// first byte, which is therefore written separately. A reset after the whole answer would not show whether the
+    /// client has read it.
     ///
     /// # Errors
-    /// Why the connection has to be closed, where the client cannot have read the answer.
+    /// Returns the reason to close the connection if the client cannot have read the answer.
     pub(super) fn send_answer(&mut self, answer: &[u8]) -> Result<(), CloseReason> {
         let mut rest = answer;
         if self.connection.eof
@@ -128,7 +129,8 @@
         Ok(())
     }
 
-    /// Reads what has arrived, since an instant unless it waits for longer. True if there may be more.
+    /// Reads the bytes that have arrived: after `unread_since` if bytes were left unread, otherwise after
+    /// `readable_since`. Returns true if there may be more.
     pub(super) fn read(&mut self, readable_since: Millis) -> bool {
         let since = self.unread_since.unwrap_or(readable_since);
         let before = self.connection.bytes().len();
@@ -140,10 +142,10 @@
         more
     }
 
-    /// Reads what has arrived, and goes on writing. True if there may be more to read.
+    /// Continues to write and reads the bytes that have arrived. Returns true if there may be more to read.
     ///
-    /// The time that a client may take for a request counts from its first byte, not from the end of the last request;
-    /// that of the first request counts from the connection.
+    /// The time that a client may take for a request counts from its first byte, not from the end of the last request.
+    /// For the first request, it counts from the connection.
     pub(super) fn receive(&mut self, now: Millis, readable_since: Millis) -> bool {
         self.connection.flush();
         let was_idle = !self.has_input();
@@ -154,9 +156,9 @@
         more
     }
 
-    /// Goes on with the end of a connection whose last answer is queued: writes the rest of the answer, and shuts the
-    /// sending side down behind it. Nothing is read: what the client may have sent behind its last request stays in
-    /// the kernel, so that closing the connection resets it, and the client knows that it may send that again.
+    /// Continues to close a connection whose last answer is queued: writes the rest of the answer, then shuts the
+    /// sending side down. Nothing is read: bytes that the client may have sent after its last request stay in the
+    /// kernel, so that closing the connection resets it and the client knows that it may send them again.
     pub(super) fn finish_sending(&mut self) {
         if self.connection.flush() && self.connection.is_flushed() && self.write_shutdowns == 0 {
             self.connection.shutdown_write();
--- a/crates/sender/src/pipeline/ingress/closing.rs
+++ b/crates/sender/src/pipeline/ingress/closing.rs
@@ -1,4 +1,4 @@
-//! The one place where clients' connections are closed.
+//! Closes clients' connections. No other code does.
 
 use tracing::debug;
 
@@ -8,24 +8,24 @@
 /// Why a client's connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::pipeline) enum CloseReason {
-    /// The client has reset the connection, or ended its sending before its request was complete.
+    /// The client has reset the connection, or closed its sending side before its request was complete.
     ClientLeft,
     /// The client has had time to read its last answer.
     Answered,
     /// The connection was idle for too long.
     Idle,
-    /// Another client needs its place.
+    /// The connection made room for another client.
     Evicted,
     /// The process is shutting down.
     Shutdown,
-    /// Its answer found no buffer.
+    /// No buffer was left for its answer.
     NoBuffer,
-    /// The process makes room for its successor.
+    /// The connection made room for those of the successor process.
     Replacement,
 }
 
 impl Ingress {
-    /// Closes a client's connection. One that is owed an answer must not be closed: this is counted as a violation.
+    /// Closes a client's connection. Closing it while the client is waiting for an answer counts as a violation.
     pub(in crate::pipeline) fn close(&mut self, index: usize, reason: CloseReason) {
         let Some(client) = self.clients.try_remove(index) else {
             return;
@@ -45,7 +45,7 @@
             .check(safety::may_close(facts), format_args!("client {index}"));
     }
 
-    /// Closes the connections for which a condition holds.
+    /// Closes the connections that satisfy a condition.
     pub(super) fn close_where(
         &mut self,
         reason: CloseReason,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Closes all connections, as the process is about to exit.
+    /// Closes all connections before the process exits.
     pub(in crate::pipeline) fn close_all(&mut self) {
         self.close_where(CloseReason::Shutdown, |_| true);
     }
--- a/crates/sender/src/pipeline/ingress/eviction.rs
+++ b/crates/sender/src/pipeline/ingress/eviction.rs
@@ -1,26 +1,27 @@
-//! Eviction: which client's connection is closed when there are too many.
+//! Eviction: chooses the client whose connection is closed when there are too many.
 
 use martenlatch_clock::Millis;
 
 use super::closing::CloseReason;
 use super::{Client, Ingress};
 
-/// A client that has just connected is about to send its request; after this time it may be evicted first.
+/// How long a client that has just connected is expected to take before it sends its request. After this time it is
+/// evicted before idle clients.
 pub(in crate::pipeline) const NEWCOMER_GRACE: Millis = 300.0;
-/// The share of `max_clients` that may be exceeded by clients that read their last answer, as a divisor.
+/// The share of `max_clients` by which clients that are reading their last answer may exceed it, as a divisor.
 const LINGERING_DIVISOR: usize = 8;
 
-/// The most connections that there can be, those of clients that read their last answer included.
+/// The largest number of connections, including those of clients that are reading their last answer.
 pub(super) fn max_connections(max_clients: usize) -> usize {
     max_clients + max_clients / LINGERING_DIVISOR + 1
 }
 
-/// The groups of clients, in the order in which they are evicted.
+/// Groups of clients, in the order in which they are evicted.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionRank {
-    /// It has had its last answer.
+    /// Its last answer has been queued.
     Closing,
-    /// It has connected and sent nothing for longer than [`NEWCOMER_GRACE`].
+    /// It has sent nothing for longer than [`NEWCOMER_GRACE`] since it connected.
     Silent,
     /// It is idle between two requests.
     Idle,
@@ -52,8 +53,8 @@
 }
 
 impl Ingress {
-    /// The clients that do not wait for an answer, nor for the rest of one, in the order in which they are evicted:
-    /// within a rank, the longest there first.
+    /// The clients that may be evicted, as no answer or rest of an answer to them is pending, in the order of eviction.
+    /// Within a rank, the client whose phase began first comes first.
     fn eviction_order(&self, now: Millis) -> Vec<EvictionCandidate> {
         let mut order: Vec<EvictionCandidate> = self
             .clients
@@ -74,10 +75,11 @@
     }
 
     /// Closes one client's connection to make room, in the order of [`EvictionRank`]: a crowd of silent clients, which
-    /// are younger than the usual ones, must not displace these. If every client has begun a request, the one that has
-    /// taken the longest is rejected.
+    /// have connected more recently than the usual ones, must not displace these. If every client has begun a request,
+    /// the one that has taken the longest is rejected.
     ///
-    /// With `spare_descriptors`, clients that had their last answer may read it, until there are too many of them.
+    /// With `spare_descriptors`, clients that are reading their last answer may finish, unless there are too many of
+    /// them.
     pub(in crate::pipeline) fn evict(&mut self, now: Millis, spare_descriptors: bool) {
         let order = self.eviction_order(now);
         let closing = order
@@ -99,15 +101,15 @@
             .find(|candidate| candidate.rank == EvictionRank::InRequest)
         {
             self.reject_partial_request(slowest.client, now);
-            // The rest of its request is on the way. Closing now would reset the connection and destroy the answer.
+            // The rest of its request is in transit. Closing now would reset the connection and destroy the answer.
             if !may_linger {
                 self.close(slowest.client, CloseReason::Evicted);
             }
         }
     }
 
-    /// Closes the first connection without a request. One whose request has arrived unread stays: closing it would
-    /// lose a message. False if there is none.
+    /// Closes the first connection without a request. One whose request has arrived but was not read is kept, as
+    /// closing it would lose a message. Returns false if no connection could be closed.
     fn evict_without_request(&mut self, order: &[EvictionCandidate]) -> bool {
         for candidate in order {
             if self.close_if_idle(candidate.client, CloseReason::Evicted) {
@@ -120,7 +122,7 @@
         false
     }
 
-    /// Closes a connection unless a request has arrived on it, which is looked for first.
+    /// Closes a connection unless a request has arrived on it. The connection is read first to find out.
     fn close_if_idle(&mut self, index: usize, reason: CloseReason) -> bool {
         let client = &mut self.clients[index];
         if !client.closing {
@@ -133,8 +135,8 @@
         idle
     }
 
-    /// Closes connections without a request until there are at most so many. Returns how many are left. A client whose
-    /// request crosses this sends it again.
+    /// Closes connections without a request until at most `limit` are left. Returns the number that are left. A client
+    /// whose request is in transit meanwhile sends it again.
     pub(in crate::pipeline) fn close_idle_connections(
         &mut self,
         limit: usize,
--- a/crates/sender/src/pipeline/ingress/mod.rs
+++ b/crates/sender/src/pipeline/ingress/mod.rs
@@ -1,4 +1,4 @@
-//! Ingress: the connections of clients. It accepts them, reads their requests and writes their answers.
+//! Ingress: accepts the connections of clients, reads their requests and writes their answers.
 //!
 //! Every client gets an answer, or its connection is closed, within the time that the program's settings grant it.
 //! Whether a message is accepted is decided in [`super::admission`].
@@ -30,31 +30,31 @@
 pub(super) use eviction::NEWCOMER_GRACE;
 pub use request::IncomingMessage;
 
-/// An input and an output buffer for each connection.
+/// Each connection has an input and an output buffer.
 const BUFFERS_PER_CLIENT: usize = 2;
 
-/// A message class, as far as requests depend on it.
+/// The properties of a message class that ingress needs.
 pub(super) struct IngressClass {
     /// The first part of the request's path.
     pub(super) name: String,
-    /// Sent twice without a key, a message would take effect twice.
+    /// Messages must have an idempotency key: without one, a message that is sent twice would take effect twice.
     pub(super) requires_idempotency_key: bool,
 }
 
 /// The limits on clients.
 pub(super) struct ClientLimits {
-    /// The most connections that have not been answered for the last time.
+    /// The largest number of connections, without those that have received their last answer.
     pub(super) max_clients: usize,
-    /// How long a client may take over a request, the first one counted from its connection, and how long it may be
-    /// idle between two requests.
+    /// How long a client may take for a request, and how long it may be idle between two requests. For the first
+    /// request, the time counts from the connection.
     pub(super) timeouts: Clients,
-    /// The longest Retry-After that clients follow; none if they follow none.
+    /// The longest Retry-After that clients follow, or `None` if they follow none.
     pub(super) max_retry_after: Option<Millis>,
 }
 
 /// The connections of clients.
 pub struct Ingress {
-    /// None once no more connections are accepted.
+    /// `None` once no more connections are accepted.
     pub(super) listener: Option<Rc<TcpListener>>,
     registration: Option<calloop::RegistrationToken>,
     pub(super) handle: Handle,
@@ -65,16 +65,16 @@
     next_sweep: Millis,
     /// When to accept again after running out of descriptors.
     pub(super) accept_retry_at: Option<Millis>,
-    /// What the event loop has reported for this round came after this instant.
+    /// The instant after which the bytes and connections arrived that the event loop has reported for this round.
     pub(super) readable_since: Millis,
-    /// Connections may wait to be accepted since this instant; none if all that waited are accepted.
+    /// The instant since which connections may have been waiting to be accepted, or `None` if all were accepted.
     waiting_since: Option<Millis>,
-    /// Clients that have just been accepted, and whose first bytes were there already.
+    /// Clients that have just been accepted and must be processed in this round, mostly because bytes have arrived.
     accepted_ready: Vec<EventSource>,
-    /// The process is shutting down: each answer asks its client to end the connection. Until the connection ends,
-    /// requests that come on it all the same are answered.
+    /// The process is shutting down: each answer asks the client to close the connection. Further requests that arrive
+    /// before it does are still answered.
     pub(super) shutting_down: bool,
-    /// The classes of requests that were rejected before they were complete, until these are counted.
+    /// The classes of the requests that were rejected before they were complete and have not been counted yet.
     pub(super) rejected_partial: Vec<usize>,
     jitter: Jitter,
     violations: ViolationCounter,
@@ -91,10 +91,10 @@
 }
 
 impl Ingress {
-    /// Watches the listener.
+    /// Creates ingress and registers the listener with the event loop.
     ///
     /// # Errors
-    /// Where the event loop cannot watch it.
+    /// Returns an error if the listener cannot be registered.
     pub(super) fn open(
         listener: TcpListener,
         handle: &Handle,
@@ -128,12 +128,12 @@
         })
     }
 
-    /// Takes the clients that were accepted with bytes that have to be looked at.
+    /// Takes the clients that have just been accepted and must be processed in this round.
     pub(super) fn take_accepted_ready(&mut self) -> Vec<EventSource> {
         std::mem::take(&mut self.accepted_ready)
     }
 
-    /// When ingress has something to do next, if nothing arrives.
+    /// When the next timer of ingress is due.
     pub(super) fn next_deadline(&self) -> Millis {
         self.next_sweep
             .min(self.accept_retry_at.unwrap_or(f64::INFINITY))
--- a/crates/sender/src/pipeline/ingress/receive.rs
+++ b/crates/sender/src/pipeline/ingress/receive.rs
@@ -1,4 +1,4 @@
-//! Reading what a client has sent.
+//! Reads requests from clients.
 
 use martenlatch_clock::Millis;
 use martenlatch_http::{self as http, Parsed};
@@ -13,7 +13,7 @@
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 impl Ingress {
-    /// Reads what a client has sent, and adds a complete message to `received`. True if there may be more to read.
+    /// Reads from a client and adds a complete message to `received`. Returns true if there may be more to read.
     pub(in crate::pipeline) fn on_ready(
         &mut self,
         index: usize,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Goes on with the end of a connection that has been given its last answer. Nothing is read from it.
+    /// Continues to close a connection whose last answer is queued. Nothing is read from it.
     fn finish_closing(&mut self, index: usize) {
         let client = &mut self.clients[index];
         client.finish_sending();
@@ -67,7 +67,8 @@
         }
     }
 
-    /// Removes a client that has closed its side before its request was complete. True if it is gone.
+    /// Removes a client that has closed its sending side before its request was complete. Returns true if it was
+    /// removed.
     fn remove_if_ended(&mut self, index: usize) -> bool {
         let ended = self.clients[index].connection.eof;
         if ended {
@@ -76,7 +77,7 @@
         ended
     }
 
-    /// Tells a client, once per request, to send the body.
+    /// Tells a client, at most once per request, to send the body.
     fn send_continue(&mut self, index: usize) {
         let client = &mut self.clients[index];
         if !client.sent_continue {
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Answers bytes that are no request.
+    /// Answers input that is not a valid HTTP request.
     fn answer_malformed(
         &mut self,
         index: usize,
@@ -99,7 +100,7 @@
         self.answer(index, status, "", now);
     }
 
-    /// A request is complete.
+    /// Processes a complete request.
     fn on_request(
         &mut self,
         index: usize,
@@ -129,8 +130,8 @@
         }
     }
 
-    /// Answers a request that cannot be used. It costs the client its connection: otherwise it could send more of them
-    /// at full speed.
+    /// Answers an invalid request and closes the connection: otherwise the client could send more of them at full
+    /// speed.
     fn answer_request_error(
         &mut self,
         index: usize,
@@ -143,8 +144,9 @@
         self.answer(index, error.status(), error.headers(), now);
     }
 
-    /// What a request asks for. Clients send one request at a time: bytes behind it belong to it, so that its length
-    /// is wrong, or they are a flood. Accepting it would cut its body, or act on what hides in there.
+    /// Converts an HTTP request. Clients send one request at a time, so further bytes after it either belong to it, and
+    /// its length is wrong, or are a flood. Accepting it would truncate its body, or process a request hidden in the
+    /// body.
     fn parse(
         &self,
         request: &http::Request,
--- a/crates/sender/src/pipeline/ingress/request.rs
+++ b/crates/sender/src/pipeline/ingress/request.rs
@@ -1,4 +1,4 @@
-//! From an HTTP request to a message.
+//! Converts an HTTP request into a message.
 
 use std::rc::Rc;
 
@@ -9,20 +9,20 @@
 
 /// The path of the health check.
 const HEALTH_PATH: &str = "/healthz";
-/// The longest id and idempotency key, in bytes.
+/// The largest length of an id or an idempotency key, in bytes.
 const MAX_ID_LENGTH: usize = 256;
-/// The longest time that a client may grant, in seconds.
+/// The longest timeout that a client may give a message, in seconds.
 const MAX_TIMEOUT_SECONDS: f64 = 86_400.0;
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
-/// A client waits so long for its answer. A request that has waited for longer counts for nothing.
+/// How long a client waits for its answer. A request that has waited longer has been abandoned by its client.
 const CLIENT_PATIENCE: Millis = 400.0;
 
 /// A message that a client has sent.
 pub struct IncomingMessage {
-    /// The index of the client that waits for the answer.
+    /// The index of the client that is waiting for the answer.
     pub(in crate::pipeline) client: usize,
     pub(in crate::pipeline) id: Rc<str>,
-    /// The class, by its index in the settings.
+    /// The index of the message class in the settings.
     pub(in crate::pipeline) class: usize,
     pub(in crate::pipeline) destination: u64,
     pub(in crate::pipeline) deadline: Millis,
@@ -30,24 +30,24 @@
     pub(in crate::pipeline) body: Rc<[u8]>,
 }
 
-/// A request that can be used.
+/// A valid request.
 pub(super) enum ClientRequest {
-    /// The client asks whether the sender serves.
+    /// The client asks whether the sender is serving.
     HealthCheck,
     /// The client sends a message.
     Message(IncomingMessage),
 }
 
-/// Why a request cannot be used.
+/// Why a request is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub(super) enum RequestError {
-    /// A header is missing or cannot be read, or more bytes follow the request.
+    /// A required header is missing or invalid, or more bytes follow the request.
     #[error("malformed request")]
     Malformed,
-    /// The path names no class.
+    /// The path does not begin with the name of a class.
     #[error("unknown path")]
     UnknownPath,
-    /// The path does not take this method.
+    /// The path does not allow this method.
     #[error("method not allowed")]
     MethodNotAllowed,
 }
@@ -72,7 +72,7 @@
 }
 
 impl Ingress {
-    /// What a request asks for.
+    /// Converts an HTTP request into a message or a health check.
     pub(super) fn parse_request(
         &self,
         request: &http::Request,
@@ -108,22 +108,24 @@
         }))
     }
 
-    /// The earliest instant at which the request of a client may have arrived. Its time counts from there: an end that
-    /// is reported by the time of the read would come too late where the process was held up.
+    /// The earliest instant at which the request of a client may have arrived. The message's timeout counts from there:
+    /// if it counted from the read, its status report would be too late after a delay of the process.
     fn earliest_arrival(&self, client: usize, now: Millis) -> Millis {
         self.clients[client]
             .input_since
             .clamp(now - CLIENT_PATIENCE, now)
     }
 
-    /// The class that the first part of a path names.
+    /// The class whose name is the first segment of a path.
     pub(super) fn class_of(&self, path: &str) -> Option<usize> {
-        let first = path.strip_prefix('/')?.split(['/', '?', '#']).next()?;
-        self.classes.iter().position(|class| class.name == first)
+        let first_segment = path.strip_prefix('/')?.split(['/', '?', '#']).next()?;
+        self.classes
+            .iter()
+            .position(|class| class.name == first_segment)
     }
 }
 
-/// A header that holds an id or a key: printable ASCII of bounded length.
+/// The value of a header with an id or a key, which must be printable ASCII of bounded length.
 fn id_header(request: &http::Request, header: &str) -> Option<Rc<str>> {
     let value = request.header(header)?;
     let printable = |byte: u8| byte.is_ascii_graphic() || byte == b' ';
@@ -131,14 +133,14 @@
     valid.then(|| Rc::from(value))
 }
 
-/// How long the client grants for the message, in milliseconds.
+/// The timeout that the client gives the message.
 fn timeout_header(request: &http::Request) -> Option<Millis> {
     let seconds: f64 = request.header("x-timeout")?.parse().ok()?;
     let valid = seconds > 0.0 && seconds <= MAX_TIMEOUT_SECONDS;
     valid.then_some(seconds * MILLISECONDS_PER_SECOND)
 }
 
-/// The destination: the first `dest=` among the parts of the route.
+/// The destination: the first `dest=` among the parts of the `x-route-to` header.
 fn destination_header(request: &http::Request) -> Option<u64> {
     request
         .header("x-route-to")?
--- a/crates/sender/src/pipeline/ingress/sweep.rs
+++ b/crates/sender/src/pipeline/ingress/sweep.rs
@@ -1,4 +1,4 @@
-//! Closing the connections of clients that are over their time, and of all clients at shutdown.
+//! Closes the connections of clients that have exceeded their time, and those of all clients at shutdown.
 
 use martenlatch_clock::Millis;
 use martenlatch_settings::program::Clients;
@@ -8,22 +8,23 @@
 use crate::counters::Counters;
 use crate::event_source::EventSource;
 
-/// How often clients are looked at.
+/// How often the times of clients are checked.
 const SWEEP_INTERVAL: Millis = 250.0;
-/// How long a client may read its last answer: closing while its bytes still arrive would destroy the answer.
+/// How long a client may take to read its last answer. Closing the connection while bytes of the client are still
+/// arriving would destroy the answer.
 const LINGER_TIMEOUT: Millis = 500.0;
 
 const STATUS_REQUEST_TIMEOUT: u16 = 408;
 
-/// What a sweep does with a client.
+/// The decision of a sweep on one client.
 #[derive(PartialEq)]
 enum SweepVerdict {
     Keep,
-    /// Its connection is closed, unless a request has just arrived.
+    /// The connection is closed unless a request has just arrived.
     CloseIfIdle,
-    /// Its connection is closed.
+    /// The connection is closed.
     Close,
-    /// Its request is answered with an error: it has taken too long.
+    /// The request has taken too long and is answered with an error.
     TimeOutRequest,
 }
 
@@ -57,7 +58,8 @@
 }
 
 impl Ingress {
-    /// Ends connections that are over their time. Returns those on which a request has just arrived after all.
+    /// Closes connections that have exceeded their time. Returns those that are kept because a request has just
+    /// arrived.
     pub(in crate::pipeline) fn sweep(&mut self, now: Millis) -> Vec<EventSource> {
         let mut timed_out = Vec::new();
         let mut just_arrived = Vec::new();
@@ -93,8 +95,8 @@
         just_arrived
     }
 
-    /// Stops accepting connections, once those that wait are accepted, and closes those between two requests. Returns
-    /// the clients whose requests have to be read.
+    /// Accepts the waiting connections, then stops accepting and closes the connections without a request. Returns the
+    /// clients whose requests have to be read.
     pub(in crate::pipeline) fn stop(
         &mut self,
         now: Millis,
@@ -109,13 +111,14 @@
             }
             let before = client.connection.bytes().len();
             client.read(readable_since);
-            // An incomplete request is read again only when more of it has arrived: the loop must not spin on it.
+            // An incomplete request is processed again only when more of it has arrived, so that the loop does not
+            // spin.
             if client.connection.bytes().len() > before {
                 to_read.push(EventSource::Client(index));
             }
         }
-        // The request of a client that has just connected may be on its way; one that has just been answered reads its
-        // answer, which a reset could destroy.
+        // The request of a client that has just connected may be in transit. A client that has just been answered is
+        // reading its answer, which a reset could destroy.
         let recent = |client: &Client| now < client.phase_started + SWEEP_INTERVAL;
         self.close_where(CloseReason::Shutdown, |client| {
             !client.has_pending_answer() && !client.closing && !recent(client)
--- a/crates/sender/src/pipeline/known_list.rs
+++ b/crates/sender/src/pipeline/known_list.rs
@@ -1,8 +1,8 @@
 //! The endpoint list with which a process starts: the last one that the sender had, from the configuration.
 //!
 //! The list describes the endpoints as of the start of the process. They may begin to drain while the start is delayed,
-//! and requests to them must stop 1 s later. After a slow start, discovery is therefore asked first, and the list is used
-//! only if discovery does not answer for long: an old list is better than none.
+//! and requests to them must stop 1 s later. After a slow start, discovery is therefore asked first, and the list is
+//! used only if discovery does not answer for long: an old list is better than none.
 
 use std::time::{Duration, Instant};
 
--- a/crates/sender/src/pipeline/test_support.rs
+++ b/crates/sender/src/pipeline/test_support.rs
@@ -1,4 +1,4 @@
-//! What the tests of the pipeline share.
+//! Helpers that the tests of the pipeline share.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -12,14 +12,14 @@
 use crate::Config;
 use crate::event_source::Ready;
 
-/// When the clocks of the tests start, in milliseconds of Unix time.
+/// The start time of the test clocks, in milliseconds of Unix time.
 pub(super) const START: Millis = 1_796_121_600_000.0;
-/// The limit on disk, in bytes.
+/// The limit on disk space, in bytes.
 pub(super) const DISK_LIMIT: u64 = 3_000_000;
 
 pub(super) type Events = calloop::EventLoop<'static, Ready>;
 
-/// An empty folder of this test process.
+/// Creates an empty folder for this test process.
 pub(super) fn empty_folder(name: &str) -> PathBuf {
     let folder = folder_path(name);
     let _ = std::fs::remove_dir_all(&folder);
@@ -27,17 +27,17 @@
     folder
 }
 
-/// The path of the folder of that name.
+/// The path of the test folder with this name.
 pub(super) fn folder_path(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("martenlatch-{name}-{}", std::process::id()))
 }
 
-/// A listener on loopback, as a sender opens it.
+/// A listener on loopback, opened in the same way as by the sender.
 pub(super) fn listener() -> TcpListener {
     crate::listen(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))).unwrap()
 }
 
-/// A driver that starts afresh from a folder. `known` is the endpoint list as the platform gives it at the start.
+/// Starts a driver from the state in a folder. `known` is the endpoint list that the configuration contains, in JSON.
 pub(super) fn start_driver(
     state: &Path,
     settings: &str,
@@ -64,7 +64,7 @@
     let events = Events::try_new().unwrap();
     let start = StartMode::Fresh {
         listener,
-        // However busy the machine is, the start is not held up.
+        // In the future, so that the start is never delayed, however busy the machine is.
         process_started: Instant::now() + Duration::from_secs(3_600),
     };
     let driver = Driver::new(config, start, None, &events.handle(), clock.clone()).unwrap();
