--- a/crates/sender/src/pipeline/crash_recovery_tests/mod.rs
+++ b/crates/sender/src/pipeline/crash_recovery_tests/mod.rs
@@ -14,7 +14,7 @@
 use martenlatch_wal::{LogInspection, MessageRecord};
 
 use super::Driver;
-use super::test_support::{Events, START, empty_folder, start_driver};
+use super::test_support::{START, TestLoop, empty_folder, start_driver};
 use crate::event_source::EventSource;
 use scripted_peers::{Script, ScriptedPeers};
 
@@ -52,7 +52,7 @@
     peers: &ScriptedPeers,
     listed: bool,
     clock: &Clock,
-) -> (Driver, Events) {
+) -> (Driver, TestLoop) {
     let known = if listed {
         format!(r#"{{"targets":[{}]}}"#, peers.target())
     } else {
--- a/crates/sender/src/pipeline/crash_recovery_tests/two_processes.rs
+++ b/crates/sender/src/pipeline/crash_recovery_tests/two_processes.rs
@@ -30,7 +30,7 @@
     peers: ScriptedPeers,
     clock: Clock,
     driver: Driver,
-    events: Events,
+    events: TestLoop,
     client: TcpStream,
     /// What the client has read.
     answer: Vec<u8>,
--- a/crates/sender/src/pipeline/test_support.rs
+++ b/crates/sender/src/pipeline/test_support.rs
@@ -17,7 +17,7 @@
 /// The limit on disk space, in bytes.
 pub(super) const DISK_LIMIT: u64 = 3_000_000;
 
-pub(super) type Events = calloop::EventLoop<'static, Ready>;
+pub(super) type TestLoop = calloop::EventLoop<'static, Ready>;
 
 /// Creates an empty folder for this test process.
 pub(super) fn empty_folder(name: &str) -> PathBuf {
@@ -44,7 +44,7 @@
     known: &str,
     discovery: SocketAddr,
     clock: &Clock,
-) -> (Driver, Events) {
+) -> (Driver, TestLoop) {
     let listener = listener();
     let config = Config {
         name: "n0".into(),
@@ -61,7 +61,7 @@
         peers: None,
         platform_settings: platform::read(settings).unwrap(),
     };
-    let events = Events::try_new().unwrap();
+    let events = TestLoop::try_new().unwrap();
     let start = StartMode::Fresh {
         listener,
         // In the future, so that the start is never delayed, however busy the machine is.
--- a/crates/sender/src/pipeline/tests/mod.rs
+++ b/crates/sender/src/pipeline/tests/mod.rs
@@ -22,7 +22,7 @@
 use super::ingress::NEWCOMER_GRACE;
 use super::message_store::MessageState;
 use super::shutdown::{ACCEPT_UNTIL, ATTEMPTS_DEADLINE};
-use super::test_support::{DISK_LIMIT, Events, START, empty_folder, folder_path, start_driver};
+use super::test_support::{DISK_LIMIT, START, TestLoop, empty_folder, folder_path, start_driver};
 use crate::event_source::EventSource;
 use crate::jitter::Jitter;
 
@@ -34,12 +34,12 @@
     "OverloadFor":3000000000,"ColdFrom":0.22,"Cold":9200000000},"Tick":5000000}"#;
 
 /// A driver on a clock that the test sets, which resumes one non-idempotent message with two seconds left.
-fn resumed(name: &str, endpoint: SocketAddr) -> (Driver, Clock, Events) {
+fn resumed(name: &str, endpoint: SocketAddr) -> (Driver, Clock, TestLoop) {
     resumed_with(name, 2_000.0, endpoint)
 }
 
 /// The same with so many milliseconds left.
-fn resumed_with(name: &str, left: Millis, endpoint: SocketAddr) -> (Driver, Clock, Events) {
+fn resumed_with(name: &str, left: Millis, endpoint: SocketAddr) -> (Driver, Clock, TestLoop) {
     let state = empty_folder(&folder_name(name));
     let (mut wal, _) = WriteAheadLog::open(&state, DISK_LIMIT);
     assert!(wal.append_message(&unattempted_message(left)));
--- a/crates/sender/src/pipeline/tests/status_reports.rs
+++ b/crates/sender/src/pipeline/tests/status_reports.rs
@@ -324,7 +324,7 @@
 }
 
 /// A driver that comes back with the reports of so many messages, whose deadlines have passed.
-fn with_reports_owed(name: &str, count: u64, platform: SocketAddr) -> (Driver, Clock, Events) {
+fn with_reports_owed(name: &str, count: u64, platform: SocketAddr) -> (Driver, Clock, TestLoop) {
     let state = empty_folder(&folder_name(name));
     let (mut wal, _) = WriteAheadLog::open(&state, DISK_LIMIT);
     for number in 1..=count {
--- a/crates/sender/src/pipeline/tests/unread_requests.rs
+++ b/crates/sender/src/pipeline/tests/unread_requests.rs
@@ -11,7 +11,7 @@
 /// A client waits so long for the answer to its request; what it hears later counts for nothing.
 const CLIENT_PATIENCE: Millis = 400.0;
 
-fn driver(name: &str) -> (Driver, Clock, Events) {
+fn driver(name: &str) -> (Driver, Clock, TestLoop) {
     let endpoint = TcpListener::bind("127.0.0.1:0").unwrap();
     resumed_with(name, 60_000.0, endpoint.local_addr().unwrap())
 }
