--- a/crates/sender/src/pipeline/admission.rs
+++ b/crates/sender/src/pipeline/admission.rs
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Accepts a message if clients are still accepted, fewer messages are open than the limit, and the log can record
-    /// it.
+    /// Accepts a message if the process is still accepting, the number of open messages is below its limit, and the log
+    /// can record the message.
     fn accept_if_room(
         &self,
         message: IncomingMessage,
--- a/crates/sender/src/pipeline/ingress/client.rs
+++ b/crates/sender/src/pipeline/ingress/client.rs
@@ -26,10 +26,10 @@
     /// How often the sending side was shut down after the last answer: 0 or 1. It is a number because an earlier
     /// version passed a number to its successor here.
     pub(in crate::pipeline) write_shutdowns: usize,
-    /// The instant since which unread bytes may have been waiting, or `None` if all bytes that had arrived were read.
+    /// Unread bytes may have been waiting since this instant. `None` if all bytes that had arrived were read.
     #[serde(skip, default = "unknown_instant")]
     pub(super) unread_since: Option<Millis>,
-    /// The instant after which the bytes that were read last arrived.
+    /// The bytes that were read last arrived after this instant.
     #[serde(skip, default = "long_ago")]
     pub(super) input_since: Millis,
 }
@@ -142,7 +142,7 @@
         more
     }
 
-    /// Continues to write and reads the bytes that have arrived. Returns true if there may be more to read.
+    /// Continues writing, and reads the bytes that have arrived. Returns true if there may be more to read.
     ///
     /// The time that a client may take for a request counts from its first byte, not from the end of the last request.
     /// For the first request, it counts from the connection.
@@ -156,7 +156,7 @@
         more
     }
 
-    /// Continues to close a connection whose last answer is queued: writes the rest of the answer, then shuts the
+    /// Continues closing a connection whose last answer is queued: writes the rest of the answer, then shuts the
     /// sending side down. Nothing is read: bytes that the client may have sent after its last request stay in the
     /// kernel, so that closing the connection resets it and the client knows that it may send them again.
     pub(super) fn finish_sending(&mut self) {
--- a/crates/sender/src/pipeline/ingress/eviction.rs
+++ b/crates/sender/src/pipeline/ingress/eviction.rs
@@ -53,8 +53,9 @@
 }
 
 impl Ingress {
-    /// The clients that may be evicted, as no answer or rest of an answer to them is pending, in the order of eviction.
-    /// Within a rank, the client whose phase began first comes first.
+    /// The clients that may be evicted, in the order of eviction: those that are waiting neither for the answer to a
+    /// complete request nor for the unwritten rest of an answer. Within a rank, the one whose phase began first comes
+    /// first.
     fn eviction_order(&self, now: Millis) -> Vec<EvictionCandidate> {
         let mut order: Vec<EvictionCandidate> = self
             .clients
--- a/crates/sender/src/pipeline/ingress/mod.rs
+++ b/crates/sender/src/pipeline/ingress/mod.rs
@@ -43,7 +43,7 @@
 
 /// The limits on clients.
 pub(super) struct ClientLimits {
-    /// The largest number of connections, without those that have received their last answer.
+    /// The largest number of connections, not counting those that have received their last answer.
     pub(super) max_clients: usize,
     /// How long a client may take for a request, and how long it may be idle between two requests. For the first
     /// request, the time counts from the connection.
@@ -65,9 +65,9 @@
     next_sweep: Millis,
     /// When to accept again after running out of descriptors.
     pub(super) accept_retry_at: Option<Millis>,
-    /// The instant after which the bytes and connections arrived that the event loop has reported for this round.
+    /// The bytes and connections that the event loop has reported for this round arrived after this instant.
     pub(super) readable_since: Millis,
-    /// The instant since which connections may have been waiting to be accepted, or `None` if all were accepted.
+    /// Connections may have been waiting to be accepted since this instant. `None` if all of them were accepted.
     waiting_since: Option<Millis>,
     /// Clients that have just been accepted and must be processed in this round, mostly because bytes have arrived.
     accepted_ready: Vec<EventSource>,
@@ -81,8 +81,8 @@
 }
 
 impl Drop for Ingress {
-    /// Removes the listener from the event loop, which would otherwise keep the address bound when a replacement is
-    /// abandoned.
+    /// Removes the listener from the event loop. Otherwise the event loop would keep the address bound after an
+    /// abandoned replacement.
     fn drop(&mut self) {
         if let Some(registration) = self.registration.take() {
             self.handle.remove(registration);
--- a/crates/sender/src/pipeline/ingress/receive.rs
+++ b/crates/sender/src/pipeline/ingress/receive.rs
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Continues to close a connection whose last answer is queued. Nothing is read from it.
+    /// Continues closing a connection whose last answer is queued. Nothing is read from it.
     fn finish_closing(&mut self, index: usize) {
         let client = &mut self.clients[index];
         client.finish_sending();
--- a/crates/sender/src/pipeline/poll_history.rs
+++ b/crates/sender/src/pipeline/poll_history.rs
@@ -26,7 +26,7 @@
         self.last = now;
     }
 
-    /// The instant after which the bytes arrived that the last poll reported and the one before it did not.
+    /// Bytes that the last poll reported, and the poll before it did not, arrived after this instant.
     pub(super) fn readable_since(&self) -> Millis {
         self.before_last
     }
--- a/crates/sender/src/pipeline/status_reports/report_connection.rs
+++ b/crates/sender/src/pipeline/status_reports/report_connection.rs
@@ -91,7 +91,7 @@
         !self.connection.broken
     }
 
-    /// Continues to write the batch, and reads the platform's answer.
+    /// Continues writing the batch, and reads the platform's answer.
     pub(super) fn progress(&mut self) -> BatchProgress {
         self.connection.flush();
         self.connection.receive();
