--- a/crates/sender/src/pipeline/ingress/accept.rs
+++ b/crates/sender/src/pipeline/ingress/accept.rs
@@ -65,7 +65,9 @@
             }
             // Nothing has been read from the client. It sees a reset or the end of a connection on which nothing was
             // processed.
-            Err(error) => warn!(error = ?error.kind(), "client connection not watched"),
+            Err(error) => {
+                warn!(error = ?error.kind(), "client connection not registered with the event loop")
+            }
         }
     }
 
