--- a/crates/sender/src/pipeline/builder.rs
+++ b/crates/sender/src/pipeline/builder.rs
@@ -1,5 +1,5 @@
-//! Builds the [`Driver`] of a process: a fresh start from the write-ahead log, or a takeover from the state that the
-//! predecessor has passed.
+//! Builds the [`Driver`] of a process: in a fresh start from the write-ahead log, or in a takeover from the state of
+//! the predecessor.
 
 use std::collections::BTreeMap;
 use std::net::TcpListener;
@@ -20,7 +20,7 @@
 use super::poll_history::PollHistory;
 use super::process_state::{ProcessState, RemainingState, SettingsNames, SplitState};
 use super::send_gate::RetryAfterTable;
-use super::status_reports::{MAX_LANES, StatusReporter};
+use super::status_reports::{MAX_REPORT_CONNECTIONS, StatusReporter};
 use crate::Config;
 use crate::class_metrics::ClassMetrics;
 use crate::class_rules::ClassRules;
@@ -35,45 +35,46 @@
 use crate::peer_service::PeerService;
 use crate::safety::ViolationCounter;
 
-/// An input and an output buffer for each connection.
+/// Each connection has an input and an output buffer.
 const BUFFERS_PER_CONNECTION: usize = 2;
 /// Buffers for the connections of the watch and of the status reports.
-const CONTROL_BUFFERS: usize = (1 + MAX_LANES) * BUFFERS_PER_CONNECTION;
-/// The part of the memory limit for buffers, as a divisor.
+const CONTROL_BUFFERS: usize = (1 + MAX_REPORT_CONNECTIONS) * BUFFERS_PER_CONNECTION;
+/// The share of the memory limit for buffers, as a divisor.
 const BUFFER_MEMORY_DIVISOR: u64 = 2;
-/// Clients may have this part of the descriptors, as a divisor; the rest is for endpoints, discovery and files.
+/// The share of the descriptors for clients, as a divisor. The rest is for endpoints, discovery and files.
 const CLIENT_DESCRIPTORS_DIVISOR: usize = 2;
-/// Each client takes two buffers, and leaves one for endpoints.
+/// Each client uses two buffers, and a third is left for endpoints.
 const BUFFERS_CLAIMED_PER_CLIENT: usize = 3;
-/// Endpoints may have this part of the descriptors, as a divisor.
+/// The share of the descriptors for endpoints, as a divisor.
 const ENDPOINT_DESCRIPTORS_DIVISOR: usize = 3;
 
 /// An instant before every idempotency window.
 const LONG_AGO: Millis = 0.0;
 
-/// What a process starts with.
-pub enum Start {
-    /// The write-ahead log holds what earlier processes have left.
+/// The way in which a process starts, with its inputs.
+pub enum StartMode {
+    /// A start from the write-ahead log, which has the messages that earlier processes left open.
     Fresh {
-        /// Its own listener.
+        /// The listener for clients, opened by this process.
         listener: TcpListener,
-        /// When the process began.
-        began: Instant,
+        /// When the process started.
+        process_started: Instant,
     },
-    /// The state of the process before it, and its descriptors, the listener's first.
-    Passed(Box<ProcessState<Policy>>, InheritedDescriptors),
+    /// A start from the state of the predecessor and its descriptors, of which the listener is the first.
+    Takeover(Box<ProcessState<Policy>>, InheritedDescriptors),
 }
 
-/// How many connections and buffers the limits on descriptors and memory allow.
-struct Capacity {
+/// The numbers of connections and buffers that the limits on descriptors and memory allow.
+struct ConnectionCapacity {
     max_clients: usize,
     endpoint_buffers: usize,
     max_endpoint_connections: usize,
 }
 
-impl Capacity {
-    /// Clients have buffers of their own, so that slow clients cannot starve endpoints.
-    fn new(config: &Config, settings: &Settings) -> Capacity {
+impl ConnectionCapacity {
+    /// Computes the capacity. Clients and endpoints have separate buffers, so that slow clients cannot starve
+    /// endpoints.
+    fn new(config: &Config, settings: &Settings) -> ConnectionCapacity {
         let operator_connections = match config.operator {
             Some(_) => operator::CALLERS + 1,
             None => 0,
@@ -86,7 +87,7 @@
             .min(buffered_clients)
             .max(1);
         let client_buffers = BUFFERS_PER_CONNECTION * max_clients.min(buffered_clients);
-        Capacity {
+        ConnectionCapacity {
             max_clients,
             endpoint_buffers: (buffers - client_buffers)
                 .saturating_sub(CONTROL_BUFFERS)
@@ -97,53 +98,53 @@
     }
 }
 
-/// What the predecessor has passed that is restored once the driver stands.
-struct Inheritance {
+/// The part of the predecessor's state that is restored once the driver has been assembled.
+struct InheritedState {
     state: RemainingState,
     descriptors: InheritedDescriptors,
 }
 
-/// What a fresh start and a takeover differ in.
-struct Foundation {
+/// The parts of the driver that a fresh start and a takeover obtain differently.
+struct DriverParts {
     listener: TcpListener,
     settings: Settings,
     class_rules: ClassRules,
     policy: Policy,
     wal: WriteAheadLog,
     next_number: u64,
-    /// What the log holds of earlier processes; a takeover inherits this with its state.
+    /// The messages that earlier processes left in the log. Empty in a takeover, which inherits them with the state.
     recovered: BTreeMap<u64, MessageRecord>,
-    inheritance: Option<Inheritance>,
+    inherited_state: Option<InheritedState>,
 }
 
-impl Foundation {
-    fn new(config: &Config, start: Start) -> Result<Foundation, SenderError> {
+impl DriverParts {
+    fn new(config: &Config, start: StartMode) -> Result<DriverParts, SenderError> {
         let mut settings = config.platform_settings.settings.clone();
         settings.max_attempts = settings.max_attempts.min(MAX_ATTEMPTS as u32);
         let class_rules = ClassRules::new(&config.platform_settings.classes, &settings.classes);
         match start {
-            Start::Fresh { listener, .. } => {
-                Foundation::fresh(config, listener, settings, class_rules)
+            StartMode::Fresh { listener, .. } => {
+                DriverParts::fresh(config, listener, settings, class_rules)
             }
-            Start::Passed(state, descriptors) => {
-                Foundation::takeover(config, *state, descriptors, settings, class_rules)
+            StartMode::Takeover(state, descriptors) => {
+                DriverParts::takeover(config, *state, descriptors, settings, class_rules)
             }
         }
     }
 
-    /// Starts from the write-ahead log.
+    /// The parts of a fresh start from the write-ahead log.
     fn fresh(
         config: &Config,
         listener: TcpListener,
         mut settings: Settings,
         mut class_rules: ClassRules,
-    ) -> Result<Foundation, SenderError> {
+    ) -> Result<DriverParts, SenderError> {
         let (wal, recovered) = log_recovery::open(&config.state, config.disk);
         for record in recovered.open.values() {
             class_rules.add_recovered(&record.class, &record.rules, &mut settings);
         }
         let policy = Policy::new(settings.clone(), config.seed).map_err(SenderError::Settings)?;
-        Ok(Foundation {
+        Ok(DriverParts {
             listener,
             settings,
             class_rules,
@@ -151,18 +152,18 @@
             wal,
             next_number: recovered.next_number,
             recovered: recovered.open,
-            inheritance: None,
+            inherited_state: None,
         })
     }
 
-    /// Starts from the state of the predecessor, which may go on until this process has committed to take over.
+    /// The parts of a takeover. The predecessor may still continue until this process has committed to take over.
     fn takeover(
         config: &Config,
         state: ProcessState<Policy>,
         mut descriptors: InheritedDescriptors,
         mut settings: Settings,
         class_rules: ClassRules,
-    ) -> Result<Foundation, SenderError> {
+    ) -> Result<DriverParts, SenderError> {
         let listener = descriptors.take().map_err(SenderError::RestoreState)?;
         let SplitState {
             policy,
@@ -178,7 +179,7 @@
         let wal =
             WriteAheadLog::restore(&config.state, config.disk, log_position, state.unfinished())
                 .map_err(SenderError::RestoreLog)?;
-        Ok(Foundation {
+        Ok(DriverParts {
             listener: TcpListener::from(listener),
             settings,
             class_rules,
@@ -186,7 +187,7 @@
             wal,
             next_number: state.next_number,
             recovered: BTreeMap::new(),
-            inheritance: Some(Inheritance { state, descriptors }),
+            inherited_state: Some(InheritedState { state, descriptors }),
         })
     }
 }
@@ -195,23 +196,25 @@
     /// Builds the driver of a process.
     ///
     /// # Errors
-    /// Where the settings, the listener or the passed state cannot be used.
+    /// Returns an error if the settings, the listener or the predecessor's state cannot be used.
     pub fn new(
         config: Config,
-        start: Start,
+        start: StartMode,
         peers: Option<PeerService>,
         handle: &Handle,
         clock: Clock,
     ) -> Result<Driver, SenderError> {
-        let began = match &start {
-            Start::Fresh { began, .. } => *began,
-            Start::Passed(..) => Instant::now(),
+        let process_started = match &start {
+            StartMode::Fresh {
+                process_started, ..
+            } => *process_started,
+            StartMode::Takeover(..) => Instant::now(),
         };
-        let mut foundation = Foundation::new(&config, start)?;
-        let recovered = std::mem::take(&mut foundation.recovered);
-        let inheritance = foundation.inheritance.take();
-        let mut driver = Driver::assemble(&config, foundation, peers, handle, clock)?;
-        if let Some(mut inherited) = inheritance {
+        let mut parts = DriverParts::new(&config, start)?;
+        let recovered = std::mem::take(&mut parts.recovered);
+        let inherited_state = parts.inherited_state.take();
+        let mut driver = Driver::assemble(&config, parts, peers, handle, clock)?;
+        if let Some(mut inherited) = inherited_state {
             driver
                 .restore_state(inherited.state, &mut inherited.descriptors)
                 .map_err(SenderError::RestoreState)?;
@@ -220,29 +223,29 @@
         }
         driver.store.wal.append_anchor(driver.clock.anchor());
         let resumed = driver.resume(recovered);
-        driver.apply_or_defer_known_list(&config, began);
+        driver.apply_or_defer_known_list(&config, process_started);
         driver.decision.events.extend(resumed);
         info!(name = %config.name, resumed = driver.store.counters.resumed, "started");
         Ok(driver)
     }
 
-    /// Puts the stages together. Nothing is held yet.
+    /// Assembles the stages. The store is still empty.
     fn assemble(
         config: &Config,
-        foundation: Foundation,
+        parts: DriverParts,
         peers: Option<PeerService>,
         handle: &Handle,
         clock: Clock,
     ) -> Result<Driver, SenderError> {
-        let settings = &foundation.settings;
-        let capacity = Capacity::new(config, settings);
+        let settings = &parts.settings;
+        let capacity = ConnectionCapacity::new(config, settings);
         let control_buffers = BufferPool::new(CONTROL_BUFFERS);
         let jitter = Jitter::new(config.seed);
         let limits = client_limits(config, settings, &capacity);
         let classes = ingress_classes(config);
         let violations = ViolationCounter::default();
         let ingress = Ingress::open(
-            foundation.listener,
+            parts.listener,
             handle,
             limits,
             classes,
@@ -251,11 +254,11 @@
         )?;
         let class_metrics = ClassMetrics::new(&config.platform_settings.classes);
         Ok(Driver {
-            names: SettingsNames::of(config),
+            names: SettingsNames::from_config(config),
             listen: config.listen,
             descriptor_limit: config.sockets,
-            admission: build_admission(config, settings, foundation.class_rules),
-            decision: Decision::new(foundation.policy),
+            admission: build_admission(config, settings, parts.class_rules),
+            decision: Decision::new(parts.policy),
             status_reporter: build_status_reporter(
                 config,
                 handle,
@@ -263,7 +266,7 @@
                 &jitter,
                 clock.now(),
             ),
-            store: MessageStore::new(foundation.wal, foundation.next_number, class_metrics),
+            store: MessageStore::new(parts.wal, parts.next_number, class_metrics),
             ingress,
             egress: build_egress(settings, &capacity, handle),
             directory: build_directory(config, jitter),
@@ -272,9 +275,9 @@
             unfinished_sources: Vec::new(),
             shutdown_started: None,
             clock,
-            polls: PollHistory::new(),
+            poll_history: PollHistory::new(),
             deferred_list: None,
-            waits: RetryAfterTable::new(
+            retry_after_table: RetryAfterTable::new(
                 settings
                     .kinds
                     .iter()
@@ -287,12 +290,13 @@
         })
     }
 
-    /// Holds what the log has of earlier processes. Returns the events for the decision module.
+    /// Adds the messages that the log has of earlier processes to the store. Returns the events for the decision
+    /// module.
     fn resume(&mut self, recovered: BTreeMap<u64, MessageRecord>) -> Vec<Event> {
         let mut events = Vec::new();
         for mut record in recovered.into_values() {
             if !self.clock.is_continuous() {
-                forget_instants_of_attempts(&mut record);
+                forget_attempt_times(&mut record);
             }
             let event = self
                 .admission
@@ -303,14 +307,19 @@
     }
 }
 
-/// The time since the attempts of a message is not known: no idempotency window is proven to be open still.
-fn forget_instants_of_attempts(record: &mut MessageRecord) {
+/// Replaces the times of a message's attempts by [`LONG_AGO`]. The time since the attempts is unknown if the clock is
+/// not continuous, so no idempotency window is proven to be still open.
+fn forget_attempt_times(record: &mut MessageRecord) {
     for attempt in &mut record.attempts {
         attempt.sent = LONG_AGO;
     }
 }
 
-fn client_limits(config: &Config, settings: &Settings, capacity: &Capacity) -> ClientLimits {
+fn client_limits(
+    config: &Config,
+    settings: &Settings,
+    capacity: &ConnectionCapacity,
+) -> ClientLimits {
     ClientLimits {
         max_clients: capacity.max_clients,
         timeouts: config.clients,
@@ -351,13 +360,13 @@
 
 fn build_admission(config: &Config, settings: &Settings, class_rules: ClassRules) -> Admission {
     Admission {
-        max_held: settings.max_held,
+        max_open_messages: settings.max_held,
         classes: config.platform_settings.classes.clone(),
         class_rules,
     }
 }
 
-fn build_egress(settings: &Settings, capacity: &Capacity, handle: &Handle) -> Egress {
+fn build_egress(settings: &Settings, capacity: &ConnectionCapacity, handle: &Handle) -> Egress {
     Egress::new(
         handle,
         &BufferPool::new(capacity.endpoint_buffers),
--- a/crates/sender/src/pipeline/crash_recovery_tests/two_processes.rs
+++ b/crates/sender/src/pipeline/crash_recovery_tests/two_processes.rs
@@ -30,7 +30,7 @@
     peers: ScriptedPeers,
     clock: Clock,
     driver: Driver,
-    events: Events,
+    events: TestLoop,
     client: TcpStream,
     /// What the client has read.
     answer: Vec<u8>,
@@ -136,7 +136,7 @@
     /// Shuts down, before it could be killed.
     fn terminate(&mut self) {
         let started = self.clock.now();
-        self.driver.end();
+        self.driver.begin_shutdown();
         while step(&mut self.driver, &mut self.peers, &self.clock) {
             assert!(
                 self.clock.now() < started + 3_690.0,
@@ -180,7 +180,7 @@
         let (mut driver, _events) = start(&self.state, MAX_HELD, &self.peers, true, &self.clock);
         let mut steps = 0;
         let mut answered_at = None;
-        while driver.store.open + driver.status_reporter.unconfirmed().len() > 0
+        while driver.store.open_count + driver.status_reporter.unconfirmed().len() > 0
             || steps < MIN_STEPS_AFTERWARDS
         {
             let requests = self.peers.requests.len();
--- a/crates/sender/src/pipeline/message_store.rs
+++ b/crates/sender/src/pipeline/message_store.rs
@@ -1,7 +1,7 @@
-//! The messages that this process holds, and what all stages of the pipeline share: the write-ahead log and the
-//! counters.
+//! The messages that this process holds, with the write-ahead log and the counters that all stages of the pipeline
+//! share.
 //!
-//! A message is held from its record in the log until it is over and none of its attempts is in flight.
+//! A message is held from its record in the log until it is closed and none of its attempts is in flight.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
@@ -12,40 +12,40 @@
 use crate::class_metrics::ClassMetrics;
 use crate::counters::Counters;
 
-/// How far a message has come. Passed to a successor: the order of the variants is fixed.
+/// The progress of a message. Passed to a successor process, so the order of the variants is fixed.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum MessageState {
     /// Neither delivered nor given up.
     Open,
-    /// Given up; the platform has not confirmed the status report yet.
+    /// Given up, but the platform has not confirmed the status report yet.
     Reporting,
     /// Delivered, or given up with a confirmed status report.
     Closed,
 }
 
-/// A message that has been accepted.
+/// A message that has been accepted and is held.
 pub struct StoredMessage {
     pub(super) record: MessageRecord,
     pub(super) state: MessageState,
-    /// Attempts that have no result yet.
+    /// The number of attempts that have no result yet.
     pub(super) attempts_in_flight: u32,
-    /// Recovered from an earlier process, and not attempted by any process yet.
+    /// Recovered from an earlier process and not attempted by any process yet.
     pub(super) unattempted: bool,
-    /// Its end was counted before: its report is only sent again.
+    /// Its end was counted before, and only its report is sent again.
     pub(super) end_counted: bool,
 }
 
-/// The deadline of a message as an ordered key, with its number.
+/// The deadline of a message as an ordered key, followed by the message's number.
 type DeadlineKey = (u64, u64);
 
 /// All held messages, by number and by id.
 pub struct MessageStore {
     pub(super) messages: BTreeMap<u64, StoredMessage>,
-    pub(super) numbers: HashMap<Rc<str>, u64>,
-    /// The open messages in the order of their deadlines.
+    pub(super) numbers_by_id: HashMap<Rc<str>, u64>,
+    /// The open messages, earliest deadline first.
     by_deadline: BTreeSet<DeadlineKey>,
-    /// How many messages are open.
-    pub(super) open: usize,
+    /// The number of open messages.
+    pub(super) open_count: usize,
     /// The number of the next message.
     pub(super) next_number: u64,
     pub(super) wal: WriteAheadLog,
@@ -53,13 +53,13 @@
     pub(super) class_metrics: ClassMetrics,
 }
 
-/// The bits of a non-negative float have the order of the float itself.
+/// The key by which a message is ordered. A non-negative float's bits have the same order as the float itself.
 fn deadline_key(record: &MessageRecord) -> DeadlineKey {
     (record.deadline.max(0.0).to_bits(), record.number)
 }
 
 impl MessageStore {
-    /// A store that holds nothing yet.
+    /// A store without messages.
     pub(super) fn new(
         wal: WriteAheadLog,
         next_number: u64,
@@ -67,9 +67,9 @@
     ) -> MessageStore {
         MessageStore {
             messages: BTreeMap::new(),
-            numbers: HashMap::new(),
+            numbers_by_id: HashMap::new(),
             by_deadline: BTreeSet::new(),
-            open: 0,
+            open_count: 0,
             next_number,
             wal,
             counters: Counters::default(),
@@ -77,11 +77,11 @@
         }
     }
 
-    /// Holds a message that the log has.
+    /// Adds a message that the log has recorded.
     pub(super) fn insert(&mut self, record: MessageRecord, state: MessageState) {
-        self.numbers.insert(record.id.clone(), record.number);
+        self.numbers_by_id.insert(record.id.clone(), record.number);
         if state == MessageState::Open {
-            self.open += 1;
+            self.open_count += 1;
             self.by_deadline.insert(deadline_key(&record));
         }
         self.messages.insert(
@@ -108,9 +108,9 @@
             .is_some_and(|message| message.state == MessageState::Open)
     }
 
-    /// The number of a held message of this id that was given up and whose report the platform has not confirmed.
-    pub(super) fn reporting(&self, id: &Rc<str>) -> Option<u64> {
-        let number = *self.numbers.get(id)?;
+    /// The number of the held message with this id, if it was given up and the platform has not confirmed its report.
+    pub(super) fn number_being_reported(&self, id: &Rc<str>) -> Option<u64> {
+        let number = *self.numbers_by_id.get(id)?;
         let message = self.messages.get(&number)?;
         (message.state == MessageState::Reporting).then_some(number)
     }
@@ -122,18 +122,18 @@
             .is_some_and(|message| message.attempts_in_flight > 0)
     }
 
-    /// Whether a message of this id is held, or is among the last ones that were closed.
+    /// Whether a message with this id is held or was recently closed.
     pub(super) fn is_known(&self, id: &Rc<str>) -> bool {
-        self.numbers.contains_key(id) || self.wal.recently_closed.contains(id)
+        self.numbers_by_id.contains_key(id) || self.wal.recently_closed.contains(id)
     }
 
-    /// Moves a message to a later state; the log learns of its close.
+    /// Moves a message to a later state. If it is closed, this is recorded in the log.
     pub(super) fn advance(&mut self, number: u64, state: MessageState) {
         let Some(message) = self.messages.get_mut(&number) else {
             return;
         };
         if message.state == MessageState::Open {
-            self.open -= 1;
+            self.open_count -= 1;
             self.by_deadline.remove(&deadline_key(&message.record));
         }
         message.state = state;
@@ -147,7 +147,8 @@
         self.remove_if_finished(number);
     }
 
-    /// Takes the open message of the earliest deadline out of the order of deadlines, if that is before an instant.
+    /// Removes the open message with the earliest deadline from the deadline order, if that deadline is before an
+    /// instant. The message itself stays in the store.
     pub(super) fn pop_overdue(&mut self, before: Millis) -> Option<u64> {
         let first = *self.by_deadline.first()?;
         let (deadline_bits, number) = first;
@@ -158,13 +159,13 @@
         Some(number)
     }
 
-    /// Lets go of a message that is closed and has no attempt in flight.
+    /// Removes a message if it is closed and has no attempt in flight.
     pub(super) fn remove_if_finished(&mut self, number: u64) {
         let finished = self.messages.get(&number).is_some_and(|message| {
             message.state == MessageState::Closed && message.attempts_in_flight == 0
         });
         if finished && let Some(message) = self.messages.remove(&number) {
-            self.numbers.remove(&message.record.id);
+            self.numbers_by_id.remove(&message.record.id);
         }
     }
 }
--- a/crates/sender/src/pipeline/metrics.rs
+++ b/crates/sender/src/pipeline/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and gauges of the running process.
+//! The counters and gauges of the running process.
 
 use tracing::info;
 
@@ -7,7 +7,7 @@
 
 impl Driver {
     /// Writes all counters to the log.
-    pub fn print_counters(&mut self) {
+    pub fn log_counters(&mut self) {
         self.store.counters.endpoint_connections = self.egress.connections_opened;
         if let Some(peers) = &self.peers {
             peers.print_counters();
@@ -15,14 +15,14 @@
         info!(
             "counters held={} open={}{}",
             self.store.messages.len(),
-            self.store.open,
+            self.store.open_count,
             self.store.counters
         );
         let gauges = self.gauges();
         self.store.class_metrics.print(&gauges);
     }
 
-    /// The gauges, with everything counted that has happened up to now.
+    /// The current gauges. Everything that has happened up to now is counted first.
     pub(super) fn gauges(&mut self) -> Gauges {
         self.count_metrics();
         let policy = &self.decision.policy;
@@ -35,15 +35,15 @@
             }
         }
         Gauges {
-            current: self.store.open + self.status_reporter.unconfirmed().len(),
+            current: self.store.open_count + self.status_reporter.unconfirmed().len(),
             cluster_size,
             cluster_unhealthy,
             violations: self.violations.total(),
         }
     }
 
-    /// Counts what egress and ingress have noted since the last time: attempts whose last byte was sent, and messages
-    /// that were rejected before they were complete.
+    /// Counts what egress and ingress have recorded since the last call: attempts whose last byte was sent, and
+    /// messages that were rejected before they were complete.
     pub(super) fn count_metrics(&mut self) {
         for id in std::mem::take(&mut self.egress.sent_messages) {
             if let Some(message) = self.store.messages.get(&id.0) {
--- a/crates/sender/src/pipeline/tests/status_reports.rs
+++ b/crates/sender/src/pipeline/tests/status_reports.rs
@@ -238,7 +238,7 @@
     let numbers: Vec<u64> = driver.status_reporter.unconfirmed().collect();
     let record = driver.store.record(numbers[0]).unwrap();
     assert_eq!(record.final_status, Some(FinalStatus::Undeliverable));
-    assert_eq!(driver.store.open, 0, "and it is not attempted");
+    assert_eq!(driver.store.open_count, 0, "and it is not attempted");
     assert_eq!(confirm_all(&mut driver, &mut platform, &clock), 1);
     drop(events);
 }
@@ -324,7 +324,7 @@
 }
 
 /// A driver that comes back with the reports of so many messages, whose deadlines have passed.
-fn with_reports_owed(name: &str, count: u64, platform: SocketAddr) -> (Driver, Clock, Events) {
+fn with_reports_owed(name: &str, count: u64, platform: SocketAddr) -> (Driver, Clock, TestLoop) {
     let state = empty_folder(&folder_name(name));
     let (mut wal, _) = WriteAheadLog::open(&state, DISK_LIMIT);
     for number in 1..=count {
--- a/crates/sender/src/pipeline/tests/unread_requests.rs
+++ b/crates/sender/src/pipeline/tests/unread_requests.rs
@@ -11,7 +11,7 @@
 /// A client waits so long for the answer to its request; what it hears later counts for nothing.
 const CLIENT_PATIENCE: Millis = 400.0;
 
-fn driver(name: &str) -> (Driver, Clock, Events) {
+fn driver(name: &str) -> (Driver, Clock, TestLoop) {
     let endpoint = TcpListener::bind("127.0.0.1:0").unwrap();
     resumed_with(name, 60_000.0, endpoint.local_addr().unwrap())
 }
@@ -20,9 +20,9 @@
 fn deadline_once_read(driver: &mut Driver) -> Millis {
     until(|| {
         driver.round(vec![EventSource::ClientListener, EventSource::Client(0)]);
-        driver.store.numbers.contains_key("q")
+        driver.store.numbers_by_id.contains_key("q")
     });
-    let number = driver.store.numbers["q"];
+    let number = driver.store.numbers_by_id["q"];
     driver.store.record(number).unwrap().deadline
 }
 
@@ -76,10 +76,10 @@
     until(|| {
         clock.set(clock.now() + 10.0);
         driver.round(vec![EventSource::ClientListener]);
-        driver.store.numbers.contains_key("q")
+        driver.store.numbers_by_id.contains_key("q")
     });
     assert!(clock.now() > handed_in + 10.0, "one round takes them all");
-    let number = driver.store.numbers["q"];
+    let number = driver.store.numbers_by_id["q"];
     assert!(driver.store.record(number).unwrap().deadline <= handed_in + TIMEOUT);
 }
 
