--- a/crates/sender/src/config.rs
+++ b/crates/sender/src/config.rs
@@ -37,17 +37,17 @@
     /// The address on which operators connect, if there is one.
     pub operator: Option<SocketAddr>,
     /// The folder for state that outlasts the process.
-    pub state: PathBuf,
+    pub state_folder: PathBuf,
     /// The seed of all random draws.
     pub seed: u64,
     /// The most descriptors the process may have open.
-    pub sockets: usize,
+    pub descriptor_limit: usize,
     /// The most bytes on disk.
-    pub disk: u64,
+    pub disk_limit: u64,
     /// The most bytes of memory.
-    pub memory: u64,
+    pub memory_limit: u64,
     /// The endpoint list as this sender last had it; null if it never had one.
-    pub known: Value,
+    pub known_endpoints: Value,
     /// The platform's settings.
     pub platform_settings: PlatformSettings,
     /// The timeouts for clients, from the program's own settings.
@@ -131,20 +131,20 @@
 
     fn from_environment(discovery_variable: Option<&str>) -> Result<Config, ConfigError> {
         let json = read_file()?;
-        let state = read_state_folder()?;
+        let state_folder = read_state_folder()?;
         let platform_settings = read_settings(&json)?;
-        let known = read_known_endpoints(&json)?;
+        let known_endpoints = read_known_endpoints(&json)?;
         Ok(Config {
             name: std::env::var(NAME_VARIABLE).unwrap_or_else(|_| DEFAULT_NAME.into()),
             listen: read_address(&json, "listen", Some(LISTEN_VARIABLE))?,
             discovery: read_address(&json, "discovery", discovery_variable)?,
             operator: read_operator_address(&json)?,
-            state,
+            state_folder,
             seed: read_seed(&json)?,
-            sockets: read_limit(&json, "sockets", MIN_SOCKETS)? as usize,
-            disk: read_megabytes(&json, "disk_mb", MIN_DISK_MEGABYTES)?,
-            memory: read_megabytes(&json, "memory_mb", MIN_MEMORY_MEGABYTES)?,
-            known,
+            descriptor_limit: read_limit(&json, "sockets", MIN_SOCKETS)? as usize,
+            disk_limit: read_megabytes(&json, "disk_mb", MIN_DISK_MEGABYTES)?,
+            memory_limit: read_megabytes(&json, "memory_mb", MIN_MEMORY_MEGABYTES)?,
+            known_endpoints,
             platform_settings,
             clients: Program::default().clients,
             peers: None,
--- a/crates/sender/src/pipeline/builder.rs
+++ b/crates/sender/src/pipeline/builder.rs
@@ -78,10 +78,10 @@
             Some(_) => operator::CALLERS + 1,
             None => 0,
         };
-        let buffers = (config.memory / BUFFER_MEMORY_DIVISOR / BUFFER_SIZE as u64) as usize;
+        let buffers = (config.memory_limit / BUFFER_MEMORY_DIVISOR / BUFFER_SIZE as u64) as usize;
         let buffers = buffers.saturating_sub(BUFFERS_PER_CONNECTION * operator_connections);
         let buffered_clients = buffers / BUFFERS_CLAIMED_PER_CLIENT;
-        let max_clients = (config.sockets / CLIENT_DESCRIPTORS_DIVISOR)
+        let max_clients = (config.descriptor_limit / CLIENT_DESCRIPTORS_DIVISOR)
             .saturating_sub(operator_connections)
             .min(buffered_clients)
             .max(1);
@@ -91,7 +91,7 @@
             endpoint_buffers: (buffers - client_buffers)
                 .saturating_sub(CONTROL_BUFFERS)
                 .max(1),
-            max_endpoint_connections: (config.sockets / ENDPOINT_DESCRIPTORS_DIVISOR)
+            max_endpoint_connections: (config.descriptor_limit / ENDPOINT_DESCRIPTORS_DIVISOR)
                 .max(settings.max_in_flight),
         }
     }
@@ -138,7 +138,7 @@
         mut settings: Settings,
         mut class_rules: ClassRules,
     ) -> Result<Foundation, SenderError> {
-        let (wal, recovered) = log_recovery::open(&config.state, config.disk);
+        let (wal, recovered) = log_recovery::open(&config.state_folder, config.disk_limit);
         for record in recovered.open.values() {
             class_rules.add_recovered(&record.class, &record.rules, &mut settings);
         }
@@ -175,9 +175,13 @@
         let policy = policy
             .restore(settings.clone())
             .map_err(SenderError::Settings)?;
-        let wal =
-            WriteAheadLog::restore(&config.state, config.disk, log_position, state.unfinished())
-                .map_err(SenderError::RestoreLog)?;
+        let wal = WriteAheadLog::restore(
+            &config.state_folder,
+            config.disk_limit,
+            log_position,
+            state.unfinished(),
+        )
+        .map_err(SenderError::RestoreLog)?;
         Ok(Foundation {
             listener: TcpListener::from(listener),
             settings,
@@ -253,7 +257,7 @@
         Ok(Driver {
             names: SettingsNames::of(config),
             listen: config.listen,
-            descriptor_limit: config.sockets,
+            descriptor_limit: config.descriptor_limit,
             admission: build_admission(config, settings, foundation.class_rules),
             decision: Decision::new(foundation.policy),
             status_reporter: build_status_reporter(
@@ -368,6 +372,6 @@
 }
 
 fn build_directory(config: &Config, jitter: Jitter) -> EndpointDirectory {
-    let cordons = Cordons::open(&config.state, config.disk);
+    let cordons = Cordons::open(&config.state_folder, config.disk_limit);
     EndpointDirectory::new(config.discovery, &config.platform_settings, cordons, jitter)
 }
--- a/crates/sender/src/pipeline/known_list.rs
+++ b/crates/sender/src/pipeline/known_list.rs
@@ -27,16 +27,16 @@
 impl Driver {
     /// Uses the list of the configuration, now or later, in a process that began at an instant.
     pub(super) fn apply_or_defer_known_list(&mut self, config: &Config, began: Instant) {
-        if !config.known.is_object() {
+        if !config.known_endpoints.is_object() {
             return;
         }
         if began.elapsed() <= LIST_LIFETIME {
-            self.apply_known_list(&config.known);
+            self.apply_known_list(&config.known_endpoints);
             return;
         }
         info!("the start was held up: discovery is asked before anything is sent");
         self.deferred_list = Some(DeferredList {
-            list: config.known.clone(),
+            list: config.known_endpoints.clone(),
             use_at: self.clock.now() + DISCOVERY_PATIENCE,
         });
     }
--- a/crates/sender/src/process_replacement/candidate.rs
+++ b/crates/sender/src/process_replacement/candidate.rs
@@ -62,7 +62,7 @@
     /// # Errors
     /// If another process is the candidate already.
     pub fn open(config: &Config, handle: &Handle) -> Result<ReplacementCandidate, CandidateError> {
-        let successor_lock = match Lock::try_acquire(&config.state, SUCCESSOR_LOCK) {
+        let successor_lock = match Lock::try_acquire(&config.state_folder, SUCCESSOR_LOCK) {
             Ok(None) => return Err(CandidateError::AnotherCandidate),
             Ok(Some(lock)) => Some(lock),
             Err(_) => None,
@@ -70,7 +70,7 @@
         info!("waiting for the process that serves");
         Ok(ReplacementCandidate {
             handle: handle.clone(),
-            state_folder: config.state.clone(),
+            state_folder: config.state_folder.clone(),
             request: TakeoverRequest {
                 version: VERSION,
                 listen: config.listen,
--- a/crates/sender/src/serve.rs
+++ b/crates/sender/src/serve.rs
@@ -26,7 +26,7 @@
     let handle = events.handle();
     watch_signals(&handle)?;
     let operators = open_operators(&config, &handle)?;
-    let state: PathBuf = config.state.clone();
+    let state: PathBuf = config.state_folder.clone();
     let mut starting = StartingProcess::new(config, &mut events, operators);
     let Some(started) = starting.start()? else {
         return Ok(());
--- a/crates/sender/src/startup.rs
+++ b/crates/sender/src/startup.rs
@@ -84,7 +84,7 @@
         operators: Option<Operators>,
     ) -> StartingProcess<'a> {
         let started = Instant::now();
-        let clock = clock_after_earlier_processes(&config.state);
+        let clock = clock_after_earlier_processes(&config.state_folder);
         StartingProcess {
             started,
             config,
@@ -166,7 +166,7 @@
         PeerService::open(
             settings,
             &config.name,
-            &config.state,
+            &config.state_folder,
             per_endpoint,
             config.seed,
             &self.events.handle(),
@@ -316,7 +316,7 @@
 
 /// Takes the lock on the folder. A folder that takes no file must not stop a sender, which then cannot be replaced.
 fn take_folder_lock(config: &Config) -> FolderLock {
-    match Lock::try_acquire(&config.state, "lock") {
+    match Lock::try_acquire(&config.state_folder, "lock") {
         Ok(Some(lock)) => FolderLock::Ours(Some(lock)),
         Ok(None) => FolderLock::Taken,
         Err(error) => {
