--- a/crates/sender/src/cordons.rs
+++ b/crates/sender/src/cordons.rs
@@ -81,7 +81,7 @@
     }
 
     /// Whether the endpoint of that name is cordoned.
-    pub fn holds(&self, name: &str) -> bool {
+    pub fn contains(&self, name: &str) -> bool {
         self.cordoned.contains(name)
     }
 
@@ -95,8 +95,8 @@
     ///
     /// # Errors
     /// [`CordonError::FileFull`] or [`CordonError::NotWritten`]; the cordons are what they were before.
-    pub fn put(&mut self, name: &Rc<str>, cordoned: bool) -> Result<bool, CordonError> {
-        if self.holds(name) == cordoned {
+    pub fn set_cordoned(&mut self, name: &Rc<str>, cordoned: bool) -> Result<bool, CordonError> {
+        if self.contains(name) == cordoned {
             return Ok(false);
         }
         let mut changed = self.cordoned.clone();
--- a/crates/sender/src/cordons/tests.rs
+++ b/crates/sender/src/cordons/tests.rs
@@ -16,7 +16,7 @@
     let folder = tempfile::tempdir().unwrap();
     let mut cordons = Cordons::open(folder.path(), DISK_LIMIT);
     for name in ["a", "b"] {
-        assert_eq!(cordons.put(&Rc::from(name), true), Ok(true));
+        assert_eq!(cordons.set_cordoned(&Rc::from(name), true), Ok(true));
     }
     (folder, cordons)
 }
@@ -24,9 +24,9 @@
 #[test]
 fn cordons_last_until_they_are_taken_back() {
     let (folder, mut cordons) = two_cordoned();
-    assert_eq!(cordons.put(&Rc::from("a"), true), Ok(false));
-    assert_eq!(cordons.put(&Rc::from("c"), true), Ok(true));
-    assert_eq!(cordons.put(&Rc::from("c"), false), Ok(true));
+    assert_eq!(cordons.set_cordoned(&Rc::from("a"), true), Ok(false));
+    assert_eq!(cordons.set_cordoned(&Rc::from("c"), true), Ok(true));
+    assert_eq!(cordons.set_cordoned(&Rc::from("c"), false), Ok(true));
     assert_eq!(names(&folder), ["a", "b"]);
 }
 
@@ -34,14 +34,14 @@
 fn a_disk_that_takes_no_file_leaves_the_cordons_as_they_were() {
     let (folder, mut cordons) = two_cordoned();
     std::fs::create_dir(folder.path().join("cordons.new")).unwrap();
-    let failed = cordons.put(&Rc::from("d"), true).unwrap_err();
+    let failed = cordons.set_cordoned(&Rc::from("d"), true).unwrap_err();
     assert!(
         failed
             .to_string()
             .starts_with("the ban cannot be written: ")
     );
-    assert!(cordons.put(&Rc::from("a"), false).is_err());
-    assert!(cordons.holds("a") && !cordons.holds("d"));
+    assert!(cordons.set_cordoned(&Rc::from("a"), false).is_err());
+    assert!(cordons.contains("a") && !cordons.contains("d"));
     assert_eq!(names(&folder), ["a", "b"]);
 }
 
@@ -71,15 +71,15 @@
     let mut full = Cordons::open(folder.path(), 1_000);
     for index in 0..9 {
         let name = Rc::from(format!("long-{index}"));
-        let refused = full.put(&name, true).unwrap_err();
+        let refused = full.set_cordoned(&name, true).unwrap_err();
         assert_eq!(
             refused.to_string(),
             "no room on disk for more than the 2 that are out"
         );
     }
-    assert_eq!(full.put(&Rc::from("long-0"), false), Ok(false));
+    assert_eq!(full.set_cordoned(&Rc::from("long-0"), false), Ok(false));
     assert_eq!(
-        full.put(&Rc::from("a"), false),
+        full.set_cordoned(&Rc::from("a"), false),
         Ok(true),
         "it needs no room"
     );
--- a/crates/sender/src/discovery/endpoint_list.rs
+++ b/crates/sender/src/discovery/endpoint_list.rs
@@ -188,7 +188,7 @@
     /// The entry as the decision module is to see it: a cordoned endpoint is draining.
     fn effective_entry(&self, listed: &ListedEndpoint) -> EndpointEntry {
         let mut entry = listed.entry.clone();
-        if entry.state == EndpointState::Active && self.cordons.holds(&listed.name) {
+        if entry.state == EndpointState::Active && self.cordons.contains(&listed.name) {
             entry.state = EndpointState::Draining;
         }
         entry
@@ -201,7 +201,7 @@
         cordoned: bool,
     ) -> Result<Option<EndpointEntry>, CordonError> {
         let id = self.ids.get(name).copied();
-        if id.is_none() && !self.removed.contains(name) && !self.cordons.holds(name) {
+        if id.is_none() && !self.removed.contains(name) && !self.cordons.contains(name) {
             let shown = name.chars().take(MAX_SHOWN_NAME);
             let escaped = shown.flat_map(char::escape_default).collect();
             return Err(CordonError::NeverListed(escaped));
@@ -209,7 +209,7 @@
         if name.len() > MAX_NAME_BYTES {
             return Err(CordonError::NameTooLong);
         }
-        if !self.cordons.put(&Rc::from(name), cordoned)? {
+        if !self.cordons.set_cordoned(&Rc::from(name), cordoned)? {
             return Ok(None);
         }
         let listed = id.and_then(|id| self.endpoints.get(&id));
@@ -220,13 +220,13 @@
     pub fn cordon_states(&self) -> impl Iterator<Item = (EndpointId, bool)> {
         self.endpoints
             .iter()
-            .map(|(id, listed)| (*id, self.cordons.holds(&listed.name)))
+            .map(|(id, listed)| (*id, self.cordons.contains(&listed.name)))
     }
 
     /// Whether an endpoint is listed as active, and not cordoned.
     pub fn is_active(&self, endpoint: EndpointId) -> bool {
         self.endpoints.get(&endpoint).is_some_and(|listed| {
-            listed.entry.state == EndpointState::Active && !self.cordons.holds(&listed.name)
+            listed.entry.state == EndpointState::Active && !self.cordons.contains(&listed.name)
         })
     }
 
--- a/crates/sender/src/pipeline/compatibility_tests.rs
+++ b/crates/sender/src/pipeline/compatibility_tests.rs
@@ -102,9 +102,9 @@
 fn cordons_are_read_and_written_in_the_same_form() {
     let folder = copy_of("cordons");
     let mut cordons = Cordons::open(folder.path(), DISK_LIMIT);
-    assert!(cordons.holds("alpha") && cordons.holds("beta-2"));
-    assert_eq!(cordons.put(&Rc::from("gamma"), true), Ok(true));
-    assert_eq!(cordons.put(&Rc::from("gamma"), false), Ok(true));
+    assert!(cordons.contains("alpha") && cordons.contains("beta-2"));
+    assert_eq!(cordons.set_cordoned(&Rc::from("gamma"), true), Ok(true));
+    assert_eq!(cordons.set_cordoned(&Rc::from("gamma"), false), Ok(true));
     let read = |folder: &Path| std::fs::read(folder.join("cordons")).unwrap();
     assert_eq!(read(folder.path()), read(&stored()));
 }
