--- a/crates/sender/src/class_metrics.rs
+++ b/crates/sender/src/class_metrics.rs
@@ -1,6 +1,6 @@
 //! The metrics that operators read: per class what became of its messages, and gauges of the present state.
 //!
-//! The names in [`ClassMetrics::text`] are a public interface; monitoring systems read them.
+//! The names in [`ClassMetrics::format_answer`] are a public interface; monitoring systems read them.
 
 use std::fmt::Write;
 use std::rc::Rc;
@@ -91,7 +91,7 @@
     }
 
     /// The answer to an operator: one metric a line, then the line `--`.
-    pub fn text(&self, gauges: &Gauges) -> String {
+    pub fn format_answer(&self, gauges: &Gauges) -> String {
         let mut text = String::new();
         for counts in &self.classes {
             write_class(&mut text, counts);
@@ -111,7 +111,7 @@
     }
 
     /// Writes the same metrics to the log, a line per class.
-    pub fn print(&self, gauges: &Gauges) {
+    pub fn log(&self, gauges: &Gauges) {
         for counts in &self.classes {
             let ClassCounts {
                 name,
--- a/crates/sender/src/pipeline/metrics.rs
+++ b/crates/sender/src/pipeline/metrics.rs
@@ -19,7 +19,7 @@
             self.store.counters
         );
         let gauges = self.gauges();
-        self.store.class_metrics.print(&gauges);
+        self.store.class_metrics.log(&gauges);
     }
 
     /// The gauges, with everything counted that has happened up to now.
--- a/crates/sender/src/pipeline/operator_calls.rs
+++ b/crates/sender/src/pipeline/operator_calls.rs
@@ -44,7 +44,7 @@
             Call::Health => self.health(),
             Call::Counters => {
                 let gauges = self.gauges();
-                let text = self.store.class_metrics.text(&gauges);
+                let text = self.store.class_metrics.format_answer(&gauges);
                 Ok(format!("figures\n{text}"))
             }
             Call::Cordon(endpoint) => self.set_cordon(&endpoint, true),
