--- a/crates/sender/src/pipeline/ingress/closing.rs
+++ b/crates/sender/src/pipeline/ingress/closing.rs
@@ -38,7 +38,7 @@
             "client connection closed"
         );
         let facts = CloseFacts {
-            answer_owed: client.is_owed_answer(),
+            answer_pending: client.is_owed_answer(),
             client_left: client.has_left(),
         };
         self.violations
--- a/crates/sender/src/pipeline/send_gate.rs
+++ b/crates/sender/src/pipeline/send_gate.rs
@@ -117,7 +117,7 @@
             non_idempotent: self
                 .class_rules
                 .is_non_idempotent(&record.class, &record.rules),
-            first_run: first_run.map(|attempt| attempt.sent),
+            first_possible_run: first_run.map(|attempt| attempt.sent),
             // Only a repeat needs the window, which takes some decoding.
             idempotency_window: first_run.and_then(|_| {
                 self.class_rules
--- a/crates/sender/src/safety.rs
+++ b/crates/sender/src/safety.rs
@@ -49,7 +49,7 @@
     /// The message must not run twice.
     pub non_idempotent: bool,
     /// When the first attempt that may have run was sent; none if surely none has run.
-    pub first_run: Option<Millis>,
+    pub first_possible_run: Option<Millis>,
     /// How long endpoints remember the message's key; none if it has none, or they never forget it.
     pub idempotency_window: Option<Millis>,
     /// The endpoint takes new requests, by the endpoint list and the cordons.
@@ -71,12 +71,12 @@
     if request.now > request.deadline {
         return Err(Violation::SentAfterDeadline);
     }
-    if let Some(first_run) = request.first_run {
+    if let Some(first_possible_run) = request.first_possible_run {
         if request.non_idempotent {
             return Err(Violation::RepeatedNonIdempotent);
         }
         let window = request.idempotency_window.unwrap_or(f64::INFINITY);
-        if request.now > first_run + window {
+        if request.now > first_possible_run + window {
             return Err(Violation::RepeatedOutsideWindow);
         }
     }
@@ -96,7 +96,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct CloseFacts {
     /// A request has been read, wholly or in part, and its answer is not written.
-    pub answer_owed: bool,
+    pub answer_pending: bool,
     /// The client has reset the connection, or ended its sending before its request was complete.
     pub client_left: bool,
 }
@@ -106,7 +106,7 @@
 /// # Errors
 /// [`Violation::ClosedUnanswered`] if the client would not learn what became of its request.
 pub fn may_close(connection: CloseFacts) -> Result<(), Violation> {
-    if connection.answer_owed && !connection.client_left {
+    if connection.answer_pending && !connection.client_left {
         return Err(Violation::ClosedUnanswered);
     }
     Ok(())
--- a/crates/sender/src/safety/tests.rs
+++ b/crates/sender/src/safety/tests.rs
@@ -9,7 +9,7 @@
         message_open: true,
         deadline: NOW,
         non_idempotent: false,
-        first_run: Some(NOW - 500.0),
+        first_possible_run: Some(NOW - 500.0),
         idempotency_window: Some(500.0),
         endpoint_available: true,
         retry_after_until: Some(NOW),
@@ -44,7 +44,7 @@
 fn a_first_attempt_needs_no_window() {
     let request = RequestFacts {
         non_idempotent: true,
-        first_run: None,
+        first_possible_run: None,
         idempotency_window: Some(0.0),
         ..permitted()
     };
@@ -56,12 +56,12 @@
 #[case::unanswered(true, false, false)]
 #[case::client_left(true, true, true)]
 fn a_connection_is_closed_once_nothing_is_owed(
-    #[case] answer_owed: bool,
+    #[case] answer_pending: bool,
     #[case] client_left: bool,
     #[case] permitted: bool,
 ) {
     let facts = CloseFacts {
-        answer_owed,
+        answer_pending,
         client_left,
     };
     assert_eq!(may_close(facts).is_ok(), permitted);
