--- a/crates/sender/src/class_rules.rs
+++ b/crates/sender/src/class_rules.rs
@@ -1,6 +1,6 @@
-//! The rules of message classes: those of the settings, followed by those of earlier settings under which a message
-//! that is still held was accepted. A message keeps the rules under which it was accepted, also where the current
-//! settings give another class the same name.
+//! The rules of message classes: the classes of the current settings, followed by classes of earlier settings under
+//! which a message was accepted that this sender still has. A message keeps the rules under which it was accepted, even
+//! if the current settings give a class of the same name other rules.
 
 use std::rc::Rc;
 
@@ -8,47 +8,47 @@
 use martenlatch_policy::interface::{Idempotency, MessageClass, Settings};
 use serde::{Deserialize, Serialize};
 
-/// A class: its name, and its rules in the form that the write-ahead log keeps. Serialized by field order.
+/// A class: its name, and its rules as the write-ahead log stores them. Serialized by field order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ClassRule {
+pub struct ClassEntry {
     /// The name of the class.
     pub name: Rc<str>,
     /// The [`MessageClass`] in postcard form.
-    pub rules: Rc<[u8]>,
+    pub encoded_rules: Rc<[u8]>,
     /// Messages must not be sent again once an attempt may have run.
     non_idempotent: bool,
 }
 
-impl ClassRule {
-    fn new(name: Rc<str>, class: &MessageClass) -> ClassRule {
-        let rules = postcard::to_allocvec(class)
+impl ClassEntry {
+    fn new(name: Rc<str>, class: &MessageClass) -> ClassEntry {
+        let encoded_rules = postcard::to_allocvec(class)
             .map(Rc::from)
             .unwrap_or_default();
-        ClassRule {
+        ClassEntry {
             name,
-            rules,
+            encoded_rules,
             non_idempotent: class.idempotency == Idempotency::NonIdempotent,
         }
     }
 }
 
-/// All classes, in the order by which the decision module numbers them.
+/// All classes, in the order in which the decision module numbers them.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct ClassRules(Vec<ClassRule>);
+pub struct ClassRules(Vec<ClassEntry>);
 
 impl ClassRules {
-    /// The classes of the settings alone.
+    /// The classes of the current settings only.
     pub fn new(names: &[String], classes: &[MessageClass]) -> ClassRules {
         let named = names.iter().zip(classes);
         ClassRules(
             named
-                .map(|(name, class)| ClassRule::new(Rc::from(name.as_str()), class))
+                .map(|(name, class)| ClassEntry::new(Rc::from(name.as_str()), class))
                 .collect(),
         )
     }
 
-    /// The classes of a predecessor, whose classes of earlier settings are added to `settings`. None if its own
-    /// classes differ from these.
+    /// Returns the classes of a predecessor, and adds those of them that come from earlier settings to `settings`.
+    /// `None` if the predecessor's current classes differ from these.
     pub fn restore(self, predecessor: ClassRules, settings: &mut Settings) -> Option<ClassRules> {
         let (current, earlier) = predecessor.0.split_at_checked(self.0.len())?;
         if current != self.0 {
@@ -56,20 +56,25 @@
         }
         let earlier = earlier
             .iter()
-            .map(|rule| postcard::from_bytes::<MessageClass>(&rule.rules).ok())
+            .map(|entry| postcard::from_bytes::<MessageClass>(&entry.encoded_rules).ok())
             .collect::<Option<Vec<_>>>()?;
         settings.classes.extend(earlier);
         Some(predecessor)
     }
 
-    /// Adds the class of a recovered message, here and in `settings`, unless it is there already. A message that was
-    /// recorded without rules goes by the class of its name.
-    pub fn add_recovered(&mut self, name: &Rc<str>, rules: &Rc<[u8]>, settings: &mut Settings) {
-        let Ok(class) = postcard::from_bytes::<MessageClass>(rules) else {
+    /// Adds the class of a recovered message here and to `settings`, unless these classes already contain it. A message
+    /// that was recorded without rules follows the class of its class name.
+    pub fn add_recovered(
+        &mut self,
+        name: &Rc<str>,
+        encoded_rules: &Rc<[u8]>,
+        settings: &mut Settings,
+    ) {
+        let Ok(class) = postcard::from_bytes::<MessageClass>(encoded_rules) else {
             return;
         };
-        let known = self.index_of(name, rules);
-        if known.is_some_and(|index| self.0[index].rules == *rules) {
+        let known = self.index_of(name, encoded_rules);
+        if known.is_some_and(|index| self.0[index].encoded_rules == *encoded_rules) {
             return;
         }
         settings.classes.push(MessageClass {
@@ -80,17 +85,18 @@
             settings.classes.pop();
             return;
         }
-        self.0.push(ClassRule {
+        self.0.push(ClassEntry {
             name: name.clone(),
-            rules: rules.clone(),
+            encoded_rules: encoded_rules.clone(),
             non_idempotent: class.idempotency == Idempotency::NonIdempotent,
         });
     }
 
-    /// The number of a class: of the one with these rules, else of the first one of this name.
-    pub fn index_of(&self, name: &str, rules: &[u8]) -> Option<usize> {
-        let same_rules = |rule: &ClassRule| *rule.name == *name && *rule.rules == *rules;
-        let same_name = |rule: &ClassRule| *rule.name == *name;
+    /// The index of the class with this name and these rules; if there is none, of the first class with this name.
+    pub fn index_of(&self, name: &str, encoded_rules: &[u8]) -> Option<usize> {
+        let same_rules =
+            |entry: &ClassEntry| *entry.name == *name && *entry.encoded_rules == *encoded_rules;
+        let same_name = |entry: &ClassEntry| *entry.name == *name;
         self.0
             .iter()
             .position(same_rules)
@@ -98,23 +104,24 @@
     }
 
     /// Whether messages of a class must not be sent again once an attempt may have run. True for an unknown class.
-    pub fn is_non_idempotent(&self, name: &str, rules: &[u8]) -> bool {
-        self.index_of(name, rules)
+    pub fn is_non_idempotent(&self, name: &str, encoded_rules: &[u8]) -> bool {
+        self.index_of(name, encoded_rules)
             .is_none_or(|index| self.0[index].non_idempotent)
     }
 
-    /// How long endpoints remember the keys of a class, in milliseconds; none if it has none, or it is unknown.
-    pub fn idempotency_window(&self, name: &str, rules: &[u8]) -> Option<Millis> {
-        let index = self.index_of(name, rules)?;
-        let class = postcard::from_bytes::<MessageClass>(&self.0[index].rules).ok()?;
+    /// The time in milliseconds for which endpoints remember the idempotency keys of a class. `None` if the class has no
+    /// keys or is unknown.
+    pub fn idempotency_window(&self, name: &str, encoded_rules: &[u8]) -> Option<Millis> {
+        let index = self.index_of(name, encoded_rules)?;
+        let class = postcard::from_bytes::<MessageClass>(&self.0[index].encoded_rules).ok()?;
         match class.idempotency {
             Idempotency::IdempotencyKey { window, .. } => Some(millis(window)),
             Idempotency::Idempotent | Idempotency::NonIdempotent => None,
         }
     }
 
-    /// The class of a number that [`ClassRules::index_of`] gave.
-    pub fn get(&self, index: usize) -> &ClassRule {
+    /// The class at an index from [`ClassRules::index_of`].
+    pub fn get(&self, index: usize) -> &ClassEntry {
         &self.0[index]
     }
 }
--- a/crates/sender/src/pipeline/admission.rs
+++ b/crates/sender/src/pipeline/admission.rs
@@ -137,7 +137,7 @@
             body: message.body,
             attempts: Vec::new(),
             final_status: None,
-            rules: class.rules.clone(),
+            rules: class.encoded_rules.clone(),
         }
     }
 
--- a/crates/sender/src/pipeline/crash_recovery_tests/resumption.rs
+++ b/crates/sender/src/pipeline/crash_recovery_tests/resumption.rs
@@ -81,7 +81,10 @@
     // A message that is accepted now goes by the settings, also where that name stands for both.
     let rules = &driver.admission.class_rules;
     let current = rules.get(0);
-    assert!(current.name.as_ref() == "debit" && rules.is_non_idempotent("debit", &current.rules));
+    assert!(
+        current.name.as_ref() == "debit"
+            && rules.is_non_idempotent("debit", &current.encoded_rules)
+    );
 }
 
 #[rstest::rstest]
