--- a/crates/sender/src/egress/snapshot.rs
+++ b/crates/sender/src/egress/snapshot.rs
@@ -77,7 +77,7 @@
         for passed in snapshot.connections {
             let key = self.connections.next_key();
             let connection = Connection::restore(
-                descriptors.stream()?,
+                descriptors.next_stream()?,
                 &passed.connection,
                 &self.connections.handle,
                 &self.pool,
--- a/crates/sender/src/event_source.rs
+++ b/crates/sender/src/event_source.rs
@@ -1,36 +1,36 @@
-//! The keys by which the event loop identifies its sockets.
+//! The keys by which the event loop identifies its sockets, and its types with that key.
 
 use std::os::fd::OwnedFd;
 
-/// File descriptors that a predecessor process has passed on, in the order in which the restored state asks for them.
+/// The file descriptors that a predecessor process has passed, in the order in which the restored state needs them.
 pub struct InheritedDescriptors(std::vec::IntoIter<OwnedFd>);
 
 impl InheritedDescriptors {
-    /// Starts with the first descriptor.
+    /// Begins at the first descriptor.
     pub fn new(descriptors: Vec<OwnedFd>) -> InheritedDescriptors {
         InheritedDescriptors(descriptors.into_iter())
     }
 
-    /// The next descriptor.
+    /// Takes the next descriptor.
     ///
     /// # Errors
-    /// If fewer descriptors were passed on than the state needs.
-    pub fn take(&mut self) -> std::io::Result<OwnedFd> {
+    /// If fewer descriptors were passed than the state needs.
+    pub fn next_descriptor(&mut self) -> std::io::Result<OwnedFd> {
         self.0
             .next()
-            .ok_or_else(|| std::io::Error::other("a descriptor is missing"))
+            .ok_or_else(|| std::io::Error::other("the predecessor passed too few descriptors"))
     }
 
-    /// The next descriptor, as a connection.
+    /// Takes the next descriptor as a connection.
     ///
     /// # Errors
-    /// As [`InheritedDescriptors::take`].
-    pub fn stream(&mut self) -> std::io::Result<std::net::TcpStream> {
-        self.take().map(Into::into)
+    /// As for [`InheritedDescriptors::next_descriptor`].
+    pub fn next_stream(&mut self) -> std::io::Result<std::net::TcpStream> {
+        self.next_descriptor().map(Into::into)
     }
 }
 
-/// What a socket belongs to. The event loop reports it when the socket is ready.
+/// The purpose of a socket. The event loop reports it when the socket is ready.
 ///
 /// The order of the variants is the order in which a round handles ready sockets: operators come first, so that they
 /// are answered even by a busy sender.
@@ -38,31 +38,31 @@
 pub enum EventSource {
     /// The listening socket for operators.
     OperatorListener,
-    /// A connection of an operator, by its place in the table of operators' connections.
+    /// A connection of an operator, by its index in the table of operators' connections.
     Operator(usize),
     /// The listening socket for clients.
     ClientListener,
-    /// A connection of a client, by its place in the table of clients.
+    /// A connection of a client, by its index in the table of clients.
     Client(usize),
-    /// A connection to an endpoint, by its place in the table of endpoint connections.
+    /// A connection to an endpoint, by its index in the table of endpoint connections.
     Endpoint(usize),
     /// The connection to discovery on which the endpoint list is watched.
     Watch,
     /// The connection for status reports.
     StatusReports,
-    /// In a serving process: the listening socket for a process that is to replace it.
+    /// In a serving process: the listening socket for a process that will replace it.
     SuccessorListener,
-    /// In a serving process: the connection of the process that is to replace it.
+    /// In a serving process: the connection of the process that will replace it.
     Successor,
-    /// In a starting process: the connection to the process that it is to replace.
+    /// In a starting process: the connection to the process that it will replace.
     Predecessor,
     /// The socket for the membership datagrams of peers.
     PeerDatagrams,
-    /// The listening socket on which peers request knowledge.
+    /// The listening socket for peers' queries for observations.
     PeerListener,
-    /// A connection on which a peer requests knowledge, by its place in the table of such connections.
+    /// A connection on which a peer queries this sender's observations, by its index in the table of such connections.
     PeerConnection(usize),
-    /// A connection on which this sender requests a peer's knowledge, by its place in the table of such connections.
+    /// A connection on which this sender queries a peer's observations, by its index in the table of such connections.
     SeedQuery(usize),
 }
 
@@ -70,5 +70,5 @@
 pub type Handle = martenlatch_http::Handle<EventSource>;
 /// A connection in the sender's event loop.
 pub type Connection = martenlatch_http::Connection<EventSource>;
-/// What the sender's event loop collects between two rounds.
+/// The signals and ready sockets that the sender's event loop collects between two rounds.
 pub type Ready = martenlatch_http::Ready<EventSource>;
--- a/crates/sender/src/pipeline/builder.rs
+++ b/crates/sender/src/pipeline/builder.rs
@@ -163,7 +163,9 @@
         mut settings: Settings,
         class_rules: ClassRules,
     ) -> Result<Foundation, SenderError> {
-        let listener = descriptors.take().map_err(SenderError::RestoreState)?;
+        let listener = descriptors
+            .next_descriptor()
+            .map_err(SenderError::RestoreState)?;
         let SplitState {
             policy,
             log_position,
--- a/crates/sender/src/pipeline/process_state.rs
+++ b/crates/sender/src/pipeline/process_state.rs
@@ -274,7 +274,7 @@
         let ingress = &mut self.ingress;
         let source = EventSource::Client(ingress.clients.vacant_key());
         let connection = Connection::restore(
-            descriptors.stream()?,
+            descriptors.next_stream()?,
             &client.connection,
             &ingress.handle,
             &ingress.pool,
--- a/crates/sender/src/startup.rs
+++ b/crates/sender/src/startup.rs
@@ -335,7 +335,7 @@
 ) -> Result<Started, SenderError> {
     let mut descriptors = InheritedDescriptors::new(std::mem::take(&mut passed.descriptors));
     let lock = descriptors
-        .take()
+        .next_descriptor()
         .map_err(SenderError::InheritedDescriptor)?;
     let lock = Lock::inherited(lock);
     let state = ProcessState::read(&passed.state, config)?;
