--- a/crates/sender/src/operator.rs
+++ b/crates/sender/src/operator.rs
@@ -1,10 +1,10 @@
 //! The address where operators call: each connection carries one line, gets one answer, and ends.
 //!
-//! [`Operators`] accepts connections and reads and answers calls; its owner decides what the answers say. It has a
+//! [`OperatorService`] accepts connections and reads and answers calls; its owner decides what the answers say. It has a
 //! buffer pool of its own and a fixed number of connections, so operators take no capacity from clients or endpoints,
 //! and a caller that never finishes its line makes room for the next.
 
-mod call;
+mod command;
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -17,12 +17,12 @@
 use slab::Slab;
 use tracing::warn;
 
-pub use call::{Call, CallError, format_answer};
+pub use command::{CommandError, OperatorCommand, format_answer};
 
 use crate::event_source::{Connection, EventSource, Handle};
 
 /// Most connections of operators at a time. Each has a descriptor and two buffers that are reserved for operators.
-pub const CALLERS: usize = 12;
+pub const MAX_OPERATOR_CONNECTIONS: usize = 12;
 const BUFFERS_PER_CALLER: usize = 2;
 /// How long a caller may take to send its line.
 const LINE_TIMEOUT: Millis = 3_000.0;
@@ -80,7 +80,7 @@
 }
 
 /// The listening socket, and the connections of operators.
-pub struct Operators {
+pub struct OperatorService {
     listener: Rc<std::net::TcpListener>,
     token: RegistrationToken,
     handle: Handle,
@@ -90,23 +90,23 @@
     accept_at: Option<Millis>,
 }
 
-impl Operators {
+impl OperatorService {
     /// Listens on an address.
     ///
     /// # Errors
     /// If the address cannot be bound or its socket cannot be watched.
-    pub fn open(address: SocketAddr, handle: &Handle) -> Result<Operators, OperatorError> {
+    pub fn open(address: SocketAddr, handle: &Handle) -> Result<OperatorService, OperatorError> {
         let listener =
             crate::listen(address).map_err(|source| OperatorError::Bind { address, source })?;
         let listener = Rc::new(listener);
         let token =
             martenlatch_http::register(handle, listener.clone(), EventSource::OperatorListener)
                 .map_err(OperatorError::Register)?;
-        Ok(Operators {
+        Ok(OperatorService {
             listener,
             token,
             handle: handle.clone(),
-            pool: BufferPool::new(BUFFERS_PER_CALLER * CALLERS),
+            pool: BufferPool::new(BUFFERS_PER_CALLER * MAX_OPERATOR_CONNECTIONS),
             callers: Slab::new(),
             accept_at: None,
         })
@@ -141,7 +141,7 @@
     }
 
     fn add_caller(&mut self, stream: std::net::TcpStream, now: Millis) {
-        if self.callers.len() >= CALLERS {
+        if self.callers.len() >= MAX_OPERATOR_CONNECTIONS {
             self.evict_caller();
         }
         let entry = self.callers.vacant_entry();
@@ -168,7 +168,7 @@
     }
 
     /// Reads from a caller. Returns its call once that is complete; what a caller sends behind its call is discarded.
-    pub fn ready(&mut self, index: usize) -> Option<Result<Call, CallError>> {
+    pub fn read_command(&mut self, index: usize) -> Option<Result<OperatorCommand, CommandError>> {
         let caller = self.callers.get_mut(index)?;
         caller.connection.flush();
         caller.connection.receive();
@@ -182,7 +182,7 @@
         if caller.answered {
             return None;
         }
-        Call::parse_first_line(caller.connection.bytes(), caller.connection.eof)
+        OperatorCommand::parse_first_line(caller.connection.bytes(), caller.connection.eof)
     }
 
     /// Sends a caller its answer, and closes the connection or leaves that to the caller.
@@ -207,7 +207,7 @@
 
     /// Handles a ready socket by answering every valid call with one reason why it cannot be served. Returns whether the
     /// socket is one of the operators'.
-    pub fn reject_all(&mut self, key: EventSource, reason: &str, now: Millis) -> bool {
+    pub fn reject_commands(&mut self, key: EventSource, reason: &str, now: Millis) -> bool {
         match key {
             EventSource::OperatorListener => {
                 if self.accept(now) {
@@ -215,7 +215,7 @@
                 }
             }
             EventSource::Operator(index) => {
-                if let Some(call) = self.ready(index) {
+                if let Some(call) = self.read_command(index) {
                     let text = match call {
                         Ok(_) => format_answer(Err(reason)),
                         Err(error) => format_answer(Err(error)),
@@ -236,7 +236,7 @@
         }
     }
 
-    /// When [`Operators::run_due`] has something to do; infinity if there is nothing.
+    /// When [`OperatorService::run_due`] has something to do; infinity if there is nothing.
     pub fn next_deadline(&self) -> Millis {
         self.callers
             .iter()
@@ -246,7 +246,7 @@
     }
 }
 
-impl Drop for Operators {
+impl Drop for OperatorService {
     fn drop(&mut self) {
         self.handle.remove(self.token);
     }
--- a/crates/sender/src/operator/call.rs
+++ b/crates/sender/src/operator/command.rs
@@ -11,7 +11,7 @@
 
 /// What an operator asks for.
 #[derive(Debug, PartialEq)]
-pub enum Call {
+pub enum OperatorCommand {
     /// Whether this process takes clients.
     Health,
     /// The counters.
@@ -24,7 +24,7 @@
 
 /// Why a line is no call. The text is sent to the caller.
 #[derive(Debug, PartialEq, thiserror::Error)]
-pub enum CallError {
+pub enum CommandError {
     /// The line is longer than [`MAX_LINE`].
     #[error("the line is over {MAX_LINE} bytes")]
     TooLong,
@@ -45,45 +45,45 @@
     ExtraWords(String),
 }
 
-impl Call {
+impl OperatorCommand {
     /// Parses the first line of `input`, or returns `None` while it is incomplete. At the end of the input, a line needs
     /// no line end.
     pub(super) fn parse_first_line(
         input: &[u8],
         end_of_input: bool,
-    ) -> Option<Result<Call, CallError>> {
+    ) -> Option<Result<OperatorCommand, CommandError>> {
         let longest = MAX_LINE + MAX_LINE_END;
         let line_feed = input.iter().take(longest).position(|byte| *byte == b'\n');
         let line = match line_feed {
             Some(end) => &input[..end],
-            None if input.len() >= longest => return Some(Err(CallError::TooLong)),
+            None if input.len() >= longest => return Some(Err(CommandError::TooLong)),
             None if end_of_input => input,
             None => return None,
         };
         let line = line.strip_suffix(b"\r").unwrap_or(line);
         if line.len() > MAX_LINE {
-            return Some(Err(CallError::TooLong));
+            return Some(Err(CommandError::TooLong));
         }
-        Some(Call::parse(line))
+        Some(OperatorCommand::parse(line))
     }
 
-    fn parse(line: &[u8]) -> Result<Call, CallError> {
-        let text = std::str::from_utf8(line).map_err(|_| CallError::NotUtf8)?;
+    fn parse(line: &[u8]) -> Result<OperatorCommand, CommandError> {
+        let text = std::str::from_utf8(line).map_err(|_| CommandError::NotUtf8)?;
         let mut words = text.split_ascii_whitespace();
-        let name = words.next().ok_or(CallError::Empty)?;
+        let name = words.next().ok_or(CommandError::Empty)?;
         let mut endpoint_id = || match words.next() {
             Some(id) => Ok(id.to_string()),
-            None => Err(CallError::MissingId(name.to_string())),
+            None => Err(CommandError::MissingId(name.to_string())),
         };
         let call = match name {
-            "health" => Call::Health,
-            "counters" => Call::Counters,
-            "cordon" => Call::Cordon(endpoint_id()?),
-            "uncordon" => Call::Uncordon(endpoint_id()?),
-            other => return Err(CallError::Unknown(escaped_start(other))),
+            "health" => OperatorCommand::Health,
+            "counters" => OperatorCommand::Counters,
+            "cordon" => OperatorCommand::Cordon(endpoint_id()?),
+            "uncordon" => OperatorCommand::Uncordon(endpoint_id()?),
+            other => return Err(CommandError::Unknown(escaped_start(other))),
         };
         if words.next().is_some() {
-            return Err(CallError::ExtraWords(name.to_string()));
+            return Err(CommandError::ExtraWords(name.to_string()));
         }
         Ok(call)
     }
--- a/crates/sender/src/operator/tests.rs
+++ b/crates/sender/src/operator/tests.rs
@@ -1,21 +1,25 @@
 //! How lines are read as calls.
 
-use super::call::MAX_LINE;
+use super::command::MAX_LINE;
 use super::*;
 
 #[test]
 fn every_line_has_one_meaning_however_it_ends_and_bad_ones_are_told_why() {
-    let cordon = |id: &str| Ok(Call::Cordon(id.into()));
+    let cordon = |id: &str| Ok(OperatorCommand::Cordon(id.into()));
     for (text, end_of_input, want) in [
-        ("health\n", false, Some(Ok(Call::Health))),
-        ("counters\r\n", false, Some(Ok(Call::Counters))),
+        ("health\n", false, Some(Ok(OperatorCommand::Health))),
+        ("counters\r\n", false, Some(Ok(OperatorCommand::Counters))),
         ("health", false, None),
-        ("health", true, Some(Ok(Call::Health))),
+        ("health", true, Some(Ok(OperatorCommand::Health))),
         ("cordon s-1\nhealth\n", false, Some(cordon("s-1"))),
         (" cordon  s-1 \r\n", false, Some(cordon("s-1"))),
-        ("uncordon s-1", true, Some(Ok(Call::Uncordon("s-1".into())))),
+        (
+            "uncordon s-1",
+            true,
+            Some(Ok(OperatorCommand::Uncordon("s-1".into()))),
+        ),
     ] {
-        let call = Call::parse_first_line(text.as_bytes(), end_of_input);
+        let call = OperatorCommand::parse_first_line(text.as_bytes(), end_of_input);
         assert_eq!(call, want, "{text:?}");
     }
     let long = "x".repeat(MAX_LINE + 2);
@@ -29,7 +33,7 @@
         (long.as_bytes(), "over 512 bytes"),
         (&[long.as_bytes(), b"\n"].concat(), "over 512 bytes"),
     ] {
-        let reason = Call::parse_first_line(text, false)
+        let reason = OperatorCommand::parse_first_line(text, false)
             .expect("the line is complete")
             .expect_err("the line is no call")
             .to_string();
--- a/crates/sender/src/pipeline/builder.rs
+++ b/crates/sender/src/pipeline/builder.rs
@@ -75,7 +75,7 @@
     /// Clients have buffers of their own, so that slow clients cannot starve endpoints.
     fn new(config: &Config, settings: &Settings) -> Capacity {
         let operator_connections = match config.operator {
-            Some(_) => operator::CALLERS + 1,
+            Some(_) => operator::MAX_OPERATOR_CONNECTIONS + 1,
             None => 0,
         };
         let buffers = (config.memory_limit / BUFFER_MEMORY_DIVISOR / BUFFER_SIZE as u64) as usize;
--- a/crates/sender/src/pipeline/driver.rs
+++ b/crates/sender/src/pipeline/driver.rs
@@ -21,7 +21,7 @@
 use crate::discovery::EndpointDirectory;
 use crate::egress::{AttemptResult, Egress};
 use crate::event_source::{EventSource, Handle};
-use crate::operator::Operators;
+use crate::operator::OperatorService;
 use crate::peer_service::PeerService;
 use crate::safety::ViolationCounter;
 
@@ -61,7 +61,7 @@
     pub(super) egress: Egress,
     pub(super) directory: EndpointDirectory,
     /// The operators' connections, if there is an address for them.
-    pub(super) operators: Option<Operators>,
+    pub(super) operators: Option<OperatorService>,
     /// The other senders, where senders know one another.
     pub(super) peers: Option<PeerService>,
     /// Sockets that had more to read than one round takes.
@@ -72,7 +72,7 @@
 
 impl Driver {
     /// Answers operators from now on.
-    pub fn answer_operators(&mut self, operators: Option<Operators>) {
+    pub fn answer_operators(&mut self, operators: Option<OperatorService>) {
         self.operators = operators;
     }
 
@@ -360,7 +360,7 @@
             .into_iter()
             .chain(self.decision.wake_at)
             .chain(self.deferred_list_at())
-            .chain(self.operators.as_ref().map(Operators::next_deadline))
+            .chain(self.operators.as_ref().map(OperatorService::next_deadline))
             .chain(self.peers.as_ref().map(PeerService::next_deadline))
             .fold(f64::INFINITY, f64::min)
     }
--- a/crates/sender/src/pipeline/operator_calls.rs
+++ b/crates/sender/src/pipeline/operator_calls.rs
@@ -7,7 +7,7 @@
 use crate::Config;
 use crate::config::ConfigError;
 use crate::cordons::CordonError;
-use crate::operator::{self, Call};
+use crate::operator::{self, OperatorCommand};
 
 /// Why a call is refused. `Display` is the reason that the operator gets.
 #[derive(Debug, thiserror::Error)]
@@ -26,7 +26,7 @@
         let Some(operators) = &mut self.operators else {
             return;
         };
-        let Some(call) = operators.ready(index) else {
+        let Some(call) = operators.read_command(index) else {
             return;
         };
         let answer = match call {
@@ -39,16 +39,16 @@
     }
 
     /// Performs a call. Returns the lines of its answer.
-    fn perform_call(&mut self, call: Call) -> Result<String, CallError> {
+    fn perform_call(&mut self, call: OperatorCommand) -> Result<String, CallError> {
         match call {
-            Call::Health => self.health(),
-            Call::Counters => {
+            OperatorCommand::Health => self.health(),
+            OperatorCommand::Counters => {
                 let gauges = self.gauges();
                 let text = self.store.class_metrics.format_answer(&gauges);
                 Ok(format!("figures\n{text}"))
             }
-            Call::Cordon(endpoint) => self.set_cordon(&endpoint, true),
-            Call::Uncordon(endpoint) => self.set_cordon(&endpoint, false),
+            OperatorCommand::Cordon(endpoint) => self.set_cordon(&endpoint, true),
+            OperatorCommand::Uncordon(endpoint) => self.set_cordon(&endpoint, false),
         }
     }
 
--- a/crates/sender/src/serve.rs
+++ b/crates/sender/src/serve.rs
@@ -10,7 +10,7 @@
 use crate::Config;
 use crate::error::SenderError;
 use crate::event_source::{Handle, Ready};
-use crate::operator::Operators;
+use crate::operator::OperatorService;
 use crate::pipeline::Driver;
 use crate::process_replacement::ReplacementListener;
 use crate::startup::{Started, StartingProcess};
@@ -56,10 +56,13 @@
 }
 
 /// Listens for operators, if the configuration names an address for them.
-fn open_operators(config: &Config, handle: &Handle) -> Result<Option<Operators>, SenderError> {
+fn open_operators(
+    config: &Config,
+    handle: &Handle,
+) -> Result<Option<OperatorService>, SenderError> {
     config
         .operator
-        .map(|address| Operators::open(address, handle))
+        .map(|address| OperatorService::open(address, handle))
         .transpose()
         .map_err(SenderError::Operators)
 }
@@ -67,7 +70,7 @@
 /// Runs round after round until the process ends or is replaced. Returns the driver for its last counters.
 fn serve(
     started: Started,
-    operators: Option<Operators>,
+    operators: Option<OperatorService>,
     state: &Path,
     events: &mut EventLoop<'static, Ready>,
     ready: &mut Ready,
--- a/crates/sender/src/startup.rs
+++ b/crates/sender/src/startup.rs
@@ -18,7 +18,7 @@
 use crate::error::SenderError;
 use crate::event_source::{EventSource, Handle, InheritedDescriptors, Ready};
 use crate::log_recovery;
-use crate::operator::Operators;
+use crate::operator::OperatorService;
 use crate::peer_service::PeerService;
 use crate::pipeline::{Driver, ProcessLoad, ProcessState, Start};
 use crate::process_replacement::{CandidateState, POLL_INTERVAL, ReplacementCandidate};
@@ -65,7 +65,7 @@
     clock: Clock,
     events: &'a mut EventLoop<'static, Ready>,
     ready: Ready,
-    operators: Option<Operators>,
+    operators: Option<OperatorService>,
 }
 
 /// Who may serve from the folder.
@@ -77,11 +77,11 @@
 }
 
 impl<'a> StartingProcess<'a> {
-    /// A process of this configuration. Operators are told that it does not serve.
+    /// A process of this configuration. OperatorService are told that it does not serve.
     pub(crate) fn new(
         config: Config,
         events: &'a mut EventLoop<'static, Ready>,
-        operators: Option<Operators>,
+        operators: Option<OperatorService>,
     ) -> StartingProcess<'a> {
         let started = Instant::now();
         let clock = clock_after_earlier_processes(&config.state_folder);
@@ -96,7 +96,7 @@
     }
 
     /// What became ready and was not handled during the start, and the operators' connections.
-    pub(crate) fn into_parts(self) -> (Ready, Option<Operators>) {
+    pub(crate) fn into_parts(self) -> (Ready, Option<OperatorService>) {
         (self.ready, self.operators)
     }
 
@@ -230,7 +230,7 @@
     /// Tells an operator that the process does not serve. True if the source is one of the operators'.
     fn turn_operator_down(&mut self, source: EventSource, now: Millis) -> bool {
         match &mut self.operators {
-            Some(operators) => operators.reject_all(source, NOT_SERVING, now),
+            Some(operators) => operators.reject_commands(source, NOT_SERVING, now),
             None => false,
         }
     }
