--- a/crates/sender/src/cordons.rs
+++ b/crates/sender/src/cordons.rs
@@ -1,8 +1,8 @@
-//! Cordons: the endpoints that operators have taken out of service by hand, and the file that keeps them over a
-//! restart.
+//! Cordons: the endpoints that operators have taken out of service manually, and the file that preserves them across
+//! restarts.
 //!
-//! An endpoint is cordoned by the name under which discovery lists it. A change counts only once the file has been
-//! replaced. Each line of the file carries its own checksum, so that a damaged line costs one cordon and not all.
+//! An endpoint is cordoned by the name under which discovery lists it. A change takes effect only once the file has been
+//! replaced. Each line of the file has its own checksum, so that a damaged line loses one cordon instead of all.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -13,17 +13,18 @@
 
 use crate::atomic_file;
 
-/// The first line of the file: its kind and format version.
+/// The first line of the file: its type and format version.
 const FILE_HEADER: &str = "mlhand1";
-/// Part of the disk limit that the file may take, its old and its new version together. The write-ahead log leaves
-/// that much free.
+/// The fraction of the disk limit that the file may use, its old and its new version together. The write-ahead log
+/// leaves this fraction free.
 const DISK_SHARE: f64 = 0.06;
-/// The old and the new version of the file stand on disk together while it is replaced.
+/// While the file is replaced, its old and its new version are both on disk.
 const FILE_VERSIONS: f64 = 2.0;
-/// Longest endpoint name that can be cordoned, in bytes: the line in which an operator names it is not much longer.
+/// Maximum length in bytes of the name of an endpoint to be cordoned: an operator's line that contains it may not be much
+/// longer.
 pub const MAX_NAME_BYTES: usize = 256;
 
-/// Why an endpoint could not be cordoned or uncordoned. The text is the reply to the operator.
+/// Why an endpoint could not be cordoned or uncordoned. The operator receives the text.
 #[derive(Debug, Error)]
 pub enum CordonError {
     /// The endpoint has never been listed by discovery; the name is escaped and shortened for display.
@@ -35,15 +36,15 @@
     /// The file would exceed its share of the disk limit.
     #[error("no room on disk for more than the {cordoned} that are out")]
     FileFull {
-        /// How many endpoints are cordoned already.
+        /// The number of endpoints that are already cordoned.
         cordoned: usize,
     },
-    /// The file could not be replaced; the cordons are what they were before.
+    /// The file could not be replaced; the cordons are unchanged.
     #[error("the ban cannot be written: {0}")]
     NotWritten(#[from] std::io::Error),
 }
 
-/// Two errors are equal if an operator is told the same.
+/// Two errors are equal if operators receive the same text.
 impl PartialEq for CordonError {
     fn eq(&self, other: &CordonError) -> bool {
         self.to_string() == other.to_string()
@@ -58,17 +59,17 @@
 }
 
 impl Cordons {
-    /// Reads the cordons of earlier processes from the state directory `folder`. `disk_limit` is the disk space of
-    /// the whole sender, in bytes.
+    /// Reads the cordons of earlier processes from the state folder. `disk_limit` is the disk space of the whole sender
+    /// in bytes.
     ///
-    /// A file that cannot be read in whole or in part is logged; whatever can be read of it counts.
+    /// If the file cannot be read completely, this is logged, and the cordons that can be read are used.
     pub fn open(folder: &Path, disk_limit: u64) -> Cordons {
         let file = folder.join("cordons");
         let cordoned = match std::fs::read(&file) {
             Ok(bytes) => decode_file(&String::from_utf8_lossy(&bytes)),
             Err(error) => {
                 if error.kind() != std::io::ErrorKind::NotFound {
-                    error!(error = ?error.kind(), "cordons unreadable");
+                    error!(error = ?error.kind(), "cordon file unreadable");
                 }
                 BTreeSet::new()
             }
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Whether the endpoint of that name is cordoned.
+    /// Whether the endpoint with this name is cordoned.
     pub fn contains(&self, name: &str) -> bool {
         self.cordoned.contains(name)
     }
@@ -91,10 +92,10 @@
         self.cordoned.iter()
     }
 
-    /// Cordons an endpoint, or uncordons it, on disk first. Returns whether that changed anything.
+    /// Cordons or uncordons an endpoint, first on disk and then in memory. Returns whether this changed anything.
     ///
     /// # Errors
-    /// [`CordonError::FileFull`] or [`CordonError::NotWritten`]; the cordons are what they were before.
+    /// [`CordonError::FileFull`] or [`CordonError::NotWritten`]; the cordons are unchanged.
     pub fn set_cordoned(&mut self, name: &Rc<str>, cordoned: bool) -> Result<bool, CordonError> {
         if self.contains(name) == cordoned {
             return Ok(false);
@@ -130,7 +131,7 @@
     text
 }
 
-/// Reads every line of the file that is intact, whatever the others hold, and logs damage.
+/// Reads every intact line of the file, even if others are damaged, and logs the damage.
 fn decode_file(text: &str) -> BTreeSet<Rc<str>> {
     let mut lines = text.lines();
     let header_known = lines.next() == Some(FILE_HEADER);
@@ -152,7 +153,7 @@
     cordoned
 }
 
-/// The name on a line of the file, if its checksum is right.
+/// The name on a line of the file, if the line's checksum is correct.
 fn decode_line(line: &str) -> Option<&str> {
     let (stored_checksum, name) = line.split_once(' ')?;
     let stored_checksum = u32::from_str_radix(stored_checksum, 16).ok()?;
--- a/crates/sender/src/safety.rs
+++ b/crates/sender/src/safety.rs
@@ -1,9 +1,9 @@
 //! The safety rules of the sender in one place: whether a request may be sent now, and whether a client's connection may
 //! be closed now.
 //!
-//! The rules are pure functions of what their callers hold. The decision module and the pipeline follow them by design;
-//! the checks here stand in front of the two steps that cannot be undone, the first byte of a request and the close of
-//! a connection. A request that breaks a rule is not sent. Every violation is counted and logged: each is a defect.
+//! The rules are pure functions of facts that the callers provide. The decision module and the pipeline are designed to
+//! follow them; the checks here guard the two steps that cannot be undone: sending the first byte of a request, and
+//! closing a connection. A request that breaks a rule is not sent. Every violation is a defect, and is counted and logged.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -13,10 +13,10 @@
 use martenlatch_clock::Millis;
 use tracing::error;
 
-/// A step that would have broken a rule.
+/// A safety rule that a step would have broken, or has broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum Violation {
-    /// A request for a message that is over.
+    /// A request for a message that has ended.
     #[error("request after the end of its message")]
     SentAfterEnd,
     /// A request for a message whose deadline has passed.
@@ -25,45 +25,46 @@
     /// A request for a non-idempotent message of which an attempt may have run.
     #[error("non-idempotent message repeated")]
     RepeatedNonIdempotent,
-    /// A repeat of a keyed message after the endpoints may have forgotten its key.
+    /// A repeat of a message with an idempotency key after endpoints may have forgotten the key.
     #[error("repeat outside the idempotency window")]
     RepeatedOutsideWindow,
     /// A request to an endpoint that is draining, removed or cordoned.
     #[error("request to an endpoint that takes nothing new")]
     SentToDrainingEndpoint,
-    /// A request to a destination that has asked for a wait.
+    /// A request to a destination whose Retry-After has not passed yet.
     #[error("request before the Retry-After is over")]
     SentBeforeRetryAfter,
-    /// A client's connection was closed though a request that had been read on it was not answered.
+    /// A client's connection was closed before a request that had been read from it was answered.
     #[error("connection closed before the answer")]
     ClosedUnanswered,
 }
 
-/// What the rules need to know of a request that is about to be sent. Instants are on the sender's clock.
+/// The facts about a request that is about to be sent. Instants are on the sender's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestFacts {
     /// The message is neither delivered nor given up.
     pub message_open: bool,
-    /// When the message is given up.
+    /// The instant at which the message is given up.
     pub deadline: Millis,
     /// The message must not run twice.
     pub non_idempotent: bool,
-    /// When the first attempt that may have run was sent; none if surely none has run.
+    /// When the first attempt that may have run was sent; `None` if it is certain that no attempt has run.
     pub first_possible_run: Option<Millis>,
-    /// How long endpoints remember the message's key; none if it has none, or they never forget it.
+    /// The time for which endpoints remember the message's idempotency key; `None` if it has no key, or they never forget
+    /// it.
     pub idempotency_window: Option<Millis>,
-    /// The endpoint takes new requests, by the endpoint list and the cordons.
+    /// The endpoint accepts new requests, according to the endpoint list and the cordons.
     pub endpoint_available: bool,
-    /// Until when the route must not be sent anything; none if it may.
+    /// The instant before which nothing may be sent on the route; `None` if there is no such limit.
     pub retry_after_until: Option<Millis>,
-    /// The present instant.
+    /// The current instant.
     pub now: Millis,
 }
 
-/// Whether a request may be sent now.
+/// Checks whether a request may be sent now.
 ///
 /// # Errors
-/// The first rule that it would break.
+/// The first rule that the request would break.
 pub fn may_send(request: &RequestFacts) -> Result<(), Violation> {
     if !request.message_open {
         return Err(Violation::SentAfterEnd);
@@ -92,19 +93,19 @@
     Ok(())
 }
 
-/// What the rules need to know of a client's connection that is about to be closed.
+/// The facts about a client's connection that is about to be closed.
 #[derive(Clone, Copy, Debug)]
 pub struct CloseFacts {
-    /// A request has been read, wholly or in part, and its answer is not written.
+    /// A request has been read, completely or in part, and its answer has not been written.
     pub answer_pending: bool,
-    /// The client has reset the connection, or ended its sending before its request was complete.
+    /// The client has reset the connection, or closed its side before its request was complete.
     pub client_left: bool,
 }
 
-/// Whether a client's connection may be closed now.
+/// Checks whether a client's connection may be closed now.
 ///
 /// # Errors
-/// [`Violation::ClosedUnanswered`] if the client would not learn what became of its request.
+/// [`Violation::ClosedUnanswered`] if the client would not learn the outcome of its request.
 pub fn may_close(connection: CloseFacts) -> Result<(), Violation> {
     if connection.answer_pending && !connection.client_left {
         return Err(Violation::ClosedUnanswered);
@@ -117,10 +118,10 @@
 pub struct ViolationCounter(Rc<RefCell<BTreeMap<Violation, u64>>>);
 
 impl ViolationCounter {
-    /// Counts and logs the violation, if there is one. `subject` says what it concerns. Returns whether the step may be
-    /// taken.
-    pub fn check(&self, rule: Result<(), Violation>, subject: impl fmt::Display) -> bool {
-        let Err(violation) = rule else {
+    /// Counts and logs the violation, if there is one. `subject` names the request or connection at fault. Returns
+    /// whether the step is permitted.
+    pub fn check(&self, result: Result<(), Violation>, subject: impl fmt::Display) -> bool {
+        let Err(violation) = result else {
             return true;
         };
         *self.0.borrow_mut().entry(violation).or_insert(0) += 1;
--- a/crates/sender/src/safety/tests.rs
+++ b/crates/sender/src/safety/tests.rs
@@ -1,4 +1,4 @@
-//! Each rule alone, at its limits.
+//! Each safety rule on its own, at its limits.
 
 use super::*;
 
@@ -23,25 +23,25 @@
 }
 
 #[rstest::rstest]
-#[case::after_end(|r: &mut RequestFacts| r.message_open = false, Violation::SentAfterEnd)]
-#[case::late(|r: &mut RequestFacts| r.deadline = NOW - 0.1, Violation::SentAfterDeadline)]
-#[case::twice(|r: &mut RequestFacts| r.non_idempotent = true, Violation::RepeatedNonIdempotent)]
-#[case::forgotten(|r: &mut RequestFacts| r.idempotency_window = Some(499.9), Violation::RepeatedOutsideWindow)]
-#[case::draining(|r: &mut RequestFacts| r.endpoint_available = false, Violation::SentToDrainingEndpoint)]
-#[case::waiting(|r: &mut RequestFacts| r.retry_after_until = Some(NOW + 0.1), Violation::SentBeforeRetryAfter)]
-fn each_rule_forbids_a_request(
-    #[case] breaks: fn(&mut RequestFacts),
+#[case::message_ended(|r: &mut RequestFacts| r.message_open = false, Violation::SentAfterEnd)]
+#[case::past_deadline(|r: &mut RequestFacts| r.deadline = NOW - 0.1, Violation::SentAfterDeadline)]
+#[case::non_idempotent_repeat(|r: &mut RequestFacts| r.non_idempotent = true, Violation::RepeatedNonIdempotent)]
+#[case::key_forgotten(|r: &mut RequestFacts| r.idempotency_window = Some(499.9), Violation::RepeatedOutsideWindow)]
+#[case::endpoint_unavailable(|r: &mut RequestFacts| r.endpoint_available = false, Violation::SentToDrainingEndpoint)]
+#[case::before_retry_after(|r: &mut RequestFacts| r.retry_after_until = Some(NOW + 0.1), Violation::SentBeforeRetryAfter)]
+fn a_request_that_breaks_a_rule_is_forbidden_and_counted(
+    #[case] break_rule: fn(&mut RequestFacts),
     #[case] violation: Violation,
 ) {
     let mut request = permitted();
-    breaks(&mut request);
+    break_rule(&mut request);
     let counter = ViolationCounter::default();
     assert!(!counter.clone().check(may_send(&request), "a request"));
     assert_eq!((counter.total(), counter.count(violation)), (1, 1));
 }
 
 #[test]
-fn a_first_attempt_needs_no_window() {
+fn a_first_attempt_may_be_sent_whatever_the_idempotency_window() {
     let request = RequestFacts {
         non_idempotent: true,
         first_possible_run: None,
@@ -55,7 +55,7 @@
 #[case::answered(false, false, true)]
 #[case::unanswered(true, false, false)]
 #[case::client_left(true, true, true)]
-fn a_connection_is_closed_once_nothing_is_owed(
+fn a_connection_may_be_closed_unless_its_client_waits_for_an_answer(
     #[case] answer_pending: bool,
     #[case] client_left: bool,
     #[case] permitted: bool,
