--- a/crates/sender/src/class_metrics.rs
+++ b/crates/sender/src/class_metrics.rs
@@ -1,18 +1,18 @@
-//! The metrics that operators read: per class what became of its messages, and gauges of the present state.
+//! The metrics for operators: message counts by outcome for each class, and gauges of the current state.
 //!
-//! The names in [`ClassMetrics::format_answer`] are a public interface; monitoring systems read them.
+//! The metric names in [`ClassMetrics::format_answer`] are a public interface that monitoring systems rely on.
 
 use std::fmt::Write;
 use std::rc::Rc;
 
-/// What became of the messages of one class since the start of the process. Each message is counted once.
+/// The outcomes of the messages of one class since the start of the process. Each message is counted once.
 pub struct ClassCounts {
     name: Rc<str>,
-    /// Delivered: an endpoint answered 200 while the message was open.
+    /// Messages delivered: an endpoint answered 200 while the message was open.
     pub answered: u64,
-    /// Rejected on arrival, or returned to the client by a confirmed status report.
+    /// Messages rejected on arrival, or returned to the client by a confirmed status report.
     pub deferred: u64,
-    /// Failed: by a confirmed status report, by an endpoint's 410, or for an unknown destination.
+    /// Messages failed: by a confirmed status report, by an endpoint's 410, or because of an unknown destination.
     pub errored: u64,
     /// Attempts whose last byte was sent, retries and hedged requests included.
     pub sends: u64,
@@ -30,39 +30,39 @@
     }
 }
 
-/// The counts of all classes of the settings, in their order.
+/// The counts of all classes of the settings, in the order of the settings.
 pub struct ClassMetrics {
     classes: Vec<ClassCounts>,
 }
 
-/// The state at one instant, computed when it is asked for.
+/// The current state, computed on request.
 pub struct Gauges {
-    /// Accepted messages whose end the platform has not confirmed.
+    /// Accepted messages that are open, or whose status report the platform has not confirmed.
     pub current: usize,
     /// Endpoints in the endpoint list.
     pub cluster_size: usize,
-    /// Endpoints in the endpoint list that get no messages now.
+    /// Endpoints in the endpoint list that currently receive no messages.
     pub cluster_unhealthy: usize,
-    /// Steps since the start of the process that would have broken a safety rule; each is a defect.
+    /// Safety rule violations since the start of the process; each is a defect.
     pub violations: u64,
 }
 
 impl ClassMetrics {
-    /// Zero counts for classes of these names.
+    /// Counts of zero for classes with these names.
     pub fn new(classes: &[String]) -> ClassMetrics {
         ClassMetrics {
             classes: classes.iter().map(|name| ClassCounts::new(name)).collect(),
         }
     }
 
-    /// The counts of a class; none for a class that the settings no longer have.
+    /// The counts of a class; `None` for a class that is no longer in the settings.
     pub fn get_mut(&mut self, class: &str) -> Option<&mut ClassCounts> {
         self.classes
             .iter_mut()
             .find(|counts| *counts.name == *class)
     }
 
-    /// Counts a message that is returned to its client.
+    /// Counts a message that was returned to its client.
     pub fn count_deferred(&mut self, class: &str) {
         if let Some(counts) = self.get_mut(class) {
             counts.deferred += 1;
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Counts a message that is delivered.
+    /// Counts a message that was delivered.
     pub fn count_answered(&mut self, class: &str) {
         if let Some(counts) = self.get_mut(class) {
             counts.answered += 1;
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The answer to an operator: one metric a line, then the line `--`.
+    /// Formats the answer to an operator: one metric per line, then the line `--`.
     pub fn format_answer(&self, gauges: &Gauges) -> String {
         let mut text = String::new();
         for counts in &self.classes {
@@ -110,7 +110,7 @@
         text
     }
 
-    /// Writes the same metrics to the log, a line per class.
+    /// Writes the same metrics to the log: a line per class, and a line for the gauges.
     pub fn log(&self, gauges: &Gauges) {
         for counts in &self.classes {
             let ClassCounts {
@@ -136,15 +136,15 @@
     }
 }
 
-/// Writes the lines of one class. Writing to a string cannot fail.
+/// Appends the lines of one class. Writing to a string cannot fail.
 fn write_class(text: &mut String, counts: &ClassCounts) {
     let name = &counts.name;
-    let by_state = [
+    let counts_by_state = [
         ("answered", counts.answered),
         ("deferred", counts.deferred),
         ("errored", counts.errored),
     ];
-    for (state, count) in by_state {
+    for (state, count) in counts_by_state {
         let _ = writeln!(
             text,
             "sender_transactions{{group=\"{name}\",state=\"{state}\"}} {count}"
--- a/crates/sender/src/config.rs
+++ b/crates/sender/src/config.rs
@@ -1,4 +1,5 @@
-//! The platform's configuration: the JSON file that `$PROXY_CONFIG` names, and the variables that override its fields.
+//! The platform's configuration: the JSON file named by `$PROXY_CONFIG`, and the environment variables that override its
+//! fields.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -9,17 +10,17 @@
 
 /// The environment variable that names the configuration file.
 const CONFIG_VARIABLE: &str = "PROXY_CONFIG";
-/// The environment variable that names the folder for state that outlasts the process.
+/// The environment variable that names the folder for persistent state.
 const STATE_VARIABLE: &str = "PROXY_STATE";
 /// The environment variables that override fields of the file.
 const LISTEN_VARIABLE: &str = "PROXY_LISTEN";
 const DISCOVERY_VARIABLE: &str = "PROXY_DISCOVERY";
 const OPERATOR_VARIABLE: &str = "PROXY_OPERATOR";
-/// The environment variable that names this sender, and its name without one.
+/// The environment variable that names this sender, and the name if the variable is not set.
 const NAME_VARIABLE: &str = "PROXY_NAME";
 const DEFAULT_NAME: &str = "sender";
 
-/// The least values of the limits with which a sender can work.
+/// The minimum values of the limits that a sender can work with.
 const MIN_SOCKETS: f64 = 32.0;
 const MIN_DISK_MEGABYTES: f64 = 0.05;
 const MIN_MEMORY_MEGABYTES: f64 = 16.0;
@@ -36,27 +37,27 @@
     pub discovery: SocketAddr,
     /// The address on which operators connect, if there is one.
     pub operator: Option<SocketAddr>,
-    /// The folder for state that outlasts the process.
+    /// The folder for persistent state.
     pub state_folder: PathBuf,
-    /// The seed of all random draws.
+    /// The seed of all random numbers.
     pub seed: u64,
-    /// The most descriptors the process may have open.
+    /// Maximum number of open descriptors of the process.
     pub descriptor_limit: usize,
-    /// The most bytes on disk.
+    /// Maximum disk usage in bytes.
     pub disk_limit: u64,
-    /// The most bytes of memory.
+    /// Maximum memory usage in bytes.
     pub memory_limit: u64,
-    /// The endpoint list as this sender last had it; null if it never had one.
+    /// The endpoint list that this sender last had; null if it never had one.
     pub known_endpoints: Value,
     /// The platform's settings.
     pub platform_settings: PlatformSettings,
     /// The timeouts for clients, from the program's own settings.
     pub clients: Clients,
-    /// The other senders, from the program's own settings; none where senders do not know one another.
+    /// The settings for peers, from the program's own settings; `None` if this sender has no peers.
     pub peers: Option<Peers>,
 }
 
-/// Why the platform's configuration cannot be used. `Display` is one line that names the field or variable.
+/// Why the platform's configuration cannot be used. `Display` formats one line that names the field or variable.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// A required environment variable is missing.
@@ -65,19 +66,19 @@
     /// The configuration file cannot be read.
     #[error("PROXY_CONFIG: {path}: {reason}")]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// What the system said.
+        /// The system's error.
         reason: std::io::Error,
     },
-    /// The configuration file is not JSON.
+    /// The configuration file is not valid JSON.
     #[error("PROXY_CONFIG: not JSON: {0}")]
     NotJson(serde_json::Error),
-    /// The folder for state does not exist, or is no folder.
+    /// The state folder does not exist, or is not a folder.
     #[error("PROXY_STATE: {0}: not a folder")]
     NotAFolder(String),
-    /// Neither the file nor a variable names a required address.
-    #[error("{0}: nothing names it")]
+    /// Neither the file nor a variable contains a required address.
+    #[error("{0}: the address is missing")]
     MissingAddress(&'static str),
     /// An address cannot be parsed.
     #[error("{field}: {value:?} is not an address with a port")]
@@ -87,26 +88,26 @@
         /// Its value.
         value: String,
     },
-    /// A limit is missing, or below its least value.
-    #[error("limits.{field}: not a number of {least} or more")]
+    /// A limit is missing, or below its minimum.
+    #[error("limits.{field}: not a number of at least {minimum}")]
     InvalidLimit {
         /// The field within `limits`.
         field: &'static str,
-        /// The least value that can be used.
-        least: f64,
+        /// The minimum of the limit.
+        minimum: f64,
     },
     /// The seed is missing or not hexadecimal.
-    #[error("seed: hex digits are wanted")]
+    #[error("seed: not a hexadecimal number")]
     InvalidSeed,
     /// A field is not a JSON object.
-    #[error("{0}: an object is wanted")]
+    #[error("{0}: not a JSON object")]
     NotAnObject(&'static str),
     /// The platform's settings cannot be used.
     #[error("{0}")]
     Settings(String),
-    /// A class asks for an order that the protocol cannot keep.
+    /// A class requires an order of messages that the protocol cannot provide.
     #[error(
-        "setting Categories[].SerialByKey should be false: messages name no key to keep in order"
+        "setting Categories[].SerialByKey should be false: messages have no key that defines their order"
     )]
     OrderedClass,
 }
@@ -115,16 +116,16 @@
     /// Reads the configuration at the start of the process.
     ///
     /// # Errors
-    /// What cannot be used of the file or the variables.
+    /// If the file or a variable cannot be used.
     pub fn read() -> Result<Config, ConfigError> {
         Config::from_environment(Some(DISCOVERY_VARIABLE))
     }
 
-    /// Reads the configuration again for a running sender. `$PROXY_DISCOVERY` no longer overrides the file: its value
-    /// is that of the start, and must not hide a changed field.
+    /// Reads the configuration again for a running sender. `$PROXY_DISCOVERY` no longer overrides the file, as it has the
+    /// value from the start of the process and would hide a change of the field.
     ///
     /// # Errors
-    /// What cannot be used of the file or the variables.
+    /// If the file or a variable cannot be used.
     pub fn read_again() -> Result<Config, ConfigError> {
         Config::from_environment(None)
     }
@@ -199,7 +200,7 @@
     Ok(known)
 }
 
-/// An address: the variable's value if it is set, else the field's.
+/// Reads an address from the variable if it is set, otherwise from the field.
 fn read_address(
     json: &Value,
     field: &'static str,
@@ -216,7 +217,7 @@
     }
 }
 
-/// The operators' address. It is optional; an empty variable counts as unset.
+/// Reads the operators' address, which is optional. An empty variable counts as unset.
 fn read_operator_address(json: &Value) -> Result<Option<SocketAddr>, ConfigError> {
     let in_variable =
         std::env::var_os(OPERATOR_VARIABLE).is_some_and(|address| !address.is_empty());
@@ -235,15 +236,15 @@
         .ok_or(ConfigError::InvalidSeed)
 }
 
-fn read_limit(json: &Value, field: &'static str, least: f64) -> Result<f64, ConfigError> {
+fn read_limit(json: &Value, field: &'static str, minimum: f64) -> Result<f64, ConfigError> {
     json.get("limits")
         .and_then(|limits| limits.get(field))
         .and_then(Value::as_f64)
-        .filter(|limit| *limit >= least && limit.is_finite())
-        .ok_or(ConfigError::InvalidLimit { field, least })
+        .filter(|limit| *limit >= minimum && limit.is_finite())
+        .ok_or(ConfigError::InvalidLimit { field, minimum })
 }
 
-/// A limit in megabytes, as bytes.
-fn read_megabytes(json: &Value, field: &'static str, least: f64) -> Result<u64, ConfigError> {
-    Ok((read_limit(json, field, least)? * BYTES_PER_MEGABYTE) as u64)
+/// Reads a limit that the file gives in megabytes. Returns it in bytes.
+fn read_megabytes(json: &Value, field: &'static str, minimum: f64) -> Result<u64, ConfigError> {
+    Ok((read_limit(json, field, minimum)? * BYTES_PER_MEGABYTE) as u64)
 }
--- a/crates/sender/src/counters.rs
+++ b/crates/sender/src/counters.rs
@@ -1,12 +1,12 @@
-//! Counters of what this process has done since its start, for the log. The counts per class that operators read are
-//! in [`crate::class_metrics`].
+//! Counters of this process's work since its start, for the log. The counts per class for operators are in
+//! [`crate::class_metrics`].
 
 use std::fmt;
 
-/// Declares the counters once: as fields, and as the ` name=value` pairs of the log line, in this order.
+/// Declares each counter once: as a field, and as a ` name=value` pair of the log line, in this order.
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident),* $(,)?) => {
-        /// Counts since the start of the process. `Display` gives them as ` name=value` pairs.
+        /// Counts since the start of the process. `Display` formats them as ` name=value` pairs.
         #[derive(Default)]
         pub struct Counters {
             $($(#[$doc])* pub $name: u64,)*
@@ -24,7 +24,7 @@
 counters! {
     /// Client connections accepted.
     client_connections,
-    /// Messages accepted: answered 202 and held.
+    /// Messages accepted: recorded and answered 202.
     accepted,
     /// Messages recovered from an earlier process of this sender.
     resumed,
@@ -32,9 +32,9 @@
     unattempted,
     /// Of the unattempted messages, those attempted since.
     unattempted_started,
-    /// Of the unattempted messages, those that ended without any attempt.
+    /// Of the unattempted messages, those that ended without an attempt.
     unattempted_ended,
-    /// Requests whose id is that of a message accepted before.
+    /// Requests with the id of a message that had been accepted before.
     duplicates,
     /// Requests answered 503.
     rejected,
@@ -46,27 +46,27 @@
     endpoint_connections,
     /// Attempts that ended with success.
     success,
-    /// Attempts that ended with a failure that the endpoint reported.
+    /// Attempts that ended with a failure reported by the endpoint.
     failure,
     /// Attempts that ended with an overloaded response.
     overloaded,
-    /// Attempts that ended by their timeout.
+    /// Attempts that timed out.
     timed_out,
-    /// Attempts that ended because no connection came up.
+    /// Attempts that ended because no connection could be established.
     unreachable,
     /// Attempts that ended because their connection was lost.
     connection_lost,
-    /// Attempts that ended at once because a reused connection was stale.
+    /// Attempts that ended immediately because the reused connection was stale.
     stale_connection,
     /// Attempts that were cancelled.
     cancelled,
-    /// Attempts that ended before a byte was sent.
+    /// Attempts that ended before any byte was sent.
     not_sent,
-    /// Messages that an endpoint ended by answering 410.
+    /// Messages that ended because an endpoint answered 410.
     gone,
-    /// Messages that had to be ended after their deadline.
+    /// Messages that the sender had to end after their deadline.
     ended_late,
-    /// Successes that came as the time of their message ran out, or behind it: the message was reported, too.
+    /// Successes that arrived at or after the deadline of their message, so that the message was reported, too.
     late_successes,
     /// Rounds of the event loop.
     rounds,
