--- a/crates/sender/src/log_recovery/tests.rs
+++ b/crates/sender/src/log_recovery/tests.rs
@@ -1,4 +1,4 @@
-//! A log that cannot be read for a while.
+//! Starts of a process while the write-ahead log cannot be read for a while.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -8,17 +8,18 @@
 
 use super::*;
 
-const DISK: u64 = 3_000_000;
+const DISK_LIMIT: u64 = 3_000_000;
 
-/// A folder with a log of one message, which cannot be read: a link to itself stands in its place.
-fn unreadable(name: &str) -> PathBuf {
+/// A folder with a log of one message that cannot be read: it is replaced by a symbolic link to itself, and stored as
+/// `aside`.
+fn folder_with_unreadable_log(name: &str) -> PathBuf {
     let state = std::env::temp_dir().join(format!("martenlatch-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&state);
     std::fs::create_dir_all(&state).unwrap();
-    let (mut log, _) = WriteAheadLog::open(&state, DISK);
+    let (mut log, _) = WriteAheadLog::open(&state, DISK_LIMIT);
     let message = MessageRecord {
         number: 1,
-        id: Rc::from("owed"),
+        id: Rc::from("accepted"),
         class: Rc::from("debit"),
         destination: 7,
         deadline: 1e12,
@@ -35,29 +36,30 @@
     state
 }
 
-/// Makes the log readable again a little later, at one stroke.
-fn heal_soon(state: PathBuf) -> thread::JoinHandle<()> {
+/// Makes the log readable again after a short time, atomically.
+fn restore_log_soon(state: PathBuf) -> thread::JoinHandle<()> {
     thread::spawn(move || {
         thread::sleep(3 * READ_INTERVAL);
         std::fs::rename(state.join("aside"), state.join("ledger")).unwrap();
     })
 }
 
-/// Guards against a start without the messages of earlier processes, because their log could not be read for a moment.
+/// Guards against a start that drops the messages of earlier processes because their log cannot be read for a moment.
 #[test]
 fn a_start_waits_for_a_log_that_cannot_be_read() {
-    let state = unreadable("unreadable-open");
-    let healing = heal_soon(state.clone());
-    let (log, recovered) = open(&state, DISK);
+    let state = folder_with_unreadable_log("unreadable-open");
+    let restoring = restore_log_soon(state.clone());
+    let (log, recovered) = open(&state, DISK_LIMIT);
     assert!(recovered.open.contains_key(&1) && !log.failed_to_read());
-    healing.join().unwrap();
+    restoring.join().unwrap();
 }
 
-/// Guards against a clock that starts anew, because the log that holds the last one could not be read for a moment.
+/// Guards against a clock that starts over because the log, which contains the last clock reading, cannot be read for a
+/// moment.
 #[test]
-fn the_clock_of_earlier_processes_is_waited_for() {
-    let state = unreadable("unreadable-clock");
-    let healing = heal_soon(state.clone());
+fn a_start_waits_for_the_clock_of_earlier_processes() {
+    let state = folder_with_unreadable_log("unreadable-clock");
+    let restoring = restore_log_soon(state.clone());
     assert!(inspect(&state).recovered.open.contains_key(&1));
-    healing.join().unwrap();
+    restoring.join().unwrap();
 }
