--- a/crates/sender/src/atomic_file.rs
+++ b/crates/sender/src/atomic_file.rs
@@ -1,14 +1,14 @@
-//! Atomic replacement of small files in the state directory.
+//! Atomic replacement of small files in the state folder.
 //!
-//! A reader finds either the old content or the new one, never a part of it. Nothing is synced to disk, so this holds
-//! when the process ends, but not for a power failure.
+//! A reader finds either the complete old content or the complete new content. Nothing is synced to disk, so this is
+//! guaranteed if the process ends at any time, but not in a power failure.
 
 use std::path::Path;
 
-/// Replaces the content of a file, by way of a temporary file next to it with the extension `new`.
+/// Replaces the content of a file by writing a temporary file next to it, with the extension `new`, and renaming that.
 ///
 /// # Errors
-/// The system's error if the new content cannot be written. The old content stays then, and the temporary file is
+/// The system's error if the new content cannot be written. The old content then stays, and the temporary file is
 /// removed to free its space.
 pub fn replace(file: &Path, content: &[u8]) -> std::io::Result<()> {
     let temporary = file.with_extension("new");
--- a/crates/sender/src/error.rs
+++ b/crates/sender/src/error.rs
@@ -1,6 +1,6 @@
-//! The errors that keep a sender from starting, from serving, or from passing its state to a successor.
+//! The errors that prevent a sender from starting, from serving, or from passing its state to a successor.
 //!
-//! `Display` gives the one line that the user reads; it names the field, file or address at fault.
+//! `Display` formats the one line that the user reads; it names the field, file or address at fault.
 
 use std::net::SocketAddr;
 
@@ -18,10 +18,10 @@
     #[error(transparent)]
     Config(#[from] ConfigError),
     /// The event loop cannot be created.
-    #[error("no event loop: {0}")]
+    #[error("the event loop cannot be created: {0}")]
     CreateEventLoop(calloop::Error),
-    /// The event loop cannot watch for signals; holds the event loop's reason.
-    #[error("no signals: {0}")]
+    /// The event loop cannot watch for signals; contains the event loop's reason.
+    #[error("the event loop cannot watch for signals: {0}")]
     WatchSignals(String),
     /// The event loop failed while it waited.
     #[error("the event loop failed: {0}")]
@@ -31,7 +31,7 @@
     Bind {
         /// The address for clients.
         address: SocketAddr,
-        /// What the system said.
+        /// The system's error.
         reason: std::io::Error,
     },
     /// The event loop cannot watch the listener for clients.
@@ -46,34 +46,34 @@
     /// The connection to the other senders cannot be opened.
     #[error(transparent)]
     Peers(#[from] PeerServiceError),
-    /// This process can neither serve nor wait for the one that does.
+    /// This process can neither serve nor wait for the process that serves.
     #[error(transparent)]
     Replacement(#[from] CandidateError),
     /// A descriptor that the predecessor passed is missing.
     #[error("{0}")]
     InheritedDescriptor(std::io::Error),
     /// The predecessor's state cannot be decoded.
-    #[error("what was passed cannot be read: {0}")]
+    #[error("the state from the predecessor cannot be decoded: {0}")]
     DecodeState(postcard::Error),
     /// This process's state cannot be encoded for its successor.
     #[error("{0}")]
     EncodeState(postcard::Error),
     /// The predecessor's state was decoded, but its sockets or its log cannot be used.
-    #[error("what was passed cannot be taken up: {0}")]
+    #[error("the state from the predecessor cannot be restored: {0}")]
     RestoreState(std::io::Error),
     /// The predecessor's write-ahead log cannot be continued.
-    #[error("what was passed cannot be taken up: {0}")]
+    #[error("the predecessor's write-ahead log cannot be continued: {0}")]
     RestoreLog(martenlatch_wal::LogError),
-    /// The predecessor's class rules differ from those of these settings.
-    #[error("settings: classes with other rules than those of the process that serves")]
+    /// The predecessor's class rules differ from those of this process's settings.
+    #[error("settings: the class rules differ from those of the process that serves")]
     DifferentClassRules,
     /// The predecessor numbers its zones, kinds or classes differently.
-    #[error("settings: other zones, kinds or classes than the process that serves has")]
+    #[error("settings: the zones, kinds or classes differ from those of the process that serves")]
     DifferentNames,
-    /// More connections are in use than both processes may hold together.
+    /// More connections are in use than the predecessor and the successor may have open together.
     #[error("{0} connections in use are too many to pass at once")]
     TooManyConnections(usize),
-    /// The listener for clients is closed, so there is nothing to pass to a successor.
-    #[error("takes no clients any more")]
+    /// The listener for clients is closed and cannot be passed to a successor.
+    #[error("the listener for clients is closed")]
     NotAccepting,
 }
