--- a/crates/sender/src/operator.rs
+++ b/crates/sender/src/operator.rs
@@ -1,8 +1,8 @@
-//! The address where operators call: each connection carries one line, gets one answer, and ends.
+//! The connections of operators: an operator sends one line, which is one command, receives one answer, and disconnects.
 //!
-//! [`OperatorService`] accepts connections and reads and answers calls; its owner decides what the answers say. It has a
-//! buffer pool of its own and a fixed number of connections, so operators take no capacity from clients or endpoints,
-//! and a caller that never finishes its line makes room for the next.
+//! [`OperatorService`] accepts connections, reads commands and sends answers; its owner determines the answers. It has
+//! its own buffer pool and a fixed number of connections, so that operators use no capacity of clients or endpoints. An
+//! operator that never finishes its line is disconnected when another one connects and no connection is free.
 
 mod command;
 
@@ -21,22 +21,22 @@
 
 use crate::event_source::{Connection, EventSource, Handle};
 
-/// Most connections of operators at a time. Each has a descriptor and two buffers that are reserved for operators.
+/// Maximum number of connections of operators. A descriptor and two buffers are reserved for each of them.
 pub const MAX_OPERATOR_CONNECTIONS: usize = 12;
-const BUFFERS_PER_CALLER: usize = 2;
-/// How long a caller may take to send its line.
+const BUFFERS_PER_CONNECTION: usize = 2;
+/// The time within which an operator must send its line.
 const LINE_TIMEOUT: Millis = 3_000.0;
-/// How long a caller may keep its connection open after the answer.
+/// The time for which an operator may keep its connection open after the answer.
 const LINGER_TIMEOUT: Millis = 500.0;
-/// Most connections accepted in one round, so that callers do not stall the event loop.
+/// Maximum number of connections accepted in one round, so that operators do not stall the event loop.
 const MAX_ACCEPTS_PER_ROUND: usize = 64;
-/// Pause before connections are accepted again after the process ran out of descriptors.
+/// The pause before connections are accepted again after the process has run out of descriptors.
 const ACCEPT_PAUSE: Millis = 50.0;
 
 /// Why operators cannot be served.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorError {
-    /// The address of the setting `operator` cannot be listened on.
+    /// The address in the setting `operator` cannot be bound.
     #[error("operator: cannot bind {address}: {source}")]
     Bind {
         /// The address.
@@ -49,22 +49,22 @@
     Register(#[source] std::io::Error),
 }
 
-struct Caller {
+struct OperatorConnection {
     connection: Connection,
-    /// When it connected or, once it is answered, when it was.
-    since: Millis,
+    /// When the operator connected or, once it has been answered, when the answer was sent.
+    state_since: Millis,
     answered: bool,
 }
 
-impl Caller {
-    /// When its connection is closed at the latest.
+impl OperatorConnection {
+    /// The instant at which the connection is closed if the operator has not closed it before.
     fn deadline(&self) -> Millis {
         let timeout = if self.answered {
             LINGER_TIMEOUT
         } else {
             LINE_TIMEOUT
         };
-        self.since + timeout
+        self.state_since + timeout
     }
 
     fn discard_input(&mut self) {
@@ -72,21 +72,21 @@
         self.connection.consume(unread);
     }
 
-    /// Whether nothing more can come of the connection.
-    fn is_gone(&self) -> bool {
-        let has_call = !self.answered && !self.connection.bytes().is_empty();
-        self.connection.broken || (self.connection.eof && !has_call)
+    /// Whether the connection has failed, or has ended without a command that awaits its answer.
+    fn is_finished(&self) -> bool {
+        let has_command = !self.answered && !self.connection.bytes().is_empty();
+        self.connection.broken || (self.connection.eof && !has_command)
     }
 }
 
-/// The listening socket, and the connections of operators.
+/// The listening socket for operators, and their connections.
 pub struct OperatorService {
     listener: Rc<std::net::TcpListener>,
     token: RegistrationToken,
     handle: Handle,
     pool: BufferPool,
-    callers: Slab<Caller>,
-    /// When to accept connections again, if that is paused or not finished.
+    connections: Slab<OperatorConnection>,
+    /// When to accept connections again, if accepting is paused or not finished.
     accept_at: Option<Millis>,
 }
 
@@ -106,8 +106,8 @@
             listener,
             token,
             handle: handle.clone(),
-            pool: BufferPool::new(BUFFERS_PER_CALLER * MAX_OPERATOR_CONNECTIONS),
-            callers: Slab::new(),
+            pool: BufferPool::new(BUFFERS_PER_CONNECTION * MAX_OPERATOR_CONNECTIONS),
+            connections: Slab::new(),
             accept_at: None,
         })
     }
@@ -118,7 +118,7 @@
         for _ in 0..MAX_ACCEPTS_PER_ROUND {
             let error = match self.listener.accept() {
                 Ok((stream, _)) => {
-                    self.add_caller(stream, now);
+                    self.add_connection(stream, now);
                     continue;
                 }
                 Err(error) => error,
@@ -129,10 +129,10 @@
             if http::concerns_one_connection(&error) {
                 continue;
             }
-            warn!(error = ?error.kind(), "operators' calls paused");
-            // Whoever holds most of the descriptors, one caller that has had its time gives way.
+            warn!(error = ?error.kind(), "accepting operators paused");
+            // Frees a descriptor even if other connections of the process use most of them.
             if http::is_local_shortage(&error) {
-                self.evict_caller();
+                self.evict_connection();
             }
             self.accept_at = Some(now + ACCEPT_PAUSE);
             return false;
@@ -140,73 +140,74 @@
         true
     }
 
-    fn add_caller(&mut self, stream: std::net::TcpStream, now: Millis) {
-        if self.callers.len() >= MAX_OPERATOR_CONNECTIONS {
-            self.evict_caller();
+    fn add_connection(&mut self, stream: std::net::TcpStream, now: Millis) {
+        if self.connections.len() >= MAX_OPERATOR_CONNECTIONS {
+            self.evict_connection();
         }
-        let entry = self.callers.vacant_entry();
+        let entry = self.connections.vacant_entry();
         let key = EventSource::Operator(entry.key());
         if let Ok(connection) = Connection::new(stream, &self.handle, &self.pool, key) {
-            entry.insert(Caller {
+            entry.insert(OperatorConnection {
                 connection,
-                since: now,
+                state_since: now,
                 answered: false,
             });
         }
     }
 
-    /// Closes the oldest connection that is answered or, if there is none, the oldest of all: callers that do not finish
-    /// their line must not keep others out.
-    fn evict_caller(&mut self) {
-        let oldest = self.callers.iter().min_by(|(_, left), (_, right)| {
+    /// Closes the oldest answered connection or, if there is none, the oldest connection: operators that do not finish
+    /// their line must not keep others from connecting.
+    fn evict_connection(&mut self) {
+        let oldest = self.connections.iter().min_by(|(_, left), (_, right)| {
             let answered_first = right.answered.cmp(&left.answered);
-            answered_first.then(left.since.total_cmp(&right.since))
+            answered_first.then(left.state_since.total_cmp(&right.state_since))
         });
         if let Some((index, _)) = oldest {
-            self.callers.remove(index);
+            self.connections.remove(index);
         }
     }
 
-    /// Reads from a caller. Returns its call once that is complete; what a caller sends behind its call is discarded.
+    /// Reads from an operator. Returns the command once its line is complete; input after the command is discarded.
     pub fn read_command(&mut self, index: usize) -> Option<Result<OperatorCommand, CommandError>> {
-        let caller = self.callers.get_mut(index)?;
-        caller.connection.flush();
-        caller.connection.receive();
-        if caller.answered {
-            caller.discard_input();
+        let operator = self.connections.get_mut(index)?;
+        operator.connection.flush();
+        operator.connection.receive();
+        if operator.answered {
+            operator.discard_input();
         }
-        if caller.is_gone() {
-            self.callers.remove(index);
+        if operator.is_finished() {
+            self.connections.remove(index);
             return None;
         }
-        if caller.answered {
+        if operator.answered {
             return None;
         }
-        OperatorCommand::parse_first_line(caller.connection.bytes(), caller.connection.eof)
+        OperatorCommand::parse_first_line(operator.connection.bytes(), operator.connection.eof)
     }
 
-    /// Sends a caller its answer, and closes the connection or leaves that to the caller.
+    /// Sends an operator the answer. Closes the connection if it has failed or the operator has closed its side, and
+    /// otherwise leaves that to the operator.
     pub fn answer(&mut self, index: usize, text: &str, now: Millis) {
-        let Some(caller) = self.callers.get_mut(index) else {
+        let Some(operator) = self.connections.get_mut(index) else {
             return;
         };
-        caller.connection.queue(text.as_bytes());
-        let is_flushed = caller.connection.flush();
-        let failed = !is_flushed && caller.connection.broken;
-        caller.discard_input();
-        if failed || (caller.connection.eof && caller.connection.is_flushed()) {
-            self.callers.remove(index);
+        operator.connection.queue(text.as_bytes());
+        let is_flushed = operator.connection.flush();
+        let failed = !is_flushed && operator.connection.broken;
+        operator.discard_input();
+        if failed || (operator.connection.eof && operator.connection.is_flushed()) {
+            self.connections.remove(index);
             return;
         }
-        if caller.connection.is_flushed() {
-            caller.connection.shutdown_write();
+        if operator.connection.is_flushed() {
+            operator.connection.shutdown_write();
         }
-        caller.answered = true;
-        caller.since = now;
+        operator.answered = true;
+        operator.state_since = now;
     }
 
-    /// Handles a ready socket by answering every valid call with one reason why it cannot be served. Returns whether the
-    /// socket is one of the operators'.
+    /// Handles a ready socket, and rejects every valid command for the given reason. Returns whether the socket belongs
+    /// to this service.
     pub fn reject_commands(&mut self, key: EventSource, reason: &str, now: Millis) -> bool {
         match key {
             EventSource::OperatorListener => {
@@ -215,8 +216,8 @@
                 }
             }
             EventSource::Operator(index) => {
-                if let Some(call) = self.read_command(index) {
-                    let text = match call {
+                if let Some(command) = self.read_command(index) {
+                    let text = match command {
                         Ok(_) => format_answer(Err(reason)),
                         Err(error) => format_answer(Err(error)),
                     };
@@ -228,19 +229,20 @@
         true
     }
 
-    /// Closes connections that are past their deadline, and accepts others if that was put off until now.
+    /// Closes connections whose deadline has passed, and accepts others if that was postponed until now.
     pub fn run_due(&mut self, now: Millis) {
-        self.callers.retain(|_, caller| now < caller.deadline());
+        self.connections
+            .retain(|_, operator| now < operator.deadline());
         if self.accept_at.is_some_and(|at| at <= now) && self.accept(now) {
             self.accept_at = Some(now);
         }
     }
 
-    /// When [`OperatorService::run_due`] has something to do; infinity if there is nothing.
+    /// When [`OperatorService::run_due`] must be called next; infinity if it has nothing to do.
     pub fn next_deadline(&self) -> Millis {
-        self.callers
+        self.connections
             .iter()
-            .map(|(_, caller)| caller.deadline())
+            .map(|(_, operator)| operator.deadline())
             .chain(self.accept_at)
             .fold(f64::INFINITY, f64::min)
     }
--- a/crates/sender/src/operator/tests.rs
+++ b/crates/sender/src/operator/tests.rs
@@ -1,12 +1,12 @@
-//! How lines are read as calls.
+//! Parsing of operators' lines.
 
-use super::command::MAX_LINE;
+use super::command::MAX_LINE_BYTES;
 use super::*;
 
 #[test]
-fn every_line_has_one_meaning_however_it_ends_and_bad_ones_are_told_why() {
+fn a_command_is_parsed_with_any_line_ending_and_an_invalid_line_yields_the_reason() {
     let cordon = |id: &str| Ok(OperatorCommand::Cordon(id.into()));
-    for (text, end_of_input, want) in [
+    for (text, end_of_input, expected) in [
         ("health\n", false, Some(Ok(OperatorCommand::Health))),
         ("counters\r\n", false, Some(Ok(OperatorCommand::Counters))),
         ("health", false, None),
@@ -19,11 +19,11 @@
             Some(Ok(OperatorCommand::Uncordon("s-1".into()))),
         ),
     ] {
-        let call = OperatorCommand::parse_first_line(text.as_bytes(), end_of_input);
-        assert_eq!(call, want, "{text:?}");
+        let command = OperatorCommand::parse_first_line(text.as_bytes(), end_of_input);
+        assert_eq!(command, expected, "{text:?}");
     }
-    let long = "x".repeat(MAX_LINE + 2);
-    for (text, word) in [
+    let long = "x".repeat(MAX_LINE_BYTES + 2);
+    for (text, expected_words) in [
         (&b"\n"[..], "empty"),
         (b"HEALTH\n", "unknown call HEALTH"),
         (b"cordon\n", "wants the id"),
@@ -35,8 +35,11 @@
     ] {
         let reason = OperatorCommand::parse_first_line(text, false)
             .expect("the line is complete")
-            .expect_err("the line is no call")
+            .expect_err("the line is not a command")
             .to_string();
-        assert!(reason.contains(word) && !reason.contains('\n'), "{reason}");
+        assert!(
+            reason.contains(expected_words) && !reason.contains('\n'),
+            "{reason}"
+        );
     }
 }
