--- a/crates/sender/src/class_rules.rs
+++ b/crates/sender/src/class_rules.rs
@@ -109,8 +109,8 @@
             .is_none_or(|index| self.0[index].non_idempotent)
     }
 
-    /// The time in milliseconds for which endpoints remember the idempotency keys of a class. `None` if the class has no
-    /// keys or is unknown.
+    /// The time in milliseconds for which endpoints remember the idempotency keys of a class. `None` if the class has
+    /// no keys or is unknown.
     pub fn idempotency_window(&self, name: &str, encoded_rules: &[u8]) -> Option<Millis> {
         let index = self.index_of(name, encoded_rules)?;
         let class = postcard::from_bytes::<MessageClass>(&self.0[index].encoded_rules).ok()?;
--- a/crates/sender/src/config.rs
+++ b/crates/sender/src/config.rs
@@ -1,5 +1,5 @@
-//! The platform's configuration: the JSON file named by `$PROXY_CONFIG`, and the environment variables that override its
-//! fields.
+//! The platform's configuration: the JSON file named by `$PROXY_CONFIG`, and the environment variables that override
+//! its fields.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -121,8 +121,8 @@
         Config::from_environment(Some(DISCOVERY_VARIABLE))
     }
 
-    /// Reads the configuration again for a running sender. `$PROXY_DISCOVERY` no longer overrides the file, as it has the
-    /// value from the start of the process and would hide a change of the field.
+    /// Reads the configuration again for a running sender. `$PROXY_DISCOVERY` no longer overrides the file, as it has
+    /// the value from the start of the process and would hide a change of the field.
     ///
     /// # Errors
     /// If the file or a variable cannot be used.
--- a/crates/sender/src/cordons.rs
+++ b/crates/sender/src/cordons.rs
@@ -1,8 +1,8 @@
 //! Cordons: the endpoints that operators have taken out of service manually, and the file that preserves them across
 //! restarts.
 //!
-//! An endpoint is cordoned by the name under which discovery lists it. A change takes effect only once the file has been
-//! replaced. Each line of the file has its own checksum, so that a damaged line loses one cordon instead of all.
+//! An endpoint is cordoned by the name under which discovery lists it. A change takes effect only once the file has
+//! been replaced. Each line of the file has its own checksum, so that a damaged line loses one cordon instead of all.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -20,8 +20,8 @@
 const DISK_SHARE: f64 = 0.06;
 /// While the file is replaced, its old and its new version are both on disk.
 const FILE_VERSIONS: f64 = 2.0;
-/// Maximum length in bytes of the name of an endpoint to be cordoned: an operator's line that contains it may not be much
-/// longer.
+/// Maximum length in bytes of the name of an endpoint to be cordoned: an operator's line that contains it may not be
+/// much longer.
 pub const MAX_NAME_BYTES: usize = 256;
 
 /// Why an endpoint could not be cordoned or uncordoned. The operator receives the text.
--- a/crates/sender/src/jitter.rs
+++ b/crates/sender/src/jitter.rs
@@ -1,4 +1,5 @@
-//! Random variation of wait times, so that senders that are affected by the same fault do not all retry at the same time.
+//! Random variation of wait times, so that senders that are affected by the same fault do not all retry at the same
+//! time.
 //!
 //! Only the waits that the sender chooses itself may be varied in both directions; a wait that the other side requested
 //! (Retry-After) must never be shortened. Equal seeds give equal sequences.
--- a/crates/sender/src/lib.rs
+++ b/crates/sender/src/lib.rs
@@ -1,7 +1,7 @@
 //! The sender: it accepts messages from clients and delivers each to an endpoint of its destination.
 //!
-//! One event loop on one thread runs everything. [`run`] starts the process, alone or as the successor of a process that
-//! serves, and runs the message pipeline until a signal ends the process or a successor replaces it.
+//! One event loop on one thread runs everything. [`run`] starts the process, alone or as the successor of a process
+//! that serves, and runs the message pipeline until a signal ends the process or a successor replaces it.
 
 mod atomic_file;
 mod class_metrics;
--- a/crates/sender/src/log_recovery.rs
+++ b/crates/sender/src/log_recovery.rs
@@ -51,7 +51,8 @@
     }
 }
 
-/// Opens the log in a state folder, with at most `disk_limit` bytes, and recovers the state that earlier processes left.
+/// Opens the log in a state folder, with at most `disk_limit` bytes, and recovers the state that earlier processes
+/// left.
 pub(crate) fn open(state_folder: &Path, disk_limit: u64) -> (WriteAheadLog, RecoveredState) {
     let retries = ReadRetries::new();
     loop {
--- a/crates/sender/src/operator.rs
+++ b/crates/sender/src/operator.rs
@@ -1,4 +1,5 @@
-//! The connections of operators: an operator sends one line, which is one command, receives one answer, and disconnects.
+//! The connections of operators: an operator sends one line, which is one command, receives one answer, and
+//! disconnects.
 //!
 //! [`OperatorService`] accepts connections, reads commands and sends answers; its owner determines the answers. It has
 //! its own buffer pool and a fixed number of connections, so that operators use no capacity of clients or endpoints. An
--- a/crates/sender/src/safety.rs
+++ b/crates/sender/src/safety.rs
@@ -1,9 +1,10 @@
-//! The safety rules of the sender in one place: whether a request may be sent now, and whether a client's connection may
-//! be closed now.
+//! The safety rules of the sender in one place: whether a request may be sent now, and whether a client's connection
+//! may be closed now.
 //!
 //! The rules are pure functions of facts that the callers provide. The decision module and the pipeline are designed to
 //! follow them; the checks here guard the two steps that cannot be undone: sending the first byte of a request, and
-//! closing a connection. A request that breaks a rule is not sent. Every violation is a defect, and is counted and logged.
+//! closing a connection. A request that breaks a rule is not sent. Every violation is a defect, and is counted and
+//! logged.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -50,8 +51,8 @@
     pub non_idempotent: bool,
     /// When the first attempt that may have run was sent; `None` if it is certain that no attempt has run.
     pub first_possible_run: Option<Millis>,
-    /// The time for which endpoints remember the message's idempotency key; `None` if it has no key, or they never forget
-    /// it.
+    /// The time for which endpoints remember the message's idempotency key; `None` if it has no key, or they never
+    /// forget it.
     pub idempotency_window: Option<Millis>,
     /// The endpoint accepts new requests, according to the endpoint list and the cordons.
     pub endpoint_available: bool,
--- a/crates/sender/src/safety/tests.rs
+++ b/crates/sender/src/safety/tests.rs
@@ -28,7 +28,7 @@
 #[case::non_idempotent_repeat(|r: &mut RequestFacts| r.non_idempotent = true, Violation::RepeatedNonIdempotent)]
 #[case::key_forgotten(|r: &mut RequestFacts| r.idempotency_window = Some(499.9), Violation::RepeatedOutsideWindow)]
 #[case::endpoint_unavailable(|r: &mut RequestFacts| r.endpoint_available = false, Violation::SentToDrainingEndpoint)]
-#[case::before_retry_after(|r: &mut RequestFacts| r.retry_after_until = Some(NOW + 0.1), Violation::SentBeforeRetryAfter)]
+#[case::retry_after(|r: &mut RequestFacts| r.retry_after_until = Some(NOW + 0.1), Violation::SentBeforeRetryAfter)]
 fn a_request_that_breaks_a_rule_is_forbidden_and_counted(
     #[case] break_rule: fn(&mut RequestFacts),
     #[case] violation: Violation,
--- a/crates/sender/src/serve.rs
+++ b/crates/sender/src/serve.rs
@@ -1,4 +1,4 @@
-//! The event loop of a process that serves, and its signals.
+//! The event loop of a process that serves, and its signal handling.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -13,31 +13,31 @@
 use crate::operator::OperatorService;
 use crate::pipeline::Driver;
 use crate::process_replacement::ReplacementListener;
-use crate::startup::{Started, StartingProcess};
+use crate::startup::{StartedProcess, StartingProcess};
 
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
 
-/// Serves until the process is told to end, or a successor has taken its place.
+/// Serves until a signal ends the process, or a successor has taken over.
 ///
 /// # Errors
-/// Where the process cannot start, or its event loop fails.
+/// If the process cannot start, or its event loop fails.
 pub fn run(config: Config) -> Result<(), SenderError> {
     let mut events = EventLoop::<Ready>::try_new().map_err(SenderError::CreateEventLoop)?;
     let handle = events.handle();
     watch_signals(&handle)?;
     let operators = open_operators(&config, &handle)?;
-    let state: PathBuf = config.state_folder.clone();
+    let state_folder: PathBuf = config.state_folder.clone();
     let mut starting = StartingProcess::new(config, &mut events, operators);
     let Some(started) = starting.start()? else {
         return Ok(());
     };
     let (mut ready, operators) = starting.into_parts();
-    let mut driver = serve(started, operators, &state, &mut events, &mut ready)?;
+    let mut driver = serve(started, operators, &state_folder, &mut events, &mut ready)?;
     driver.print_counters();
     Ok(())
 }
 
-/// Has the event loop collect the signals that the sender acts on.
+/// Registers the signals that the sender handles, so that the event loop collects them.
 fn watch_signals(handle: &Handle) -> Result<(), SenderError> {
     let watched = [
         Signal::SIGTERM,
@@ -55,7 +55,7 @@
     Ok(())
 }
 
-/// Listens for operators, if the configuration names an address for them.
+/// Listens for operators, if the configuration contains an address for them.
 fn open_operators(
     config: &Config,
     handle: &Handle,
@@ -67,20 +67,20 @@
         .map_err(SenderError::Operators)
 }
 
-/// Runs round after round until the process ends or is replaced. Returns the driver for its last counters.
+/// Runs rounds until the process ends or is replaced. Returns the driver, whose counters are still to be logged.
 fn serve(
-    started: Started,
+    started: StartedProcess,
     operators: Option<OperatorService>,
-    state: &Path,
+    state_folder: &Path,
     events: &mut EventLoop<'static, Ready>,
     ready: &mut Ready,
 ) -> Result<Driver, SenderError> {
     let mut driver = started.driver;
     driver.answer_operators(operators);
-    let mut replacement = ReplacementListener::open(started.lock, state, &events.handle());
+    let mut replacement = ReplacementListener::open(started.lock, state_folder, &events.handle());
     loop {
         for signal in std::mem::take(&mut ready.signals) {
-            on_signal(signal, &mut driver);
+            handle_signal(signal, &mut driver);
         }
         let mut sources = std::mem::take(&mut ready.keys);
         sources.retain(|source| !replacement.ready(*source));
@@ -91,11 +91,11 @@
         if replacement.hand_over(&mut driver) {
             return Ok(driver);
         }
-        wait(events, ready, driver.sleep())?;
+        wait_for_events(events, ready, driver.sleep())?;
     }
 }
 
-fn on_signal(signal: Signal, driver: &mut Driver) {
+fn handle_signal(signal: Signal, driver: &mut Driver) {
     match signal {
         Signal::SIGUSR1 => driver.print_counters(),
         Signal::SIGHUP => driver.reload(Config::read_again()),
@@ -103,14 +103,14 @@
     }
 }
 
-/// Waits until something is ready, at most for so long.
-pub(crate) fn wait(
+/// Waits until a socket is ready or a signal arrives, for at most `timeout`.
+pub(crate) fn wait_for_events(
     events: &mut EventLoop<'static, Ready>,
     ready: &mut Ready,
-    longest: Millis,
+    timeout: Millis,
 ) -> Result<(), SenderError> {
-    let longest = Duration::from_secs_f64(longest / MILLISECONDS_PER_SECOND);
+    let timeout = Duration::from_secs_f64(timeout / MILLISECONDS_PER_SECOND);
     events
-        .dispatch(longest, ready)
+        .dispatch(timeout, ready)
         .map_err(SenderError::EventLoop)
 }
--- a/crates/sender/src/startup.rs
+++ b/crates/sender/src/startup.rs
@@ -1,4 +1,4 @@
-//! The start of a process: alone, or beside one that serves from the same folder and is to be replaced.
+//! The start of a process: on its own, or as the successor of a process that serves from the same state folder.
 
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpListener};
@@ -22,22 +22,22 @@
 use crate::peer_service::PeerService;
 use crate::pipeline::{Driver, ProcessLoad, ProcessState, Start};
 use crate::process_replacement::{CandidateState, POLL_INTERVAL, ReplacementCandidate};
-use crate::serve::wait;
+use crate::serve::wait_for_events;
 
-/// Connections that may wait to be accepted: a burst of clients must not be dropped.
+/// Number of connections that may wait to be accepted, so that a burst of clients is not dropped.
 const LISTEN_BACKLOG: i32 = 1024;
-/// How long a process that has ended may still hold its address, although its lock is free.
+/// The time for which the address of a process may still be in use after its lock has been released.
 const ADDRESS_RELEASE_TIMEOUT: Millis = 2_000.0;
-/// How long a start waits for descriptors or memory.
+/// The time for which a start retries while descriptors or memory are short.
 const SHORTAGE_TIMEOUT: Millis = 5_000.0;
-/// How often the loop wakes while peers are asked for what they know.
+/// The longest wait for events while peers are queried for their observations.
 const LEARNING_INTERVAL: Millis = 5.0;
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
 
-/// What operators are told while the process starts.
+/// The reason with which operators' commands are rejected while the process starts.
 const NOT_SERVING: &str = "not serving yet";
 
-/// Listens on an address without blocking.
+/// Opens a non-blocking listener on an address.
 pub(crate) fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = Socket::new(
         Domain::for_address(address),
@@ -51,16 +51,16 @@
     Ok(socket.into())
 }
 
-/// A process that may serve from here on.
-pub(crate) struct Started {
+/// A process that has completed its start and may serve.
+pub(crate) struct StartedProcess {
     pub(crate) driver: Driver,
-    /// The lock on the folder; none where the folder takes no lock, and the process cannot be replaced.
+    /// The lock on the state folder. `None` if no lock can be created there; the process then cannot be replaced.
     pub(crate) lock: Option<Lock>,
 }
 
-/// A process that does not serve yet.
+/// A process that does not serve yet, and rejects operators' commands.
 pub(crate) struct StartingProcess<'a> {
-    started: Instant,
+    started_at: Instant,
     config: Config,
     clock: Clock,
     events: &'a mut EventLoop<'static, Ready>,
@@ -68,25 +68,25 @@
     operators: Option<OperatorService>,
 }
 
-/// Who may serve from the folder.
+/// The result of acquiring the lock on the state folder.
 enum FolderLock {
-    /// This process; without a lock where the folder takes none.
-    Ours(Option<Lock>),
-    /// Another process.
-    Taken,
+    /// This process may serve; without a lock if none can be created in the folder.
+    Acquired(Option<Lock>),
+    /// Another process has the lock.
+    HeldByAnother,
 }
 
 impl<'a> StartingProcess<'a> {
-    /// A process of this configuration. OperatorService are told that it does not serve.
+    /// Creates a process with this configuration, and continues the clock of earlier processes.
     pub(crate) fn new(
         config: Config,
         events: &'a mut EventLoop<'static, Ready>,
         operators: Option<OperatorService>,
     ) -> StartingProcess<'a> {
-        let started = Instant::now();
-        let clock = clock_after_earlier_processes(&config.state_folder);
+        let started_at = Instant::now();
+        let clock = continue_clock(&config.state_folder);
         StartingProcess {
-            started,
+            started_at,
             config,
             clock,
             events,
@@ -95,27 +95,27 @@
         }
     }
 
-    /// What became ready and was not handled during the start, and the operators' connections.
+    /// Returns the sockets and signals that were not handled during the start, and the operators' connections.
     pub(crate) fn into_parts(self) -> (Ready, Option<OperatorService>) {
         (self.ready, self.operators)
     }
 
-    /// Waits until this process may serve: the folder's lock is free, or the process that held it has given way. None
-    /// if this process is told to end first.
+    /// Waits until this process may serve: the lock on the state folder is free, or the process that had it has
+    /// transferred its state. `None` if a signal ends this process first.
     ///
     /// # Errors
-    /// Where this process cannot serve, or another one waits already.
-    pub(crate) fn start(&mut self) -> Result<Option<Started>, SenderError> {
-        match take_folder_lock(&self.config) {
-            FolderLock::Ours(lock) => {
+    /// If this process cannot serve, or another process is already waiting to replace the one that serves.
+    pub(crate) fn start(&mut self) -> Result<Option<StartedProcess>, SenderError> {
+        match acquire_folder_lock(&self.config) {
+            FolderLock::Acquired(lock) => {
                 let driver = self.start_fresh(0.0)?;
-                Ok(Some(Started { driver, lock }))
+                Ok(Some(StartedProcess { driver, lock }))
             }
-            FolderLock::Taken => self.wait_for_predecessor(),
+            FolderLock::HeldByAnother => self.wait_for_predecessor(),
         }
     }
 
-    /// Starts from the write-ahead log. The address may be in use for so long still.
+    /// Starts from the write-ahead log. Retries for `address_timeout` while the address for clients is in use.
     fn start_fresh(&mut self, address_timeout: Millis) -> Result<Driver, SenderError> {
         let peers = match self.config.peers.clone() {
             Some(settings) => Some(self.learn_from_peers(&settings)?),
@@ -126,7 +126,7 @@
             self.config.clone(),
             Start::Fresh {
                 listener,
-                began: self.started,
+                began: self.started_at,
             },
             peers,
             &self.events.handle(),
@@ -134,16 +134,16 @@
         )
     }
 
-    /// Asks the peers for what they know before clients can connect: for a bounded time, and not at all if no peer is
-    /// there. A signal ends this early, so that it is acted on soon.
+    /// Queries the peers for their observations before clients can connect, for a limited time. Ends early if no peer
+    /// responds, or a signal arrives, which must not wait.
     fn learn_from_peers(&mut self, settings: &PeerSettings) -> Result<PeerService, SenderError> {
         let mut peers = self.open_peers(settings)?;
         while peers.learning(self.clock.now()) && self.ready.signals.is_empty() {
-            wait(self.events, &mut self.ready, LEARNING_INTERVAL)?;
+            wait_for_events(self.events, &mut self.ready, LEARNING_INTERVAL)?;
             let now = self.clock.now();
             let mut unfinished = Vec::new();
             for source in std::mem::take(&mut self.ready.keys) {
-                if !self.turn_operator_down(source, now) && peers.ready(source, now) {
+                if !self.reject_operator(source, now) && peers.ready(source, now) {
                     unfinished.push(source);
                 }
             }
@@ -175,76 +175,76 @@
         .map_err(SenderError::Peers)
     }
 
-    /// Binds the address for clients, which a process that has just ended may still hold.
+    /// Listens on the address for clients, which a process that has just ended may still use.
     fn listen_for_clients(&self, timeout: Millis) -> Result<TcpListener, SenderError> {
         let address = self.config.listen;
-        listen_patiently(|| listen(address), &self.clock, timeout)
+        listen_with_retries(|| listen(address), &self.clock, timeout)
             .map_err(|reason| SenderError::Bind { address, reason })
     }
 
-    /// Waits beside a process that serves, until that one has given way or ended. None if this process is told to end
-    /// first: nothing has been begun.
-    fn wait_for_predecessor(&mut self) -> Result<Option<Started>, SenderError> {
+    /// Waits until the process that serves has transferred its state or ended. `None` if a signal ends this process
+    /// first; nothing needs to be undone then.
+    fn wait_for_predecessor(&mut self) -> Result<Option<StartedProcess>, SenderError> {
         let mut candidate = ReplacementCandidate::open(&self.config, &self.events.handle())
             .map_err(SenderError::Replacement)?;
-        while !self.is_told_to_end() {
-            match self.look_for_predecessor(&mut candidate) {
+        while !self.termination_requested() {
+            match self.poll_predecessor(&mut candidate) {
                 CandidateState::Waiting => {}
                 CandidateState::LockAcquired(lock) => {
                     info!("the process that served has ended");
                     let driver = self.start_fresh(ADDRESS_RELEASE_TIMEOUT)?;
                     let lock = Some(lock);
-                    return Ok(Some(Started { driver, lock }));
+                    return Ok(Some(StartedProcess { driver, lock }));
                 }
-                CandidateState::StateReceived(passed) => {
-                    if let Some(started) = self.take_over(passed, &mut candidate) {
+                CandidateState::StateReceived(received) => {
+                    if let Some(started) = self.take_over(received, &mut candidate) {
                         return Ok(Some(started));
                     }
                 }
             }
-            wait(self.events, &mut self.ready, POLL_INTERVAL)?;
+            wait_for_events(self.events, &mut self.ready, POLL_INTERVAL)?;
         }
         Ok(None)
     }
 
-    fn is_told_to_end(&self) -> bool {
-        let ends = |signal: &Signal| matches!(signal, Signal::SIGTERM | Signal::SIGINT);
-        self.ready.signals.iter().any(ends)
+    fn termination_requested(&self) -> bool {
+        let terminates = |signal: &Signal| matches!(signal, Signal::SIGTERM | Signal::SIGINT);
+        self.ready.signals.iter().any(terminates)
     }
 
-    /// Looks at the lock, and at what the predecessor has sent.
-    fn look_for_predecessor(&mut self, candidate: &mut ReplacementCandidate) -> CandidateState {
+    /// Checks whether the lock is free, or the predecessor has answered; rejects operators' commands.
+    fn poll_predecessor(&mut self, candidate: &mut ReplacementCandidate) -> CandidateState {
         let now = self.clock.now();
-        let mut found = candidate.poll(now);
+        let mut candidate_state = candidate.poll(now);
         for source in std::mem::take(&mut self.ready.keys) {
-            if !self.turn_operator_down(source, now) && source == EventSource::Predecessor {
-                found = candidate.receive(&self.clock);
+            if !self.reject_operator(source, now) && source == EventSource::Predecessor {
+                candidate_state = candidate.receive(&self.clock);
             }
         }
         if let Some(operators) = &mut self.operators {
             operators.run_due(now);
         }
-        found
+        candidate_state
     }
 
-    /// Tells an operator that the process does not serve. True if the source is one of the operators'.
-    fn turn_operator_down(&mut self, source: EventSource, now: Millis) -> bool {
+    /// Answers an operator that the process does not serve yet. Returns whether the source belongs to operators.
+    fn reject_operator(&mut self, source: EventSource, now: Millis) -> bool {
         match &mut self.operators {
             Some(operators) => operators.reject_commands(source, NOT_SERVING, now),
             None => false,
         }
     }
 
-    /// Takes over from the predecessor with the state that it has passed. None if that cannot be used, or the
-    /// predecessor has gone on meanwhile.
+    /// Takes over from the predecessor with the state that it has sent. `None` if the state cannot be used, or the
+    /// predecessor has continued to serve meanwhile.
     fn take_over(
         &mut self,
-        mut passed: ReceivedState,
+        mut received: ReceivedState,
         candidate: &mut ReplacementCandidate,
-    ) -> Option<Started> {
+    ) -> Option<StartedProcess> {
         let started = match restore(
             &self.config,
-            &mut passed,
+            &mut received,
             &self.events.handle(),
             &self.clock,
         ) {
@@ -255,8 +255,9 @@
                 return None;
             }
         };
-        // On an error the predecessor goes on, or it has died: it is asked again, or its lock is free.
-        if let Err(error) = passed.commit() {
+        // After an error, the predecessor either continues to serve, and is asked again, or has died, and its lock is
+        // free.
+        if let Err(error) = received.commit() {
             warn!(error = ?error.kind(), "takeover too late");
             return None;
         }
@@ -276,36 +277,37 @@
     }
 }
 
-/// The clock that goes on from what earlier processes wrote. A log that cannot be read is dealt with when it is opened.
-fn clock_after_earlier_processes(state: &Path) -> Clock {
+/// Creates a clock that continues from the clock readings of earlier processes in the log. A log that cannot be read is
+/// handled when it is opened.
+fn continue_clock(state: &Path) -> Clock {
     let log = log_recovery::inspect(state);
     let clock = Clock::after(&log.recovered.clock);
     if !clock.is_continuous() {
-        warn!("the time since the last process is not known");
+        warn!("the time since the last process ended is unknown");
     }
     clock
 }
 
-/// Tries to listen until it succeeds: a process that has just ended may hold the address for `address_timeout` still,
-/// and a lack of descriptors or memory passes.
-fn listen_patiently(
+/// Retries `listen` for a limited time: a process that has just ended may still use the address for `address_timeout`,
+/// and a shortage of descriptors or memory may pass.
+fn listen_with_retries(
     mut listen: impl FnMut() -> std::io::Result<TcpListener>,
     clock: &Clock,
     address_timeout: Millis,
 ) -> std::io::Result<TcpListener> {
-    let started = clock.now();
+    let started_at = clock.now();
     loop {
         let error = match listen() {
             Ok(listener) => return Ok(listener),
             Err(error) => error,
         };
-        let patience = match error.kind() {
+        let retry_time = match error.kind() {
             ErrorKind::AddrInUse => address_timeout,
             ErrorKind::Interrupted => SHORTAGE_TIMEOUT,
             _ if is_local_shortage(&error) => SHORTAGE_TIMEOUT,
             _ => 0.0,
         };
-        if clock.now() >= started + patience {
+        if clock.now() >= started_at + retry_time {
             return Err(error);
         }
         std::thread::sleep(Duration::from_secs_f64(
@@ -314,31 +316,32 @@
     }
 }
 
-/// Takes the lock on the folder. A folder that takes no file must not stop a sender, which then cannot be replaced.
-fn take_folder_lock(config: &Config) -> FolderLock {
+/// Acquires the lock on the state folder. A folder in which no file can be created must not prevent a sender from
+/// serving, but the sender then cannot be replaced.
+fn acquire_folder_lock(config: &Config) -> FolderLock {
     match Lock::try_acquire(&config.state_folder, "lock") {
-        Ok(Some(lock)) => FolderLock::Ours(Some(lock)),
-        Ok(None) => FolderLock::Taken,
+        Ok(Some(lock)) => FolderLock::Acquired(Some(lock)),
+        Ok(None) => FolderLock::HeldByAnother,
         Err(error) => {
             warn!(error = ?error.kind(), "no lock");
-            FolderLock::Ours(None)
+            FolderLock::Acquired(None)
         }
     }
 }
 
-/// Builds this process from the state of the predecessor. Nothing outside this process is touched.
+/// Builds the driver from the state of the predecessor. Has no effect outside this process.
 fn restore(
     config: &Config,
-    passed: &mut ReceivedState,
+    received: &mut ReceivedState,
     handle: &Handle,
     clock: &Clock,
-) -> Result<Started, SenderError> {
-    let mut descriptors = InheritedDescriptors::new(std::mem::take(&mut passed.descriptors));
+) -> Result<StartedProcess, SenderError> {
+    let mut descriptors = InheritedDescriptors::new(std::mem::take(&mut received.descriptors));
     let lock = descriptors
         .next_descriptor()
         .map_err(SenderError::InheritedDescriptor)?;
     let lock = Lock::inherited(lock);
-    let state = ProcessState::read(&passed.state, config)?;
+    let state = ProcessState::read(&received.state, config)?;
     let clock = clock.taking_over(state.at());
     let driver = Driver::new(
         config.clone(),
@@ -347,7 +350,7 @@
         handle,
         clock,
     )?;
-    Ok(Started {
+    Ok(StartedProcess {
         driver,
         lock: Some(lock),
     })
