--- a/crates/martenlatch/tests/replacement_failures.rs
+++ b/crates/martenlatch/tests/replacement_failures.rs
@@ -184,7 +184,8 @@
     let exit = sender.be_replaced_by(next);
     let log = exit.output;
     assert!(
-        exit.code == Some(0) && log.contains(" replacement broke off; serving on "),
+        exit.code == Some(0)
+            && log.contains(" replacement failed; this process continues to serve "),
         "{log}"
     );
     assert_eq!(sender.submit("debit", "after", "16.0"), 202);
--- a/crates/sender/src/process_replacement/candidate.rs
+++ b/crates/sender/src/process_replacement/candidate.rs
@@ -1,4 +1,4 @@
-//! A process that starts while another one serves: it waits for the lock, and requests the state of the other one.
+//! A process that starts while another one serves: it waits for the lock, and requests the state of that process.
 
 use std::path::PathBuf;
 
@@ -13,46 +13,46 @@
 use crate::Config;
 use crate::event_source::{EventSource, Handle};
 
-/// Milliseconds between two looks at the lock.
+/// Milliseconds between two tries to acquire the lock.
 pub const POLL_INTERVAL: Millis = 20.0;
 /// Milliseconds between two requests to take over.
 const REQUEST_INTERVAL: Millis = 1_000.0;
-/// Longest time in milliseconds to receive the state: a little longer than the serving process takes to send it.
+/// Maximum time in milliseconds to receive the state: a little longer than the serving process may take to send it.
 const RECEIVE_TIMEOUT: Millis = 900.0;
 
 /// The lock of the process that serves.
 const SERVING_LOCK: &str = "lock";
-/// The lock of the process that is the next to serve.
+/// The lock of the process that will serve next.
 const SUCCESSOR_LOCK: &str = "successor";
 
 /// Why a process cannot be a candidate.
 #[derive(Debug, thiserror::Error)]
 pub enum CandidateError {
-    /// Another candidate waits already.
+    /// Another candidate is already waiting.
     #[error("PROXY_STATE: a process serves from there, and another one is replacing it")]
     AnotherCandidate,
 }
 
-/// What a candidate has reached.
+/// The progress of a candidate.
 pub enum CandidateState {
     /// The lock was free; this process holds it from now on.
     LockAcquired(Lock),
     /// The process that serves has sent its state.
     StateReceived(ReceivedState),
-    /// Neither yet.
+    /// Neither has happened yet.
     Waiting,
 }
 
-/// A process that waits to serve in place of another one.
+/// A process that waits to replace the one that serves.
 pub struct ReplacementCandidate {
     handle: Handle,
     state_folder: PathBuf,
     request: TakeoverRequest,
-    /// Held while this process waits, so that there is only one candidate. None if the folder takes no file.
+    /// Held while this process waits, so that there is only one candidate. `None` if the folder accepts no file.
     _successor_lock: Option<Lock>,
     pending: Option<(PendingTakeover, RegistrationToken)>,
     next_request_at: Millis,
-    /// No request was tried so far.
+    /// No request has been tried yet.
     first_request: bool,
 }
 
@@ -60,7 +60,7 @@
     /// Becomes the candidate to succeed the process that holds the lock.
     ///
     /// # Errors
-    /// If another process is the candidate already.
+    /// If another process is already the candidate.
     pub fn open(config: &Config, handle: &Handle) -> Result<ReplacementCandidate, CandidateError> {
         let successor_lock = match Lock::try_acquire(&config.state_folder, SUCCESSOR_LOCK) {
             Ok(None) => return Err(CandidateError::AnotherCandidate),
@@ -98,7 +98,7 @@
         match self.try_send_request() {
             Ok(pending) => self.pending = Some(pending),
             Err(error) if self.first_request => {
-                warn!(%error, "nobody to ask; the lock is waited for");
+                warn!(%error, "no process accepts a takeover request; waiting for the lock");
             }
             Err(_) => {}
         }
@@ -113,8 +113,8 @@
         Ok((pending, token))
     }
 
-    /// Receives the answer of the process that serves, whose connection is ready. Received state must be built upon
-    /// first, and then committed.
+    /// Receives the answer of the process that serves, whose connection is ready. The caller must restore the received
+    /// state before it commits the takeover.
     pub fn receive(&mut self, clock: &Clock) -> CandidateState {
         let Some((pending, token)) = self.pending.take() else {
             return CandidateState::Waiting;
@@ -125,13 +125,13 @@
             Ok(state) => CandidateState::StateReceived(state),
             Err(error) => {
                 let reason = error.to_string();
-                warn!(reason, "not given way to; asking again");
+                warn!(reason, "takeover request unsuccessful; trying again");
                 CandidateState::Waiting
             }
         }
     }
 
-    /// Waits for the lock alone from now on, as the received state could not be used: each request halts the process
+    /// From now on, only waits for the lock, as the received state could not be used: each request pauses the process
     /// that serves.
     pub fn stop_requesting(&mut self) {
         self.next_request_at = f64::INFINITY;
--- a/crates/sender/src/process_replacement/listener.rs
+++ b/crates/sender/src/process_replacement/listener.rs
@@ -1,4 +1,4 @@
-//! The serving process: it listens for a successor, and hands its state over between two rounds.
+//! The process that serves: it listens for a successor, and transfers its state to it between two rounds.
 
 use std::net::SocketAddr;
 use std::os::fd::{AsFd, BorrowedFd};
@@ -18,10 +18,10 @@
 use crate::event_source::{EventSource, Handle};
 use crate::pipeline::Driver;
 
-/// Longest time in milliseconds that this process stands still for a transfer.
+/// Maximum time in milliseconds for which a transfer pauses this process.
 const TRANSFER_TIMEOUT: Millis = 600.0;
 
-/// Why a request to take over is refused; the successor gets and logs the text.
+/// Why a request to take over is refused. The successor receives and logs the text.
 #[derive(Debug, thiserror::Error)]
 enum RefusalReason {
     #[error("another replacement is under way")]
@@ -38,7 +38,7 @@
     State(SenderError),
 }
 
-/// The place where a successor of this process can request to take over.
+/// Accepts the requests of successors to take over from this process.
 pub struct ReplacementListener {
     handle: Handle,
     lock: Option<Lock>,
@@ -49,14 +49,14 @@
 }
 
 impl ReplacementListener {
-    /// Keeps the lock, and listens for a successor. Without a lock or a socket this process cannot be replaced while it
-    /// serves.
+    /// Keeps the lock, and listens for a successor. Without a lock or a socket, this process cannot be replaced while
+    /// it serves.
     pub fn open(lock: Option<Lock>, state_folder: &Path, handle: &Handle) -> ReplacementListener {
         let mut listener = None;
         if lock.is_some() {
             match listen(state_folder, handle) {
                 Ok(opened) => listener = Some(opened),
-                Err(error) => warn!(%error, "no replacement while serving"),
+                Err(error) => warn!(%error, "the process cannot be replaced while it serves"),
             }
         }
         ReplacementListener {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Handles a socket that is ready. False if the key belongs to none of this listener's sockets.
+    /// Handles a ready socket. Returns whether the key belongs to one of this listener's sockets.
     pub fn ready(&mut self, key: EventSource) -> bool {
         match key {
             EventSource::SuccessorListener => self.accept_successors(),
@@ -84,8 +84,8 @@
                 connection.refuse(&RefusalReason::AnotherReplacement.to_string());
                 continue;
             }
-            // A successor that has not sent its request makes way for the next one.
-            self.take_successor();
+            // A successor that has not sent its complete request is replaced by the next one.
+            self.remove_successor();
             self.watch(connection);
         }
     }
@@ -113,36 +113,36 @@
         };
         match connection.read_request() {
             RequestProgress::Complete(request) => self.request = Some(request),
-            RequestProgress::Invalid => drop(self.take_successor()),
+            RequestProgress::Invalid => drop(self.remove_successor()),
             RequestProgress::Incomplete => {}
         }
     }
 
-    /// Ends the watch over the successor's connection and forgets its request.
-    fn take_successor(&mut self) -> Option<SuccessorConnection> {
+    /// Stops watching the successor's connection, removes the connection and discards its request.
+    fn remove_successor(&mut self) -> Option<SuccessorConnection> {
         self.request = None;
         let (connection, token) = self.successor.take()?;
         self.handle.remove(token);
         Some(connection)
     }
 
-    /// Answers a successor's request, if there is one: refuses it, or transfers the state. To be called between two
-    /// rounds. True once the successor serves; this process must not serve any more.
+    /// Answers a successor's request, if there is one: refuses it, or transfers the state. Must be called between two
+    /// rounds. Returns true once the successor serves; this process must then stop serving.
     pub fn hand_over(&mut self, driver: &mut Driver) -> bool {
         let Some(request) = &self.request else {
             return false;
         };
-        let prepared = match check_request(request, driver) {
+        let preparation = match check_request(request, driver) {
             Ok(()) if !driver.is_quiescent() => return false,
             Ok(()) => driver
                 .close_idle_connections()
                 .map_err(RefusalReason::State),
             Err(reason) => Err(reason),
         };
-        let Some(successor) = self.take_successor() else {
+        let Some(successor) = self.remove_successor() else {
             return false;
         };
-        if let Err(reason) = prepared {
+        if let Err(reason) = preparation {
             refuse(successor, &reason);
             return false;
         }
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Removes the socket, as this process ends without a successor.
+    /// Removes the socket when this process ends without a successor.
     pub fn close(self) {
         if let Some(listener) = self.listener {
             listener.close();
@@ -173,7 +173,7 @@
     Ok(listener)
 }
 
-/// Whether the request fits this process, and nothing in it speaks against a replacement.
+/// Checks that the request matches this process, and that the process can be replaced.
 fn check_request(request: &TakeoverRequest, driver: &Driver) -> Result<(), RefusalReason> {
     if request.version != VERSION {
         return Err(RefusalReason::OtherVersion(request.version));
@@ -193,7 +193,7 @@
     successor.refuse(&reason);
 }
 
-/// Transfers the state, with the lock as the first descriptor. True if the successor has taken over.
+/// Transfers the state, with the lock as the first descriptor. Returns whether the successor has taken over.
 fn transfer(
     successor: SuccessorConnection,
     driver: &Driver,
@@ -222,7 +222,7 @@
         TransferOutcome::Failed(error) => {
             warn!(
                 reason = error.to_string(),
-                "replacement broke off; serving on"
+                "replacement failed; this process continues to serve"
             );
             false
         }
