--- a/crates/handover/src/channel.rs
+++ b/crates/handover/src/channel.rs
@@ -1,4 +1,4 @@
-//! A stream that carries lines, bytes and descriptors within a time limit.
+//! A stream that transfers lines, bytes and descriptors within a time limit.
 
 use std::io::{self, ErrorKind, IoSlice, IoSliceMut, Write};
 use std::mem::MaybeUninit;
@@ -13,36 +13,36 @@
 };
 
 use crate::error::HandoverError;
-use crate::protocol::{Answer, COMMIT, MAX_DESCRIPTORS, MAX_LINE, MAX_STATE_BYTES};
+use crate::protocol::{Answer, COMMIT, MAX_DESCRIPTORS, MAX_LINE_BYTES, MAX_STATE_BYTES};
 
-/// Tells how many milliseconds are left for a transfer.
+/// Returns the number of milliseconds that are left for a transfer.
 pub type TimeLeft<'a> = dyn Fn() -> f64 + 'a;
 
-/// Longest single read or write, after which the time that is left is checked again.
+/// Maximum duration of a single read or write, after which the remaining time is checked again.
 const IO_TIMEOUT: Duration = Duration::from_millis(20);
-/// Descriptors in one message; the kernel takes at most 253.
+/// Number of descriptors in one message; the kernel accepts at most 253.
 const BATCH_SIZE: usize = 64;
-/// The byte that carries a batch of descriptors, since a message cannot be empty.
+/// The byte that accompanies a batch of descriptors, since a message cannot be empty.
 const BATCH_MARKER: &[u8] = b"+";
-/// Bytes that are read at a time.
+/// Maximum number of bytes per read.
 const READ_BUFFER_SIZE: usize = 64 << 10;
 
-/// A stream with what has been received on it and not yet been consumed.
+/// A stream, and the bytes and descriptors that were received on it and have not been consumed yet.
 pub(crate) struct Channel {
     stream: UnixStream,
     bytes: Vec<u8>,
     descriptors: Vec<OwnedFd>,
 }
 
-/// What one message brought.
+/// The result of receiving one message.
 struct ReceivedMessage {
     bytes: usize,
-    /// The kernel has dropped some of its descriptors.
+    /// The kernel has dropped some descriptors of the message.
     descriptors_lost: bool,
 }
 
 impl Channel {
-    /// A channel over this stream, whose single reads and writes are limited in time from here on.
+    /// Creates a channel over this stream, and limits the duration of single reads and writes.
     pub(crate) fn new(stream: UnixStream) -> Result<Channel, HandoverError> {
         limit_io_time(&stream).map_err(HandoverError::Stream)?;
         Ok(Channel {
@@ -76,7 +76,7 @@
         self.send(bytes, time_left)
     }
 
-    /// Receives a state, unless the answer refuses it.
+    /// Receives a state and its descriptors, unless the answer is a refusal.
     pub(crate) fn receive_state(
         &mut self,
         time_left: &TimeLeft<'_>,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Ends the stream in both directions. What has arrived before can still be received.
+    /// Shuts down the stream in both directions. Data that has already arrived can still be received.
     pub(crate) fn shut_down(&self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
@@ -147,16 +147,16 @@
         }
     }
 
-    /// Receives up to the first newline, which is left out.
+    /// Receives the first line, and returns it without its newline.
     fn receive_line(&mut self, time_left: &TimeLeft<'_>) -> Result<Vec<u8>, HandoverError> {
         loop {
-            let mut start = self.bytes.iter().take(MAX_LINE);
-            if let Some(end) = start.position(|byte| *byte == b'\n') {
+            let mut line_bytes = self.bytes.iter().take(MAX_LINE_BYTES);
+            if let Some(end) = line_bytes.position(|byte| *byte == b'\n') {
                 let mut line: Vec<u8> = self.bytes.drain(..=end).collect();
                 line.pop();
                 return Ok(line);
             }
-            if self.bytes.len() >= MAX_LINE {
+            if self.bytes.len() >= MAX_LINE_BYTES {
                 return Err(HandoverError::MalformedAnswer);
             }
             self.receive_some(time_left).map_err(interrupted)?;
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Reads once; keeps the descriptors that came.
+    /// Reads once. Stores the received descriptors in the channel, and the bytes in `buffer`.
     fn receive_message(&mut self, buffer: &mut [u8]) -> rustix::io::Result<ReceivedMessage> {
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(BATCH_SIZE))];
         let mut control = RecvAncillaryBuffer::new(&mut space);
@@ -215,7 +215,8 @@
     HandoverError::Interrupted(Box::new(cause))
 }
 
-/// Whether a read or write that failed may be repeated: only its own time was over, and some is left for the transfer.
+/// Checks whether a failed read or write may be repeated: only that call timed out or was interrupted, and the transfer
+/// has time left.
 fn check_retry(failure: ErrorKind, time_left: &TimeLeft<'_>) -> Result<(), HandoverError> {
     match failure {
         ErrorKind::WouldBlock | ErrorKind::TimedOut | ErrorKind::Interrupted => {
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,12 +1,12 @@
-//! Replacement of a serving process by its successor, over a Unix socket and without a gap in service.
+//! Replacement of a serving process by its successor, over a Unix socket and without interrupting service.
 //!
-//! Locks in the state folder say which process serves and which one waits to succeed it. The successor sends a
-//! [`TakeoverRequest`] to the socket of the serving process. That process refuses with a reason, or transfers its state:
-//! bytes whose meaning this crate does not know, and open descriptors, the lock among them. The successor then commits
+//! Locks in the state folder determine which process serves and which one waits to succeed it. The successor sends a
+//! [`TakeoverRequest`] to the socket of the serving process. That process refuses with a reason, or transfers its
+//! state: bytes that are opaque to this crate, and open descriptors, including the lock. The successor then commits
 //! with [`ReceivedState::commit`].
 //!
-//! The commit is a single write. Either it arrives, or the serving process has shut the socket before, and the write
-//! fails. So both processes always agree on which of them serves.
+//! The commit is a single write. Either it arrives, or the serving process has already shut down the socket, and the
+//! write fails. Both processes therefore always agree on which of them serves.
 
 mod channel;
 mod error;
--- a/crates/handover/src/lock.rs
+++ b/crates/handover/src/lock.rs
@@ -5,13 +5,13 @@
 use std::os::fd::{AsFd, BorrowedFd, OwnedFd};
 use std::path::Path;
 
-/// A lock that one process holds at a time: the right to serve from a folder, or to be the next to serve. It is released
-/// when its last descriptor is closed, at the latest when the process ends.
+/// A lock that one process holds at a time: the right to serve from a folder, or to be the next to serve. It is
+/// released when its last descriptor is closed, at the latest when the last process that has one ends.
 #[derive(Debug)]
 pub struct Lock(File);
 
 impl Lock {
-    /// Takes the lock of this name in a folder, without waiting. None while another process holds it.
+    /// Acquires the lock with this name in a folder, without waiting. `None` if another process holds it.
     ///
     /// # Errors
     /// If the lock's file cannot be created or locked.
@@ -28,7 +28,7 @@
         }
     }
 
-    /// A lock whose descriptor another process has transferred while it held the lock.
+    /// Creates the lock from the descriptor that another process transferred while it held the lock.
     pub fn inherited(descriptor: OwnedFd) -> Lock {
         Lock(File::from(descriptor))
     }
--- a/crates/handover/src/protocol.rs
+++ b/crates/handover/src/protocol.rs
@@ -1,18 +1,18 @@
 //! The lines that the two processes exchange.
 //!
-//! The successor sends `martenlatch VERSION LISTEN`. The serving process answers `no REASON`, or `yes BYTES DESCRIPTORS`
-//! with the state behind it. The successor commits with `taken`. Every line ends with a newline.
+//! The successor sends `martenlatch VERSION LISTEN`. The serving process answers `no REASON`, or `yes BYTES
+//! DESCRIPTORS` followed by the state. The successor commits with `taken`. Every line ends with a newline.
 
 use std::net::SocketAddr;
 
-/// Version of the protocol and of the transferred state. A process of one version is not replaced by one of another.
+/// Version of the protocol and of the transferred state. A process can only be replaced by one with the same version.
 pub const VERSION: u32 = 1;
 
-/// Longest line in bytes.
-pub(crate) const MAX_LINE: usize = 256;
-/// Largest state in bytes.
+/// Maximum length of a line in bytes.
+pub(crate) const MAX_LINE_BYTES: usize = 256;
+/// Maximum size of a state in bytes.
 pub(crate) const MAX_STATE_BYTES: usize = 256 << 20;
-/// Most descriptors of a state.
+/// Maximum number of descriptors of a state.
 pub(crate) const MAX_DESCRIPTORS: usize = 4_096;
 /// The line that commits a transfer.
 pub(crate) const COMMIT: &[u8] = b"taken\n";
@@ -36,7 +36,7 @@
         format!("{PROGRAM} {} {}\n", self.version, self.listen)
     }
 
-    /// Decodes a line with its newline; none if it is no request.
+    /// Decodes a line that includes its newline. `None` if it is not a request.
     pub(crate) fn decode(line: &[u8]) -> Option<TakeoverRequest> {
         let line = std::str::from_utf8(line).ok()?.strip_suffix('\n')?;
         let mut words = line.split(' ');
@@ -51,9 +51,9 @@
 /// The serving process's answer to a request.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Answer {
-    /// It serves on, for this reason.
+    /// The process refuses to be replaced, for this reason.
     Refused(String),
-    /// Its state follows.
+    /// The state follows, with these sizes.
     Accepted { bytes: usize, descriptors: usize },
 }
 
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Decodes a line without its newline; none if it is no answer, or announces a state that is too large.
+    /// Decodes a line without its newline. `None` if it is not an answer, or announces a state that is too large.
     pub(crate) fn decode(line: &[u8]) -> Option<Answer> {
         let line = String::from_utf8_lossy(line);
         if let Some(reason) = line.strip_prefix(REFUSED_PREFIX) {
@@ -76,8 +76,8 @@
         let (bytes, descriptors) = line.strip_prefix(ACCEPTED_PREFIX)?.split_once(' ')?;
         let bytes: usize = bytes.parse().ok()?;
         let descriptors: usize = descriptors.parse().ok()?;
-        let small_enough = bytes <= MAX_STATE_BYTES && descriptors <= MAX_DESCRIPTORS;
-        small_enough.then_some(Answer::Accepted { bytes, descriptors })
+        let within_limits = bytes <= MAX_STATE_BYTES && descriptors <= MAX_DESCRIPTORS;
+        within_limits.then_some(Answer::Accepted { bytes, descriptors })
     }
 }
 
--- a/crates/handover/src/protocol/tests.rs
+++ b/crates/handover/src/protocol/tests.rs
@@ -1,9 +1,9 @@
-//! The lines as processes of earlier versions write and expect them.
+//! Compatibility of the lines with those of earlier versions.
 
 use super::*;
 
 #[test]
-fn a_request_is_written_and_read_in_the_form_of_earlier_versions() {
+fn a_request_is_encoded_and_decoded_as_by_earlier_versions() {
     let request = TakeoverRequest {
         version: VERSION,
         listen: "127.0.0.1:7".parse().unwrap(),
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn an_answer_is_written_and_read_in_the_form_of_earlier_versions() {
+fn an_answer_is_encoded_and_decoded_as_by_earlier_versions() {
     let accepted = Answer::Accepted {
         bytes: 100,
         descriptors: 2,
@@ -27,6 +27,6 @@
 }
 
 #[test]
-fn a_commit_has_the_form_of_earlier_versions() {
+fn a_commit_is_encoded_as_by_earlier_versions() {
     assert_eq!(COMMIT, b"taken\n");
 }
--- a/crates/handover/src/serving.rs
+++ b/crates/handover/src/serving.rs
@@ -1,4 +1,4 @@
-//! The serving process's side: waiting for a successor, and the transfer to it.
+//! The side of the serving process: accepting a successor, and transferring the state to it.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::os::fd::{AsFd, BorrowedFd};
@@ -7,20 +7,20 @@
 
 use crate::channel::{Channel, TimeLeft};
 use crate::error::HandoverError;
-use crate::protocol::{Answer, MAX_LINE, TakeoverRequest};
+use crate::protocol::{Answer, MAX_LINE_BYTES, TakeoverRequest};
 use crate::socket;
 
-/// The socket where a serving process waits for its successor.
+/// The socket on which a serving process waits for its successor.
 pub struct TakeoverListener {
     listener: UnixListener,
     path: PathBuf,
 }
 
 impl TakeoverListener {
-    /// Listens at a path, in place of whatever is there: only the holder of the lock may call this.
+    /// Listens at a path, and replaces any file there: only the holder of the lock may call this.
     ///
     /// # Errors
-    /// If no socket can be bound there; the process can then not be replaced while it serves.
+    /// If no socket can be bound there; the process then cannot be replaced while it serves.
     pub fn open(path: &Path) -> io::Result<TakeoverListener> {
         let _ = std::fs::remove_file(path);
         let listener = socket::bind(path)?;
@@ -31,7 +31,7 @@
         })
     }
 
-    /// Accepts a connection, if one waits. A process of another user is disconnected.
+    /// Accepts a connection, if one is waiting. A process of another user is disconnected.
     pub fn accept(&self) -> Option<SuccessorConnection> {
         let (stream, _) = self.listener.accept().ok()?;
         if !socket::is_same_user(&stream) || stream.set_nonblocking(true).is_err() {
@@ -39,11 +39,12 @@
         }
         Some(SuccessorConnection {
             stream,
-            line: Vec::new(),
+            request_line: Vec::new(),
         })
     }
 
-    /// Removes the socket's path. A process that has been replaced must not call this: the path is its successor's.
+    /// Removes the socket's path. A process that has been replaced must not call this: the path then belongs to its
+    /// successor.
     pub fn close(&self) {
         let _ = std::fs::remove_file(&self.path);
     }
@@ -55,62 +56,62 @@
     }
 }
 
-/// A connection from a process that wants to succeed this one.
+/// A connection from a process that requests to replace this one.
 pub struct SuccessorConnection {
     stream: UnixStream,
-    /// What has been received of its request.
-    line: Vec<u8>,
+    /// The part of its request that has been received.
+    request_line: Vec<u8>,
 }
 
-/// How much of a request has been received.
+/// The progress of receiving a request.
 #[derive(Debug, PartialEq)]
 pub enum RequestProgress {
-    /// Not all of it yet.
+    /// The request has not been received completely yet.
     Incomplete,
-    /// All of it.
+    /// The complete request.
     Complete(TakeoverRequest),
-    /// Something that is no request, or the connection has ended.
+    /// The input is not a request, or the connection has ended.
     Invalid,
 }
 
-/// How a transfer ended for the process that served.
+/// The outcome of a transfer for the process that sent its state.
 #[derive(Debug)]
 pub enum TransferOutcome {
-    /// The successor serves; this process must not serve any more.
+    /// The successor serves; this process must stop serving.
     Committed,
-    /// This process serves on as if it had not been asked.
+    /// This process continues to serve as if there had been no request.
     Failed(HandoverError),
 }
 
 impl SuccessorConnection {
-    /// A second handle of the connection, for an event loop to watch.
+    /// Duplicates the connection's descriptor, so that an event loop can watch it.
     ///
     /// # Errors
-    /// If there is no descriptor for it.
+    /// If no descriptor is available.
     pub fn try_clone_stream(&self) -> io::Result<UnixStream> {
         self.stream.try_clone()
     }
 
-    /// Reads what has arrived of the request, without waiting.
+    /// Reads the available part of the request, without waiting.
     pub fn read_request(&mut self) -> RequestProgress {
-        let mut buffer = [0; MAX_LINE];
+        let mut buffer = [0; MAX_LINE_BYTES];
         loop {
             match self.stream.read(&mut buffer) {
                 Ok(0) => return RequestProgress::Invalid,
-                Ok(count) => self.line.extend(&buffer[..count]),
+                Ok(count) => self.request_line.extend(&buffer[..count]),
                 Err(error) => match error.kind() {
                     ErrorKind::Interrupted => {}
                     ErrorKind::WouldBlock => return RequestProgress::Incomplete,
                     _ => return RequestProgress::Invalid,
                 },
             }
-            if self.line.ends_with(b"\n") {
-                return match TakeoverRequest::decode(&self.line) {
+            if self.request_line.ends_with(b"\n") {
+                return match TakeoverRequest::decode(&self.request_line) {
                     Some(request) => RequestProgress::Complete(request),
                     None => RequestProgress::Invalid,
                 };
             }
-            if self.line.len() > MAX_LINE {
+            if self.request_line.len() > MAX_LINE_BYTES {
                 return RequestProgress::Invalid;
             }
         }
@@ -136,7 +137,8 @@
         let committed = channel
             .send_state(state, descriptors, time_left)
             .and_then(|()| channel.receive_commit(time_left));
-        // From here on the successor cannot commit. Whether it did before shows in what has arrived.
+        // After the shutdown the successor cannot commit any more. An earlier commit has already arrived and can still
+        // be received.
         channel.shut_down();
         let no_time = || 0.0;
         match committed {
--- a/crates/handover/src/successor.rs
+++ b/crates/handover/src/successor.rs
@@ -1,4 +1,4 @@
-//! The successor's side: the request to take over, and the state that it brings.
+//! The side of the successor: requesting to take over, and receiving the state.
 
 use std::io::{self, ErrorKind, Write};
 use std::os::fd::OwnedFd;
@@ -23,25 +23,25 @@
     Ok(PendingTakeover { stream })
 }
 
-/// A request that has been sent and not yet been answered.
+/// A request that has been sent and has not been answered yet.
 pub struct PendingTakeover {
     stream: UnixStream,
 }
 
 impl PendingTakeover {
-    /// A second handle of the connection, for an event loop to watch.
+    /// Duplicates the connection's descriptor, so that an event loop can watch it.
     ///
     /// # Errors
-    /// If there is no descriptor for it.
+    /// If no descriptor is available.
     pub fn try_clone_stream(&self) -> io::Result<UnixStream> {
         self.stream.try_clone()
     }
 
-    /// Receives the state of the serving process within `time_left`; to be called once the connection is readable.
+    /// Receives the state of the serving process within `time_left`. Should be called once the connection is readable.
     ///
     /// # Errors
-    /// [`HandoverError::Refused`] with the reason of the serving process, or what went wrong. What had been received is
-    /// dropped.
+    /// [`HandoverError::Refused`] with the reason of the serving process, or the error of the transfer. A partially
+    /// received state is dropped.
     pub fn receive(self, time_left: &TimeLeft<'_>) -> Result<ReceivedState, HandoverError> {
         let mut channel = Channel::new(self.stream)?;
         let (state, descriptors) = channel.receive_state(time_left)?;
@@ -55,7 +55,7 @@
 
 /// The state of the serving process, which still serves until [`ReceivedState::commit`].
 pub struct ReceivedState {
-    /// The state, in the form of the process that sent it.
+    /// The state, as encoded by the process that sent it.
     pub state: Vec<u8>,
     /// Its descriptors, in the order in which they were sent.
     pub descriptors: Vec<OwnedFd>,
@@ -63,10 +63,10 @@
 }
 
 impl ReceivedState {
-    /// Takes over. Once this has succeeded, the process that sent the state does not serve any more.
+    /// Takes over. Once this has succeeded, the process that sent the state no longer serves.
     ///
     /// # Errors
-    /// If that process has ended or serves on: nothing of the received state may be used.
+    /// If that process has ended or continues to serve: the received state must not be used.
     pub fn commit(mut self) -> io::Result<()> {
         self.channel.send_commit()
     }
--- a/crates/handover/tests/steps.rs
+++ b/crates/handover/tests/steps.rs
@@ -1,5 +1,5 @@
-//! Both sides of a takeover over a real socket, with either of them gone or silent at every step: afterwards exactly one
-//! of them serves.
+//! Takeovers over a real socket, in which either process ends or stops responding at each step. Afterwards exactly one
+//! of the two serves.
 
 use std::cell::Cell;
 use std::io::{Read, Write};
@@ -23,16 +23,16 @@
     }
 }
 
-/// A time limit that is over after it was checked so many times, whatever the clock says.
-fn checks(count: u32) -> impl Fn() -> f64 {
-    let left = Cell::new(count);
+/// A time limit that expires once it has been checked `count` times, independently of the clock.
+fn expires_after_checks(count: u32) -> impl Fn() -> f64 {
+    let checks_left = Cell::new(count);
     move || {
-        left.set(left.get().saturating_sub(1));
-        f64::from(left.get())
+        checks_left.set(checks_left.get().saturating_sub(1));
+        f64::from(checks_left.get())
     }
 }
 
-/// Polls for a value, for some seconds at most.
+/// Polls until there is a value: 20 000 times, 1 ms apart, at most.
 fn wait_for<T>(mut poll: impl FnMut() -> Option<T>) -> T {
     let delayed_poll = || {
         thread::sleep(std::time::Duration::from_millis(1));
@@ -42,7 +42,7 @@
         .take(20_000)
         .flatten()
         .next()
-        .expect("it came")
+        .expect("there is a value in time")
 }
 
 /// Reads until the request is complete or invalid.
@@ -56,7 +56,7 @@
 fn accept_request(listener: &TakeoverListener) -> (SuccessorConnection, TakeoverRequest) {
     let mut connection = wait_for(|| listener.accept());
     let RequestProgress::Complete(request) = read_request(&mut connection) else {
-        panic!("it sent a request")
+        panic!("the request is valid")
     };
     (connection, request)
 }
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn state_and_descriptors_arrive_complete_and_both_agree_on_who_serves() {
+fn state_and_descriptors_arrive_completely_and_the_successor_takes_over() {
     let folder = tempfile::tempdir().unwrap();
     let (listener, pending) = listen_and_request(folder.path());
     let sockets: Vec<TcpListener> = (0..150)
@@ -79,105 +79,111 @@
     let expected = bytes.clone();
     let addresses: Vec<_> = sockets.iter().map(|s| s.local_addr().unwrap()).collect();
     let successor = thread::spawn(move || {
-        let mut received = pending.receive(&checks(1_000)).unwrap();
+        let mut received = pending.receive(&expires_after_checks(1_000)).unwrap();
         assert!(received.state == expected, "the bytes differ");
         let descriptors = std::mem::take(&mut received.descriptors);
         let received_addresses: Vec<_> = descriptors
             .into_iter()
             .map(|descriptor| TcpListener::from(descriptor).local_addr().unwrap())
             .collect();
-        assert_eq!(received_addresses, addresses, "in their order");
+        assert_eq!(
+            received_addresses, addresses,
+            "the descriptors arrive in order"
+        );
         received.commit().unwrap();
     });
     let (connection, received_request) = accept_request(&listener);
     assert_eq!(received_request, request(VERSION));
     let descriptors: Vec<_> = sockets.iter().map(|s| s.as_fd()).collect();
-    let outcome = connection.transfer(&bytes, &descriptors, &checks(1_000));
+    let outcome = connection.transfer(&bytes, &descriptors, &expires_after_checks(1_000));
     assert!(matches!(outcome, TransferOutcome::Committed), "{outcome:?}");
     successor.join().unwrap();
 }
 
+/// The ways in which a successor fails.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Successor {
-    GoneBeforeTheState,
-    GoneHalfway,
-    GoneWithTheState,
-    SilentWithTheState,
+enum FailingSuccessor {
+    EndsBeforeState,
+    EndsDuringState,
+    EndsAfterState,
+    NeverCommits,
     InvalidCommit,
     CommitsLate,
 }
 
-impl Successor {
-    /// Requests to take over, and fails in its way; one that does not end by itself waits until the transfer is over.
-    /// The result of its late commit, if it tries one.
-    fn run(self, path: &Path, transfer_over: &Receiver<()>) -> Option<std::io::Result<()>> {
+impl FailingSuccessor {
+    /// Requests to take over, and fails in this way. A successor that stays connected waits until the transfer has
+    /// ended. Returns the result of the late commit, if there is one.
+    fn run(self, path: &Path, transfer_ended: &Receiver<()>) -> Option<std::io::Result<()>> {
         match self {
-            Successor::GoneBeforeTheState | Successor::GoneHalfway | Successor::InvalidCommit => {
-                self.run_on_the_bare_stream(path, transfer_over);
+            FailingSuccessor::EndsBeforeState
+            | FailingSuccessor::EndsDuringState
+            | FailingSuccessor::InvalidCommit => {
+                self.run_on_raw_stream(path, transfer_ended);
                 None
             }
-            Successor::GoneWithTheState => {
+            FailingSuccessor::EndsAfterState => {
                 receive_state(path);
                 None
             }
-            Successor::SilentWithTheState | Successor::CommitsLate => {
+            FailingSuccessor::NeverCommits | FailingSuccessor::CommitsLate => {
                 let received = receive_state(path);
-                transfer_over.recv().unwrap();
+                transfer_ended.recv().unwrap();
                 Some(received.commit())
             }
         }
     }
 
-    fn run_on_the_bare_stream(self, path: &Path, transfer_over: &Receiver<()>) {
+    fn run_on_raw_stream(self, path: &Path, transfer_ended: &Receiver<()>) {
         let mut stream = UnixStream::connect(path).unwrap();
         let line = format!("martenlatch {VERSION} 127.0.0.1:7\n");
         stream.write_all(line.as_bytes()).unwrap();
-        if self == Successor::GoneBeforeTheState {
+        if self == FailingSuccessor::EndsBeforeState {
             return;
         }
         stream.read_exact(&mut [0; 100]).unwrap();
-        if self == Successor::InvalidCommit {
+        if self == FailingSuccessor::InvalidCommit {
             stream.write_all(b"takes\n").unwrap();
-            let _ = transfer_over.recv();
+            let _ = transfer_ended.recv();
         }
     }
 }
 
 fn receive_state(path: &Path) -> ReceivedState {
     let pending = request_takeover(path, &request(VERSION)).unwrap();
-    pending.receive(&checks(1_000)).unwrap()
+    pending.receive(&expires_after_checks(1_000)).unwrap()
 }
 
 #[rstest]
-fn the_serving_process_goes_on_wherever_the_successor_dies_or_falls_silent(
+fn the_serving_process_keeps_serving_wherever_the_successor_fails(
     #[values(
-        Successor::GoneBeforeTheState,
-        Successor::GoneHalfway,
-        Successor::GoneWithTheState,
-        Successor::SilentWithTheState,
-        Successor::InvalidCommit,
-        Successor::CommitsLate
+        FailingSuccessor::EndsBeforeState,
+        FailingSuccessor::EndsDuringState,
+        FailingSuccessor::EndsAfterState,
+        FailingSuccessor::NeverCommits,
+        FailingSuccessor::InvalidCommit,
+        FailingSuccessor::CommitsLate
     )]
-    successor: Successor,
+    successor: FailingSuccessor,
 ) {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("takeover.sock");
     let listener = TakeoverListener::open(&path).unwrap();
-    // Half of a large state cannot wait in the socket's buffers.
-    let size = if successor == Successor::GoneHalfway {
+    // The socket's buffers cannot store half of a large state, so the transfer is still running.
+    let size = if successor == FailingSuccessor::EndsDuringState {
         4 << 20
     } else {
         100
     };
     let bytes = vec![7; size];
-    let (end, ended) = std::sync::mpsc::channel::<()>();
-    let other = thread::spawn(move || successor.run(&path, &ended));
+    let (end_transfer, transfer_ended) = std::sync::mpsc::channel::<()>();
+    let successor = thread::spawn(move || successor.run(&path, &transfer_ended));
     let (connection, _) = accept_request(&listener);
     let lock = Lock::try_acquire(folder.path(), "lock").unwrap().unwrap();
-    let outcome = connection.transfer(&bytes, &[lock.as_fd()], &checks(25));
+    let outcome = connection.transfer(&bytes, &[lock.as_fd()], &expires_after_checks(25));
     assert!(matches!(outcome, TransferOutcome::Failed(_)), "{outcome:?}");
-    let _ = end.send(());
-    let late_commit = other.join().unwrap();
+    let _ = end_transfer.send(());
+    let late_commit = successor.join().unwrap();
     assert!(
         late_commit.is_none_or(|commit| commit.is_err()),
         "a late commit cannot be written"
@@ -189,22 +195,22 @@
 }
 
 #[rstest]
-#[case::nothing("", "broke off")]
+#[case::nothing("", "was interrupted")]
 #[case::refused("no ending\n", "ending")]
-#[case::no_answer("maybe\n", "cannot be read")]
-#[case::no_sizes("yes 7\n", "cannot be read")]
-#[case::too_much("yes 999999999999 1\n", "cannot be read")]
-#[case::too_many("yes 1 99999\n", "cannot be read")]
-#[case::endless(
+#[case::no_answer("maybe\n", "is invalid")]
+#[case::no_sizes("yes 7\n", "is invalid")]
+#[case::too_many_bytes("yes 999999999999 1\n", "is invalid")]
+#[case::too_many_descriptors("yes 1 99999\n", "is invalid")]
+#[case::line_too_long(
     "yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes \
     yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes \
     yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes yes",
-    "cannot be read"
+    "is invalid"
 )]
-#[case::short("yes 100 0\nabc", "broke off")]
-#[case::no_descriptors("yes 3 2\n+abc", "more or less")]
-#[case::more("yes 3 0\nabcd", "more or less")]
-fn a_successor_accepts_no_incomplete_state(#[case] answer: &str, #[case] reason: &str) {
+#[case::too_few_bytes("yes 100 0\nabc", "was interrupted")]
+#[case::missing_descriptors("yes 3 2\n+abc", "announced size")]
+#[case::excess_bytes("yes 3 0\nabcd", "announced size")]
+fn a_successor_rejects_an_invalid_or_incomplete_state(#[case] answer: &str, #[case] reason: &str) {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("takeover.sock");
     let listener = std::os::unix::net::UnixListener::bind(&path).unwrap();
@@ -213,41 +219,41 @@
     serving.write_all(answer.as_bytes()).unwrap();
     drop(serving);
     let error = pending
-        .receive(&checks(50))
+        .receive(&expires_after_checks(50))
         .map(|_| ())
-        .expect_err("there is no complete state");
+        .expect_err("the state is rejected");
     let error = error.to_string();
     assert!(error.contains(reason), "{error}");
 }
 
 #[test]
-fn a_serving_process_that_dies_leaves_the_lock_to_the_successor_which_cannot_commit() {
+fn a_serving_process_that_ends_after_sending_its_state_leaves_the_lock_but_no_commit() {
     let folder = tempfile::tempdir().unwrap();
     let (listener, pending) = listen_and_request(folder.path());
     let lock = Lock::try_acquire(folder.path(), "lock").unwrap().unwrap();
     let (connection, _) = accept_request(&listener);
     let serving = thread::spawn(move || {
-        // It ends with everything sent: its time is soon over, and its socket is closed with it.
-        connection.transfer(b"all", &[lock.as_fd()], &checks(8))
+        // It ends after it has sent everything: its time soon runs out, and its socket is closed.
+        connection.transfer(b"all", &[lock.as_fd()], &expires_after_checks(8))
     });
-    let received = pending.receive(&checks(1_000)).unwrap();
+    let received = pending.receive(&expires_after_checks(1_000)).unwrap();
     assert!(matches!(
         serving.join().unwrap(),
         TransferOutcome::Failed(_)
     ));
     assert!(
         Lock::try_acquire(folder.path(), "lock").unwrap().is_none(),
-        "the received descriptor still holds it"
+        "the received descriptor still holds the lock"
     );
     assert!(received.commit().is_err());
     assert!(
         Lock::try_acquire(folder.path(), "lock").unwrap().is_some(),
-        "free once that is dropped"
+        "the lock is free once that descriptor is closed"
     );
 }
 
 #[test]
-fn a_stale_socket_a_deep_folder_and_invalid_requests_do_no_harm() {
+fn a_stale_socket_a_long_path_and_invalid_requests_do_not_prevent_a_valid_request() {
     let folder = tempfile::tempdir().unwrap();
     let deep = folder.path().join("x".repeat(120));
     std::fs::create_dir(&deep).unwrap();
@@ -255,7 +261,7 @@
     drop(TakeoverListener::open(&path).unwrap());
     assert!(
         request_takeover(&path, &request(VERSION)).is_err(),
-        "its process has gone"
+        "no process listens on the stale socket"
     );
     let listener = TakeoverListener::open(&path).unwrap();
     for text in [
@@ -278,7 +284,10 @@
     let (connection, received_request) = accept_request(&listener);
     assert_eq!(received_request.version, VERSION + 1);
     connection.refuse("version 1 is spoken here");
-    let error = pending.receive(&checks(50)).map(|_| ()).unwrap_err();
+    let error = pending
+        .receive(&expires_after_checks(50))
+        .map(|_| ())
+        .unwrap_err();
     assert!(matches!(error, HandoverError::Refused(_)), "{error:?}");
     assert_eq!(error.to_string(), "version 1 is spoken here");
     listener.close();
