--- a/crates/handover/src/channel.rs
+++ b/crates/handover/src/channel.rs
@@ -20,7 +20,7 @@
 
 /// Maximum duration of a single read or write, after which the remaining time is checked again.
 const IO_TIMEOUT: Duration = Duration::from_millis(20);
-/// Number of descriptors in one message; the kernel accepts at most 253.
+/// Maximum number of descriptors in one message; the kernel accepts at most 253.
 const BATCH_SIZE: usize = 64;
 /// The byte that accompanies a batch of descriptors, since a message cannot be empty.
 const BATCH_MARKER: &[u8] = b"+";
@@ -30,8 +30,8 @@
 /// A stream, and the bytes and descriptors that were received on it and have not been consumed yet.
 pub(crate) struct Channel {
     stream: UnixStream,
-    bytes: Vec<u8>,
-    descriptors: Vec<OwnedFd>,
+    received_bytes: Vec<u8>,
+    received_descriptors: Vec<OwnedFd>,
 }
 
 /// The result of receiving one message.
@@ -47,8 +47,8 @@
         limit_io_time(&stream).map_err(HandoverError::Stream)?;
         Ok(Channel {
             stream,
-            bytes: Vec::new(),
-            descriptors: Vec::new(),
+            received_bytes: Vec::new(),
+            received_descriptors: Vec::new(),
         })
     }
 
@@ -88,14 +88,16 @@
             None => return Err(HandoverError::MalformedAnswer),
         };
         let markers = descriptors.div_ceil(BATCH_SIZE) * BATCH_MARKER.len();
-        while self.bytes.len() < markers + bytes {
+        while self.received_bytes.len() < markers + bytes {
             self.receive_some(time_left).map_err(interrupted)?;
         }
-        if self.descriptors.len() != descriptors || self.bytes.len() != markers + bytes {
+        if self.received_descriptors.len() != descriptors
+            || self.received_bytes.len() != markers + bytes
+        {
             return Err(HandoverError::SizeMismatch);
         }
-        let state = self.bytes.split_off(markers);
-        Ok((state, std::mem::take(&mut self.descriptors)))
+        let state = self.received_bytes.split_off(markers);
+        Ok((state, std::mem::take(&mut self.received_descriptors)))
     }
 
     /// Sends the commit in a single write.
@@ -105,10 +107,10 @@
 
     /// Receives the commit.
     pub(crate) fn receive_commit(&mut self, time_left: &TimeLeft<'_>) -> Result<(), HandoverError> {
-        while self.bytes.len() < COMMIT.len() {
+        while self.received_bytes.len() < COMMIT.len() {
             self.receive_some(time_left)?;
         }
-        if self.bytes == COMMIT {
+        if self.received_bytes == COMMIT {
             Ok(())
         } else {
             Err(HandoverError::InvalidCommit)
@@ -150,13 +152,13 @@
     /// Receives the first line, and returns it without its newline.
     fn receive_line(&mut self, time_left: &TimeLeft<'_>) -> Result<Vec<u8>, HandoverError> {
         loop {
-            let mut line_bytes = self.bytes.iter().take(MAX_LINE_BYTES);
+            let mut line_bytes = self.received_bytes.iter().take(MAX_LINE_BYTES);
             if let Some(end) = line_bytes.position(|byte| *byte == b'\n') {
-                let mut line: Vec<u8> = self.bytes.drain(..=end).collect();
+                let mut line: Vec<u8> = self.received_bytes.drain(..=end).collect();
                 line.pop();
                 return Ok(line);
             }
-            if self.bytes.len() >= MAX_LINE_BYTES {
+            if self.received_bytes.len() >= MAX_LINE_BYTES {
                 return Err(HandoverError::MalformedAnswer);
             }
             self.receive_some(time_left).map_err(interrupted)?;
@@ -175,7 +177,7 @@
                     return Err(HandoverError::Connection(ErrorKind::UnexpectedEof));
                 }
                 Ok(message) => {
-                    self.bytes.extend(&buffer[..message.bytes]);
+                    self.received_bytes.extend(&buffer[..message.bytes]);
                     return Ok(());
                 }
                 Err(error) => check_retry(error.kind(), time_left)?,
@@ -195,7 +197,7 @@
         )?;
         for message in control.drain() {
             if let RecvAncillaryMessage::ScmRights(descriptors) = message {
-                self.descriptors.extend(descriptors);
+                self.received_descriptors.extend(descriptors);
             }
         }
         Ok(ReceivedMessage {
--- a/crates/sender/src/class_metrics.rs
+++ b/crates/sender/src/class_metrics.rs
@@ -1,6 +1,6 @@
 //! The metrics for operators: message counts by outcome for each class, and gauges of the current state.
 //!
-//! The metric names in [`ClassMetrics::format_answer`] are a public interface that monitoring systems rely on.
+//! The metric names in [`ClassMetrics::format`] are a public interface that monitoring systems rely on.
 
 use std::fmt::Write;
 use std::rc::Rc;
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Formats the answer to an operator: one metric per line, then the line `--`.
-    pub fn format_answer(&self, gauges: &Gauges) -> String {
+    /// Formats the metrics for an operator: one metric per line, then the line `--`.
+    pub fn format(&self, gauges: &Gauges) -> String {
         let mut text = String::new();
         for counts in &self.classes {
             write_class(&mut text, counts);
--- a/crates/sender/src/config.rs
+++ b/crates/sender/src/config.rs
@@ -167,11 +167,11 @@
 }
 
 fn read_state_folder() -> Result<PathBuf, ConfigError> {
-    let state = read_variable(STATE_VARIABLE)?;
-    if !Path::new(&state).is_dir() {
-        return Err(ConfigError::NotAFolder(state));
+    let folder = read_variable(STATE_VARIABLE)?;
+    if !Path::new(&folder).is_dir() {
+        return Err(ConfigError::NotAFolder(folder));
     }
-    Ok(state.into())
+    Ok(folder.into())
 }
 
 fn read_settings(json: &Value) -> Result<PlatformSettings, ConfigError> {
--- a/crates/sender/src/error.rs
+++ b/crates/sender/src/error.rs
@@ -40,16 +40,16 @@
     /// The decision module rejects the settings.
     #[error("settings: {0}")]
     Settings(SettingsError),
-    /// The operators' address cannot be opened.
+    /// Operators cannot be served.
     #[error(transparent)]
     Operators(#[from] OperatorError),
-    /// The connection to the other senders cannot be opened.
+    /// The service for peers cannot be opened.
     #[error(transparent)]
     Peers(#[from] PeerServiceError),
     /// This process can neither serve nor wait for the process that serves.
     #[error(transparent)]
     Replacement(#[from] CandidateError),
-    /// A descriptor that the predecessor passed is missing.
+    /// The predecessor passed fewer descriptors than its state needs.
     #[error("{0}")]
     InheritedDescriptor(std::io::Error),
     /// The predecessor's state cannot be decoded.
--- a/crates/sender/src/pipeline/operator_calls.rs
+++ b/crates/sender/src/pipeline/operator_calls.rs
@@ -44,7 +44,7 @@
             OperatorCommand::Health => self.health(),
             OperatorCommand::Counters => {
                 let gauges = self.gauges();
-                let text = self.store.class_metrics.format_answer(&gauges);
+                let text = self.store.class_metrics.format(&gauges);
                 Ok(format!("figures\n{text}"))
             }
             OperatorCommand::Cordon(endpoint) => self.set_cordon(&endpoint, true),
--- a/crates/sender/src/process_replacement/candidate.rs
+++ b/crates/sender/src/process_replacement/candidate.rs
@@ -29,7 +29,9 @@
 #[derive(Debug, thiserror::Error)]
 pub enum CandidateError {
     /// Another candidate is already waiting.
-    #[error("PROXY_STATE: a process serves from there, and another one is replacing it")]
+    #[error(
+        "PROXY_STATE: a process serves from this folder, and another one already waits to replace it"
+    )]
     AnotherCandidate,
 }
 
@@ -98,7 +100,7 @@
         match self.try_send_request() {
             Ok(pending) => self.pending = Some(pending),
             Err(error) if self.first_request => {
-                warn!(%error, "no process accepts a takeover request; waiting for the lock");
+                warn!(%error, "takeover request not sent; waiting for the lock");
             }
             Err(_) => {}
         }
--- a/crates/sender/src/startup.rs
+++ b/crates/sender/src/startup.rs
@@ -135,7 +135,7 @@
     }
 
     /// Queries the peers for their observations before clients can connect, for a limited time. Ends early if no peer
-    /// responds, or a signal arrives, which must not wait.
+    /// responds, or if a signal arrives, so that the signal is handled soon.
     fn learn_from_peers(&mut self, settings: &PeerSettings) -> Result<PeerService, SenderError> {
         let mut peers = self.open_peers(settings)?;
         while peers.learning(self.clock.now()) && self.ready.signals.is_empty() {
@@ -279,8 +279,8 @@
 
 /// Creates a clock that continues from the clock readings of earlier processes in the log. A log that cannot be read is
 /// handled when it is opened.
-fn continue_clock(state: &Path) -> Clock {
-    let log = log_recovery::inspect(state);
+fn continue_clock(state_folder: &Path) -> Clock {
+    let log = log_recovery::inspect(state_folder);
     let clock = Clock::after(&log.recovered.clock);
     if !clock.is_continuous() {
         warn!("the time since the last process ended is unknown");
