--- a/crates/sender/src/discovery/endpoint_list.rs
+++ b/crates/sender/src/discovery/endpoint_list.rs
@@ -193,7 +193,7 @@
     /// The entry for the decision module, in which a cordoned endpoint that is active appears as draining.
     fn effective_entry(&self, listed: &ListedEndpoint) -> EndpointEntry {
         let mut entry = listed.entry.clone();
-        if entry.state == EndpointState::Active && self.cordons.holds(&listed.name) {
+        if entry.state == EndpointState::Active && self.cordons.contains(&listed.name) {
             entry.state = EndpointState::Draining;
         }
         entry
@@ -206,7 +206,7 @@
         cordoned: bool,
     ) -> Result<Option<EndpointEntry>, CordonError> {
         let id = self.ids_by_name.get(name).copied();
-        if id.is_none() && !self.removed_names.contains(name) && !self.cordons.holds(name) {
+        if id.is_none() && !self.removed_names.contains(name) && !self.cordons.contains(name) {
             let shown = name.chars().take(MAX_SHOWN_NAME_CHARS);
             let escaped = shown.flat_map(char::escape_default).collect();
             return Err(CordonError::NeverListed(escaped));
@@ -214,7 +214,7 @@
         if name.len() > MAX_NAME_BYTES {
             return Err(CordonError::NameTooLong);
         }
-        if !self.cordons.put(&Rc::from(name), cordoned)? {
+        if !self.cordons.set_cordoned(&Rc::from(name), cordoned)? {
             return Ok(None);
         }
         let listed = id.and_then(|id| self.endpoints.get(&id));
@@ -225,13 +225,13 @@
     pub fn cordon_states(&self) -> impl Iterator<Item = (EndpointId, bool)> {
         self.endpoints
             .iter()
-            .map(|(id, listed)| (*id, self.cordons.holds(&listed.name)))
+            .map(|(id, listed)| (*id, self.cordons.contains(&listed.name)))
     }
 
     /// Whether an endpoint is listed as active and not cordoned.
     pub fn is_active(&self, endpoint: EndpointId) -> bool {
         self.endpoints.get(&endpoint).is_some_and(|listed| {
-            listed.entry.state == EndpointState::Active && !self.cordons.holds(&listed.name)
+            listed.entry.state == EndpointState::Active && !self.cordons.contains(&listed.name)
         })
     }
 
--- a/crates/sender/src/egress/snapshot.rs
+++ b/crates/sender/src/egress/snapshot.rs
@@ -77,7 +77,7 @@
         for entry in snapshot.connections {
             let source = self.connections.next_event_source();
             let socket = Connection::restore(
-                descriptors.stream()?,
+                descriptors.next_stream()?,
                 &entry.socket,
                 &self.connections.handle,
                 &self.buffers,
--- a/crates/sender/src/pipeline/builder.rs
+++ b/crates/sender/src/pipeline/builder.rs
@@ -76,13 +76,13 @@
     /// endpoints.
     fn new(config: &Config, settings: &Settings) -> ConnectionCapacity {
         let operator_connections = match config.operator {
-            Some(_) => operator::CALLERS + 1,
+            Some(_) => operator::MAX_OPERATOR_CONNECTIONS + 1,
             None => 0,
         };
-        let buffers = (config.memory / BUFFER_MEMORY_DIVISOR / BUFFER_SIZE as u64) as usize;
+        let buffers = (config.memory_limit / BUFFER_MEMORY_DIVISOR / BUFFER_SIZE as u64) as usize;
         let buffers = buffers.saturating_sub(BUFFERS_PER_CONNECTION * operator_connections);
         let buffered_clients = buffers / BUFFERS_CLAIMED_PER_CLIENT;
-        let max_clients = (config.sockets / CLIENT_DESCRIPTORS_DIVISOR)
+        let max_clients = (config.descriptor_limit / CLIENT_DESCRIPTORS_DIVISOR)
             .saturating_sub(operator_connections)
             .min(buffered_clients)
             .max(1);
@@ -92,7 +92,7 @@
             endpoint_buffers: (buffers - client_buffers)
                 .saturating_sub(CONTROL_BUFFERS)
                 .max(1),
-            max_endpoint_connections: (config.sockets / ENDPOINT_DESCRIPTORS_DIVISOR)
+            max_endpoint_connections: (config.descriptor_limit / ENDPOINT_DESCRIPTORS_DIVISOR)
                 .max(settings.max_in_flight),
         }
     }
@@ -139,7 +139,7 @@
         mut settings: Settings,
         mut class_rules: ClassRules,
     ) -> Result<DriverParts, SenderError> {
-        let (wal, recovered) = log_recovery::open(&config.state, config.disk);
+        let (wal, recovered) = log_recovery::open(&config.state_folder, config.disk_limit);
         for record in recovered.open.values() {
             class_rules.add_recovered(&record.class, &record.rules, &mut settings);
         }
@@ -164,7 +164,9 @@
         mut settings: Settings,
         class_rules: ClassRules,
     ) -> Result<DriverParts, SenderError> {
-        let listener = descriptors.take().map_err(SenderError::RestoreState)?;
+        let listener = descriptors
+            .next_descriptor()
+            .map_err(SenderError::RestoreState)?;
         let SplitState {
             policy,
             log_position,
@@ -176,9 +178,13 @@
         let policy = policy
             .restore(settings.clone())
             .map_err(SenderError::Settings)?;
-        let wal =
-            WriteAheadLog::restore(&config.state, config.disk, log_position, state.unfinished())
-                .map_err(SenderError::RestoreLog)?;
+        let wal = WriteAheadLog::restore(
+            &config.state_folder,
+            config.disk_limit,
+            log_position,
+            state.unfinished(),
+        )
+        .map_err(SenderError::RestoreLog)?;
         Ok(DriverParts {
             listener: TcpListener::from(listener),
             settings,
@@ -256,7 +262,7 @@
         Ok(Driver {
             names: SettingsNames::from_config(config),
             listen: config.listen,
-            descriptor_limit: config.sockets,
+            descriptor_limit: config.descriptor_limit,
             admission: build_admission(config, settings, parts.class_rules),
             decision: Decision::new(parts.policy),
             status_reporter: build_status_reporter(
@@ -377,6 +383,6 @@
 }
 
 fn build_directory(config: &Config, jitter: Jitter) -> EndpointDirectory {
-    let cordons = Cordons::open(&config.state, config.disk);
+    let cordons = Cordons::open(&config.state_folder, config.disk_limit);
     EndpointDirectory::new(config.discovery, &config.platform_settings, cordons, jitter)
 }
--- a/crates/sender/src/pipeline/driver.rs
+++ b/crates/sender/src/pipeline/driver.rs
@@ -21,7 +21,7 @@
 use crate::discovery::EndpointDirectory;
 use crate::egress::{AttemptResult, Egress};
 use crate::event_source::{EventSource, Handle};
-use crate::operator::Operators;
+use crate::operator::OperatorService;
 use crate::peer_service::PeerService;
 use crate::safety::ViolationCounter;
 
@@ -62,7 +62,7 @@
     pub(super) egress: Egress,
     pub(super) directory: EndpointDirectory,
     /// The operators' connections, if the configuration has an address for them.
-    pub(super) operators: Option<Operators>,
+    pub(super) operators: Option<OperatorService>,
     /// The exchange with other senders, if peers are configured.
     pub(super) peers: Option<PeerService>,
     /// Sockets that had more to read than one round reads.
@@ -73,7 +73,7 @@
 
 impl Driver {
     /// Sets the connections on which operators are answered.
-    pub fn set_operators(&mut self, operators: Option<Operators>) {
+    pub fn set_operators(&mut self, operators: Option<OperatorService>) {
         self.operators = operators;
     }
 
@@ -368,7 +368,7 @@
             .into_iter()
             .chain(self.decision.wake_at)
             .chain(self.deferred_list_deadline())
-            .chain(self.operators.as_ref().map(Operators::next_deadline))
+            .chain(self.operators.as_ref().map(OperatorService::next_deadline))
             .chain(self.peers.as_ref().map(PeerService::next_deadline))
             .fold(f64::INFINITY, f64::min)
     }
--- a/crates/sender/src/pipeline/known_list.rs
+++ b/crates/sender/src/pipeline/known_list.rs
@@ -28,16 +28,16 @@
 impl Driver {
     /// Uses the list of the configuration at once after a prompt start, or defers it after a delayed one.
     pub(super) fn apply_or_defer_known_list(&mut self, config: &Config, process_started: Instant) {
-        if !config.known.is_object() {
+        if !config.known_endpoints.is_object() {
             return;
         }
         if process_started.elapsed() <= MAX_PROMPT_START {
-            self.apply_known_list(&config.known);
+            self.apply_known_list(&config.known_endpoints);
             return;
         }
         info!("start delayed: waiting for discovery before anything is sent");
         self.deferred_list = Some(DeferredList {
-            list: config.known.clone(),
+            list: config.known_endpoints.clone(),
             use_at: self.clock.now() + DISCOVERY_TIMEOUT,
         });
     }
