--- a/crates/lab/tests/orders/calls.rs
+++ b/crates/lab/tests/orders/calls.rs
@@ -77,7 +77,7 @@
         let wal = state.wal.as_mut().unwrap();
         assert!(wal.append_attempt(id, attempt as usize, now));
         message.record.attempts.push(AttemptRecord {
-            sent: now,
+            sent_at: now,
             never_ran: false,
         });
         let partner = OWNER[endpoint as usize];
--- a/crates/lab/tests/orders/fleet.rs
+++ b/crates/lab/tests/orders/fleet.rs
@@ -333,11 +333,11 @@
         class: Rc::from(class.to_string()),
         destination: partner.into(),
         deadline,
-        key: None,
+        idempotency_key: None,
         body: Rc::from([]),
         attempts: Vec::new(),
         final_status: None,
-        rules: Rc::from([]),
+        class_rules: Rc::from([]),
     }
 }
 
@@ -350,6 +350,6 @@
         class: ClassId(record.class.parse().unwrap()),
         deadline: nanos(record.deadline),
         attempts: record.attempts.len() as u32,
-        ran: ran.map(|attempt| nanos(attempt.sent)),
+        ran: ran.map(|attempt| nanos(attempt.sent_at)),
     }
 }
--- a/crates/sender/src/log_recovery/tests.rs
+++ b/crates/sender/src/log_recovery/tests.rs
@@ -22,11 +22,11 @@
         class: Rc::from("debit"),
         destination: 7,
         deadline: 1e12,
-        key: None,
+        idempotency_key: None,
         body: Rc::from(&b"x"[..]),
         attempts: Vec::new(),
         final_status: None,
-        rules: Rc::from([]),
+        class_rules: Rc::from([]),
     };
     assert!(log.append_message(&message));
     drop(log);
--- a/crates/sender/src/pipeline/actions.rs
+++ b/crates/sender/src/pipeline/actions.rs
@@ -66,7 +66,7 @@
         let rules = &self.admission.class_rules;
         self.store
             .record(id.0)
-            .is_none_or(|record| rules.is_non_idempotent(&record.class, &record.rules))
+            .is_none_or(|record| rules.is_non_idempotent(&record.class, &record.class_rules))
     }
 
     /// Sends the requests whose connections are up, as far as the safety rules permit.
--- a/crates/sender/src/pipeline/admission.rs
+++ b/crates/sender/src/pipeline/admission.rs
@@ -133,11 +133,11 @@
             class: class.name.clone(),
             destination: message.destination,
             deadline: message.deadline,
-            key: message.key,
+            idempotency_key: message.key,
             body: message.body,
             attempts: Vec::new(),
             final_status: None,
-            rules: class.rules.clone(),
+            class_rules: class.rules.clone(),
         }
     }
 
@@ -190,7 +190,9 @@
 
     /// What the decision module is told of a resumed message; none if its class is unknown.
     fn resumed_event(&self, record: &MessageRecord) -> Option<Event> {
-        let class = self.class_rules.index_of(&record.class, &record.rules)?;
+        let class = self
+            .class_rules
+            .index_of(&record.class, &record.class_rules)?;
         let first_run = record.attempts.iter().find(|attempt| !attempt.never_ran);
         Some(Event::MessageResumed {
             id: MessageId(record.number),
@@ -198,7 +200,7 @@
             class: ClassId(class),
             deadline: nanos(record.deadline),
             attempts: record.attempts.len() as u32,
-            ran: first_run.map(|attempt| nanos(attempt.sent)),
+            ran: first_run.map(|attempt| nanos(attempt.sent_at)),
         })
     }
 }
--- a/crates/sender/src/pipeline/builder.rs
+++ b/crates/sender/src/pipeline/builder.rs
@@ -140,7 +140,7 @@
     ) -> Result<Foundation, SenderError> {
         let (wal, recovered) = log_recovery::open(&config.state, config.disk);
         for record in recovered.open.values() {
-            class_rules.add_recovered(&record.class, &record.rules, &mut settings);
+            class_rules.add_recovered(&record.class, &record.class_rules, &mut settings);
         }
         let policy = Policy::new(settings.clone(), config.seed).map_err(SenderError::Settings)?;
         Ok(Foundation {
@@ -306,7 +306,7 @@
 /// The time since the attempts of a message is not known: no idempotency window is proven to be open still.
 fn forget_instants_of_attempts(record: &mut MessageRecord) {
     for attempt in &mut record.attempts {
-        attempt.sent = LONG_AGO;
+        attempt.sent_at = LONG_AGO;
     }
 }
 
--- a/crates/sender/src/pipeline/compatibility_tests.rs
+++ b/crates/sender/src/pipeline/compatibility_tests.rs
@@ -27,7 +27,7 @@
 fn assert_recovered(recovered: &RecoveredState) {
     let open = &recovered.open;
     assert_eq!(open.keys().copied().collect::<Vec<_>>(), [1, 2, 3, 4, 5, 6]);
-    let rules = open[&2].rules.clone();
+    let rules = open[&2].class_rules.clone();
     assert!(!rules.is_empty(), "the class's rules were stored with it");
     for (number, record) in open {
         assert_eq!(record.number, *number);
@@ -36,7 +36,7 @@
         assert_eq!(*record.body, *format!("body {number}").as_bytes());
         assert_eq!(*record.class, *if *number == 1 { "plain" } else { "debit" });
         assert_eq!(
-            record.rules,
+            record.class_rules,
             if *number == 1 {
                 Rc::from([])
             } else {
@@ -49,10 +49,13 @@
         ids,
         ["first", "second", "third", "fourth", "fifth", "sixth"]
     );
-    let keys: Vec<Option<&str>> = open.values().map(|record| record.key.as_deref()).collect();
+    let keys: Vec<Option<&str>> = open
+        .values()
+        .map(|record| record.idempotency_key.as_deref())
+        .collect();
     assert_eq!(keys, [None, Some("key-2"), Some(""), None, None, None]);
     let attempt = |after: f64, never_ran| AttemptRecord {
-        sent: WRITTEN_AT + after,
+        sent_at: WRITTEN_AT + after,
         never_ran,
     };
     assert_eq!(open[&2].attempts, [attempt(1.5, true), attempt(2.5, false)]);
--- a/crates/sender/src/pipeline/crash_recovery_tests/resumption.rs
+++ b/crates/sender/src/pipeline/crash_recovery_tests/resumption.rs
@@ -17,7 +17,7 @@
     for message in messages {
         assert!(wal.append_message(&message));
         for (index, attempt) in message.attempts.iter().enumerate() {
-            assert!(wal.append_attempt(message.number, index, attempt.sent));
+            assert!(wal.append_attempt(message.number, index, attempt.sent_at));
         }
     }
     state
@@ -30,11 +30,11 @@
         class: Rc::from(class),
         destination: 7,
         deadline: START + MESSAGE_TIMEOUT,
-        key: Some(Rc::from("k")),
+        idempotency_key: Some(Rc::from("k")),
         body: Rc::from(&b"x"[..]),
         attempts,
         final_status: None,
-        rules: Rc::from(rules),
+        class_rules: Rc::from(rules),
     }
 }
 
@@ -61,7 +61,7 @@
     };
     let rules = postcard::to_allocvec(&class).unwrap();
     let attempts = attempted.then_some(AttemptRecord {
-        sent: START - 500.0,
+        sent_at: START - 500.0,
         never_ran: false,
     });
     let state = folder_with(
--- a/crates/sender/src/pipeline/dispatch.rs
+++ b/crates/sender/src/pipeline/dispatch.rs
@@ -78,7 +78,7 @@
 fn add_attempt(message: &mut StoredMessage, now: Millis) -> u32 {
     let number = message.record.attempts.len() as u32;
     message.record.attempts.push(AttemptRecord {
-        sent: now,
+        sent_at: now,
         never_ran: true,
     });
     message.attempts_in_flight += 1;
@@ -98,7 +98,7 @@
 }
 
 fn request_head(record: &MessageRecord, address: SocketAddr, timeout: Millis) -> String {
-    let idempotency_key = match &record.key {
+    let idempotency_key = match &record.idempotency_key {
         Some(key) => format!("Idempotency-Key: {key}\r\n"),
         None => String::new(),
     };
@@ -154,7 +154,7 @@
         return SendPermission::Later;
     }
     *record = AttemptRecord {
-        sent: now,
+        sent_at: now,
         never_ran: false,
     };
     SendPermission::Granted
--- a/crates/sender/src/pipeline/send_gate.rs
+++ b/crates/sender/src/pipeline/send_gate.rs
@@ -116,12 +116,12 @@
             deadline: record.deadline + ROUNDING,
             non_idempotent: self
                 .class_rules
-                .is_non_idempotent(&record.class, &record.rules),
-            first_run: first_run.map(|attempt| attempt.sent),
+                .is_non_idempotent(&record.class, &record.class_rules),
+            first_run: first_run.map(|attempt| attempt.sent_at),
             // Only a repeat needs the window, which takes some decoding.
             idempotency_window: first_run.and_then(|_| {
                 self.class_rules
-                    .idempotency_window(&record.class, &record.rules)
+                    .idempotency_window(&record.class, &record.class_rules)
             }),
             endpoint_available: self.directory.accepts_requests(endpoint),
             retry_after_until: self.waits.until(record.destination, endpoint, kind),
--- a/crates/sender/src/pipeline/tests/mod.rs
+++ b/crates/sender/src/pipeline/tests/mod.rs
@@ -63,11 +63,11 @@
         class: Rc::from("debit"),
         destination: 7,
         deadline: START + left,
-        key: None,
+        idempotency_key: None,
         body: Rc::from(&b"x"[..]),
         attempts: Vec::new(),
         final_status: None,
-        rules: Rc::from([]),
+        class_rules: Rc::from([]),
     }
 }
 
--- a/crates/wal/src/compaction.rs
+++ b/crates/wal/src/compaction.rs
@@ -101,7 +101,7 @@
         self.write(&LogRecord::message(message));
         self.open_messages.add_message(message);
         for (number, attempt) in message.attempts.iter().enumerate() {
-            self.write(&LogRecord::attempt(message.number, number, attempt.sent));
+            self.write(&LogRecord::attempt(message.number, number, attempt.sent_at));
             if attempt.never_ran {
                 self.write(&LogRecord::never_ran(message.number, number));
             }
@@ -115,9 +115,12 @@
     fn write_rules_if_changed(&mut self, message: &MessageRecord) {
         let previous = self
             .class_rules
-            .insert(message.class.clone(), message.rules.clone());
-        if previous.as_ref() != Some(&message.rules) {
-            self.write(&LogRecord::class_rules(&message.class, &message.rules));
+            .insert(message.class.clone(), message.class_rules.clone());
+        if previous.as_ref() != Some(&message.class_rules) {
+            self.write(&LogRecord::class_rules(
+                &message.class,
+                &message.class_rules,
+            ));
         }
     }
 }
--- a/crates/wal/src/record.rs
+++ b/crates/wal/src/record.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AttemptRecord {
     /// When it was sent, in milliseconds of Unix time.
-    pub sent: Millis,
+    pub sent_at: Millis,
     /// Whether it is proven that the endpoint never processed it.
     pub never_ran: bool,
 }
@@ -40,7 +40,7 @@
     /// When its delivery must be over, in milliseconds of Unix time.
     pub deadline: Millis,
     /// Its idempotency key, if it has one.
-    pub key: Option<Rc<str>>,
+    pub idempotency_key: Option<Rc<str>>,
     /// The bytes to deliver.
     pub body: Rc<[u8]>,
     /// Its attempts so far, in the order of their numbers.
@@ -48,7 +48,7 @@
     /// Its final status, once decided; the message stays open until the platform has confirmed it.
     pub final_status: Option<FinalStatus>,
     /// The rules of its class when it was accepted, in the caller's encoding; empty if none were recorded.
-    pub rules: Rc<[u8]>,
+    pub class_rules: Rc<[u8]>,
 }
 
 /// The tag bytes of the stored record types.
@@ -132,7 +132,7 @@
             deadline: message.deadline,
             id: &message.id,
             class: &message.class,
-            key: message.key.as_deref(),
+            key: message.idempotency_key.as_deref(),
             body: &message.body,
         };
         LogRecord {
--- a/crates/wal/src/recovery.rs
+++ b/crates/wal/src/recovery.rs
@@ -98,11 +98,11 @@
             class: Rc::from(fields.class),
             destination: fields.destination,
             deadline: fields.deadline,
-            key: fields.key.map(Rc::from),
+            idempotency_key: fields.key.map(Rc::from),
             body: Rc::from(fields.body),
             attempts: Vec::new(),
             final_status: None,
-            rules: rules.cloned().unwrap_or_default(),
+            class_rules: rules.cloned().unwrap_or_default(),
         };
         self.open.insert(number, message);
     }
@@ -119,14 +119,14 @@
         // An earlier attempt without a record was never sent: it may not start before its record is written.
         if attempts.len() <= attempt {
             let unsent = AttemptRecord {
-                sent,
+                sent_at: sent,
                 never_ran: true,
             };
             attempts.resize(attempt + 1, unsent);
         }
         // A compaction writes an attempt that has not started yet as one that never ran. Here it starts after all.
         attempts[attempt] = AttemptRecord {
-            sent,
+            sent_at: sent,
             never_ran: false,
         };
     }
--- a/crates/wal/src/tests.rs
+++ b/crates/wal/src/tests.rs
@@ -19,11 +19,11 @@
         class: Rc::from("notice"),
         destination: 7,
         deadline: 1_796_121_600_016.25,
-        key: Some(Rc::from("")),
+        idempotency_key: Some(Rc::from("")),
         body: Rc::from(vec![9; size]),
         attempts: Vec::new(),
         final_status: None,
-        rules: Rc::from([]),
+        class_rules: Rc::from([]),
     }
 }
 
@@ -53,16 +53,16 @@
         let first = &recovered.open[&0];
         let attempts = [
             AttemptRecord {
-                sent: 5.0,
+                sent_at: 5.0,
                 never_ran: true,
             },
             AttemptRecord {
-                sent: 6.0,
+                sent_at: 6.0,
                 never_ran: false,
             },
         ];
         assert_eq!(
-            (first.attempts.as_slice(), first.key.as_deref()),
+            (first.attempts.as_slice(), first.idempotency_key.as_deref()),
             (&attempts[..], Some(""))
         );
         assert_eq!(
@@ -158,7 +158,7 @@
     let folder = folder("begins");
     let (mut wal, _) = WriteAheadLog::open(&folder, 3_000_000);
     let attempts = vec![AttemptRecord {
-        sent: 5.0,
+        sent_at: 5.0,
         never_ran: true,
     }];
     let (id, class, body) = (Rc::from("a"), Rc::from("debit"), Rc::from(&b"x"[..]));
@@ -168,11 +168,11 @@
         class,
         destination: 7,
         deadline: 9e3,
-        key: None,
+        idempotency_key: None,
         body,
         attempts,
         final_status: None,
-        rules: Rc::from([]),
+        class_rules: Rc::from([]),
     };
     assert!(wal.append_message(&message) && wal.compact(std::iter::once(&message)));
     assert_eq!(
@@ -182,7 +182,7 @@
     );
     assert!(wal.append_attempt(0, 0, 6.0));
     let started = [AttemptRecord {
-        sent: 6.0,
+        sent_at: 6.0,
         never_ran: false,
     }];
     assert_eq!(
@@ -195,7 +195,7 @@
 fn the_class_rules_at_admission_are_recovered_after_the_class_was_redefined() {
     let folder = folder("rules");
     let with_rules = |number: u64, rules: &[u8]| MessageRecord {
-        rules: Rc::from(rules),
+        class_rules: Rc::from(rules),
         ..message(number, 100)
     };
     let batches = [
--- a/crates/wal/src/write_ahead_log.rs
+++ b/crates/wal/src/write_ahead_log.rs
@@ -178,10 +178,10 @@
 
     /// Records that a message is accepted. False: it must be rejected.
     pub fn append_message(&mut self, message: &MessageRecord) -> bool {
-        let rules_recorded = self.class_rules.get(&message.class) == Some(&message.rules);
+        let rules_recorded = self.class_rules.get(&message.class) == Some(&message.class_rules);
         let mut records = Vec::new();
         if !rules_recorded {
-            let rules = LogRecord::class_rules(&message.class, &message.rules);
+            let rules = LogRecord::class_rules(&message.class, &message.class_rules);
             records.extend(codec::encode(&rules));
         }
         records.extend(codec::encode(&LogRecord::message(message)));
@@ -196,7 +196,7 @@
         }
         if !rules_recorded {
             self.class_rules
-                .insert(message.class.clone(), message.rules.clone());
+                .insert(message.class.clone(), message.class_rules.clone());
         }
         self.open_messages.add_message(message);
         true
