--- a/crates/lab/tests/orders/fleet.rs
+++ b/crates/lab/tests/orders/fleet.rs
@@ -248,7 +248,7 @@
         let (wal, past) = WriteAheadLog::open(&started.folder, WAL_SIZE);
         started.wal = Some(wal);
         started.held.clear();
-        for (id, record) in past.open {
+        for (id, record) in past.open_messages {
             self.seen.resumed += 1;
             assert_eq!(record.final_status, None, "ends are confirmed at once here");
             events.push(resumed(id, &record));
--- a/crates/martenlatch/src/inspect.rs
+++ b/crates/martenlatch/src/inspect.rs
@@ -10,8 +10,8 @@
 /// Prints the messages that are not complete, one a line.
 pub fn show(folder: &Path, json: bool) -> Result<(), CommandError> {
     let log = open(folder)?;
-    let now = Clock::after(&log.recovered.clock).now();
-    for record in log.recovered.open.values() {
+    let now = Clock::after(&log.recovered.clock_history).now();
+    for record in log.recovered.open_messages.values() {
         let left_ms = record.deadline - now;
         if json {
             println!("{}", json_line(record, left_ms));
@@ -27,7 +27,7 @@
     let log = open(folder)?;
     let damaged_bytes = log.size - log.valid_bytes();
     let is_intact = damaged_bytes == 0;
-    let messages = log.recovered.open.values();
+    let messages = log.recovered.open_messages.values();
     let open_count = messages
         .filter(|record| record.final_status.is_none())
         .count();
@@ -35,8 +35,8 @@
         "{} bytes={} records={} open={open_count} ends_owed={} over={} damaged_bytes={damaged_bytes}",
         if is_intact { "whole" } else { "damaged" },
         log.size,
-        log.recovered.records,
-        log.recovered.open.len() - open_count,
+        log.recovered.record_count,
+        log.recovered.open_messages.len() - open_count,
         log.recovered.recently_closed.len(),
     );
     Ok(is_intact)
--- a/crates/sender/src/log_recovery/tests.rs
+++ b/crates/sender/src/log_recovery/tests.rs
@@ -49,7 +49,7 @@
     let state = unreadable("unreadable-open");
     let healing = heal_soon(state.clone());
     let (log, recovered) = open(&state, DISK);
-    assert!(recovered.open.contains_key(&1) && !log.failed_to_read());
+    assert!(recovered.open_messages.contains_key(&1) && !log.failed_to_read());
     healing.join().unwrap();
 }
 
@@ -58,6 +58,6 @@
 fn the_clock_of_earlier_processes_is_waited_for() {
     let state = unreadable("unreadable-clock");
     let healing = heal_soon(state.clone());
-    assert!(inspect(&state).recovered.open.contains_key(&1));
+    assert!(inspect(&state).recovered.open_messages.contains_key(&1));
     healing.join().unwrap();
 }
--- a/crates/sender/src/pipeline/admission.rs
+++ b/crates/sender/src/pipeline/admission.rs
@@ -95,7 +95,7 @@
         let class = message.class;
         let mut record = self.new_record(message, store.next_number);
         record.final_status = Some(status);
-        if store.wal.append_ended(&record, status) {
+        if store.wal.append_message_with_final_status(&record, status) {
             store.next_number += 1;
             return AdmissionDecision::Ended(EndedMessage::Reported(record));
         }
--- a/crates/sender/src/pipeline/builder.rs
+++ b/crates/sender/src/pipeline/builder.rs
@@ -139,7 +139,7 @@
         mut class_rules: ClassRules,
     ) -> Result<Foundation, SenderError> {
         let (wal, recovered) = log_recovery::open(&config.state, config.disk);
-        for record in recovered.open.values() {
+        for record in recovered.open_messages.values() {
             class_rules.add_recovered(&record.class, &record.class_rules, &mut settings);
         }
         let policy = Policy::new(settings.clone(), config.seed).map_err(SenderError::Settings)?;
@@ -150,7 +150,7 @@
             policy,
             wal,
             next_number: recovered.next_number,
-            recovered: recovered.open,
+            recovered: recovered.open_messages,
             inheritance: None,
         })
     }
--- a/crates/sender/src/pipeline/compatibility_tests.rs
+++ b/crates/sender/src/pipeline/compatibility_tests.rs
@@ -25,7 +25,7 @@
 }
 
 fn assert_recovered(recovered: &RecoveredState) {
-    let open = &recovered.open;
+    let open = &recovered.open_messages;
     assert_eq!(open.keys().copied().collect::<Vec<_>>(), [1, 2, 3, 4, 5, 6]);
     let rules = open[&2].class_rules.clone();
     assert!(!rules.is_empty(), "the class's rules were stored with it");
@@ -83,7 +83,7 @@
         inspection.size,
         "every record is whole"
     );
-    assert_eq!(inspection.recovered.records, 19);
+    assert_eq!(inspection.recovered.record_count, 19);
     assert_recovered(&inspection.recovered);
     assert!(
         inspection
--- a/crates/sender/src/pipeline/completion.rs
+++ b/crates/sender/src/pipeline/completion.rs
@@ -179,7 +179,7 @@
 
 /// Compacts the write-ahead log when it has grown enough.
 pub(super) fn compact_log(store: &mut MessageStore, now: Millis) {
-    if !store.wal.wants_compaction(now) {
+    if !store.wal.needs_compaction(now) {
         return;
     }
     let unfinished = store
@@ -188,6 +188,6 @@
         .filter(|message| message.state != MessageState::Closed)
         .map(|message| &message.record);
     if !store.wal.compact(unfinished) {
-        store.wal.compaction_failed(now);
+        store.wal.start_compaction_backoff(now);
     }
 }
--- a/crates/sender/src/pipeline/crash_recovery_tests/mod.rs
+++ b/crates/sender/src/pipeline/crash_recovery_tests/mod.rs
@@ -100,5 +100,5 @@
 /// The message that the log holds, if it holds one.
 fn logged_message(state: &Path) -> Option<MessageRecord> {
     let recovered = LogInspection::open(state).unwrap().recovered;
-    recovered.open.into_values().next()
+    recovered.open_messages.into_values().next()
 }
--- a/crates/sender/src/pipeline/crash_recovery_tests/two_processes.rs
+++ b/crates/sender/src/pipeline/crash_recovery_tests/two_processes.rs
@@ -272,7 +272,7 @@
     let effects = remains.peers.requests.iter().filter(|ran| **ran).count();
     assert!(class != "debit" || effects <= 1, "{name}: a second effect");
     let left = LogInspection::open(&remains.state).unwrap().recovered;
-    assert!(left.open.is_empty(), "{name}: nothing is left");
+    assert!(left.open_messages.is_empty(), "{name}: nothing is left");
     std::fs::remove_dir_all(&remains.state).unwrap();
     true
 }
--- a/crates/sender/src/pipeline/tests/attempts.rs
+++ b/crates/sender/src/pipeline/tests/attempts.rs
@@ -120,7 +120,7 @@
     }
     drop(driver);
     let past = logged(&name);
-    let may_have_run = past.open[&3]
+    let may_have_run = past.open_messages[&3]
         .attempts
         .iter()
         .filter(|t| !t.never_ran)
--- a/crates/sender/src/pipeline/tests/ingress.rs
+++ b/crates/sender/src/pipeline/tests/ingress.rs
@@ -97,7 +97,7 @@
     assert!(send_message(false).is_none(), "now it is held");
     let (_, past) = WriteAheadLog::open(&folder_path(&folder_name("left")), 9);
     assert!(
-        past.recently_closed.is_empty() && past.open.values().any(|t| &*t.id == "b"),
+        past.recently_closed.is_empty() && past.open_messages.values().any(|t| &*t.id == "b"),
         "and recovered by the next process"
     );
 }
--- a/crates/sender/src/pipeline/tests/shutdown.rs
+++ b/crates/sender/src/pipeline/tests/shutdown.rs
@@ -63,5 +63,5 @@
     );
     assert_eq!(driver.store.open, 0);
     drop(driver);
-    assert!(logged("exit").open.is_empty());
+    assert!(logged("exit").open_messages.is_empty());
 }
--- a/crates/wal/src/compaction.rs
+++ b/crates/wal/src/compaction.rs
@@ -20,7 +20,7 @@
 impl WriteAheadLog {
     /// Whether a compaction would free space, or must be tried because there is no file to write to or the file lacks
     /// records. False during the backoff after a failure.
-    pub fn wants_compaction(&self, now: Millis) -> bool {
+    pub fn needs_compaction(&self, now: Millis) -> bool {
         let worth_it = self.limits.worth_compacting(
             self.file.size(),
             &self.open_messages,
@@ -30,7 +30,7 @@
     }
 
     /// Starts the backoff after a failed compaction; `now` is in milliseconds of Unix time.
-    pub fn compaction_failed(&mut self, now: Millis) {
+    pub fn start_compaction_backoff(&mut self, now: Millis) {
         let backoff = if self.lacks_records {
             MISSING_RECORDS_BACKOFF
         } else {
--- a/crates/wal/src/recovery.rs
+++ b/crates/wal/src/recovery.rs
@@ -15,15 +15,15 @@
 #[derive(Default)]
 pub struct RecoveredState {
     /// The messages that are not closed, by number.
-    pub open: BTreeMap<u64, MessageRecord>,
+    pub open_messages: BTreeMap<u64, MessageRecord>,
     /// The ids of recently closed messages.
     pub recently_closed: RecentlyClosed,
     /// The clock of earlier processes.
-    pub clock: ClockHistory,
+    pub clock_history: ClockHistory,
     /// The next message number.
     pub next_number: u64,
     /// Complete records that were read.
-    pub records: u64,
+    pub record_count: u64,
     /// The rules of each class, as last recorded.
     pub(crate) class_rules: HashMap<Rc<str>, Rc<[u8]>>,
     /// Bytes of the file that hold complete records.
@@ -42,7 +42,7 @@
             if !state.replay_record(payload) {
                 break;
             }
-            state.records += 1;
+            state.record_count += 1;
             state.valid_bytes = payloads.offset();
         }
         state
@@ -57,7 +57,7 @@
         // The number is taken, and a closed message closed, also where the rest of the record cannot be decoded.
         self.next_number = self.next_number.max(number.saturating_add(1));
         if header.tag == tag::CLOSED {
-            self.open.remove(&number);
+            self.open_messages.remove(&number);
         }
         let Some(entry) = header.decode_entry() else {
             return false;
@@ -83,8 +83,8 @@
             }
             Entry::Reported(status) => self.recently_closed.mark_reported(status),
             Entry::Anchor(anchor) => {
-                self.clock.anchor = Some(anchor);
-                self.clock.latest = self.clock.latest.max(anchor.clock);
+                self.clock_history.anchor = Some(anchor);
+                self.clock_history.latest = self.clock_history.latest.max(anchor.clock);
             }
             Entry::Unknown { .. } => {}
         }
@@ -104,12 +104,12 @@
             final_status: None,
             class_rules: rules.cloned().unwrap_or_default(),
         };
-        self.open.insert(number, message);
+        self.open_messages.insert(number, message);
     }
 
     fn start_attempt(&mut self, number: u64, attempt: usize, sent: Millis) {
-        self.clock.latest = self.clock.latest.max(sent);
-        let Some(message) = self.open.get_mut(&number) else {
+        self.clock_history.latest = self.clock_history.latest.max(sent);
+        let Some(message) = self.open_messages.get_mut(&number) else {
             return;
         };
         if attempt >= MAX_ATTEMPTS {
@@ -132,14 +132,14 @@
     }
 
     fn mark_never_ran(&mut self, number: u64, attempt: usize) {
-        let message = self.open.get_mut(&number);
+        let message = self.open_messages.get_mut(&number);
         if let Some(record) = message.and_then(|message| message.attempts.get_mut(attempt)) {
             record.never_ran = true;
         }
     }
 
     fn set_final_status(&mut self, number: u64, status: FinalStatus) {
-        if let Some(message) = self.open.get_mut(&number) {
+        if let Some(message) = self.open_messages.get_mut(&number) {
             message.final_status = Some(status);
         }
     }
--- a/crates/wal/src/tests.rs
+++ b/crates/wal/src/tests.rs
@@ -46,11 +46,11 @@
     for _ in 0..2 {
         let (_, recovered) = WriteAheadLog::open(&folder, 3_000_000);
         assert_eq!(
-            recovered.open.keys().copied().collect::<Vec<_>>(),
+            recovered.open_messages.keys().copied().collect::<Vec<_>>(),
             [0, 2],
             "the torn one was not confirmed"
         );
-        let first = &recovered.open[&0];
+        let first = &recovered.open_messages[&0];
         let attempts = [
             AttemptRecord {
                 sent_at: 5.0,
@@ -66,7 +66,7 @@
             (&attempts[..], Some(""))
         );
         assert_eq!(
-            recovered.open[&2].final_status,
+            recovered.open_messages[&2].final_status,
             Some(FinalStatus::Deferred(Some(700)))
         );
         assert_eq!(
@@ -85,7 +85,7 @@
     let (unreadable, stuck) = (folder("unreadable"), folder("stuck"));
     std::fs::create_dir(unreadable.join("ledger")).unwrap();
     let (mut wal, _) = WriteAheadLog::open(&unreadable, 3_000_000);
-    assert!(!wal.append_message(&message(1, 10)) && !wal.wants_compaction(1e15));
+    assert!(!wal.append_message(&message(1, 10)) && !wal.needs_compaction(1e15));
     assert!(unreadable.join("ledger").is_dir());
     assert!(
         WriteAheadLog::open(&stuck, 3_000_000)
@@ -95,9 +95,9 @@
     // A folder in the place of the compacted file stands for a disk that has no space for it.
     std::fs::create_dir(stuck.join("ledger.new")).unwrap();
     let (mut wal, recovered) = WriteAheadLog::open(&stuck, 3_000_000);
-    assert!(recovered.open.contains_key(&1) && wal.append_attempt(1, 0, 7.0));
+    assert!(recovered.open_messages.contains_key(&1) && wal.append_attempt(1, 0, 7.0));
     let (_, recovered) = WriteAheadLog::open(&stuck, 3_000_000);
-    assert_eq!(recovered.open[&1].attempts.len(), 1);
+    assert_eq!(recovered.open_messages[&1].attempts.len(), 1);
 }
 
 #[test]
@@ -108,9 +108,9 @@
     std::fs::write(folder.join("ledger"), &later).unwrap();
     let (mut wal, recovered) = WriteAheadLog::open(&folder, 3_000_000);
     assert!(
-        recovered.open.is_empty()
+        recovered.open_messages.is_empty()
             && !wal.append_message(&message(1, 10))
-            && !wal.wants_compaction(1e15)
+            && !wal.needs_compaction(1e15)
     );
     assert_eq!(std::fs::read(folder.join("ledger")).unwrap(), later);
 }
@@ -132,7 +132,7 @@
         {
             wal.append_closed(number, &closed.id);
         }
-        if wal.wants_compaction(0.0) {
+        if wal.needs_compaction(0.0) {
             let old = wal.file.size();
             assert!(wal.compact(open.values()));
             assert!(
@@ -148,7 +148,7 @@
         "an accepted message can still be sent"
     );
     let (_, recovered) = WriteAheadLog::open(&folder, disk);
-    assert_eq!(recovered.open.len(), open.len());
+    assert_eq!(recovered.open_messages.len(), open.len());
 }
 
 #[test]
@@ -176,7 +176,11 @@
     };
     assert!(wal.append_message(&message) && wal.compact(std::iter::once(&message)));
     assert_eq!(
-        LogInspection::open(&folder).unwrap().recovered.open[&0].attempts,
+        LogInspection::open(&folder)
+            .unwrap()
+            .recovered
+            .open_messages[&0]
+            .attempts,
         message.attempts,
         "it has not started"
     );
@@ -186,7 +190,11 @@
         never_ran: false,
     }];
     assert_eq!(
-        LogInspection::open(&folder).unwrap().recovered.open[&0].attempts,
+        LogInspection::open(&folder)
+            .unwrap()
+            .recovered
+            .open_messages[&0]
+            .attempts,
         started
     );
 }
@@ -210,7 +218,7 @@
     for _ in 0..2 {
         let (_, recovered) = WriteAheadLog::open(&folder, 3_000_000);
         assert_eq!(
-            recovered.open.into_values().collect::<Vec<_>>(),
+            recovered.open_messages.into_values().collect::<Vec<_>>(),
             batches.concat()
         );
     }
@@ -225,7 +233,11 @@
     let started = (0..2 * MAX_ATTEMPTS)
         .filter(|attempt| wal.append_attempt(0, *attempt, 5.0))
         .count();
-    let recovered = &LogInspection::open(&folder).unwrap().recovered.open[&0].attempts;
+    let recovered = &LogInspection::open(&folder)
+        .unwrap()
+        .recovered
+        .open_messages[&0]
+        .attempts;
     assert_eq!(
         (
             started,
@@ -252,20 +264,20 @@
     wal.file.writes_fail = false;
     assert!(wal.append_message(&message(3, 10)), "the log goes on");
     assert!(
-        wal.wants_compaction(5_000.0),
+        wal.needs_compaction(5_000.0),
         "which writes what is missing"
     );
     assert!(wal.compact([&ended, &message(3, 10)].into_iter()));
-    assert!(!wal.wants_compaction(6_000.0));
+    assert!(!wal.needs_compaction(6_000.0));
     drop(wal);
     let (_, recovered) = WriteAheadLog::open(&folder, 3_000_000);
     assert_eq!(
-        recovered.open.keys().copied().collect::<Vec<_>>(),
+        recovered.open_messages.keys().copied().collect::<Vec<_>>(),
         [2, 3],
         "message 1 is closed"
     );
     assert_eq!(
-        recovered.open[&2].final_status,
+        recovered.open_messages[&2].final_status,
         Some(FinalStatus::Undeliverable)
     );
 }
--- a/crates/wal/src/write_ahead_log.rs
+++ b/crates/wal/src/write_ahead_log.rs
@@ -83,7 +83,7 @@
             warn!(bytes = torn_bytes, "write-ahead log tail cut");
         }
         // The new file has neither the torn tail nor the closed messages. Without space for it, the old one goes on.
-        if !log.compact(recovered.open.values()) && recovered.valid_bytes > 0 {
+        if !log.compact(recovered.open_messages.values()) && recovered.valid_bytes > 0 {
             log.file.continue_existing();
         }
         (log, recovered)
@@ -95,10 +95,10 @@
         WriteAheadLog {
             file,
             limits: Limits::new(disk),
-            open_messages: OpenMessages::count(recovered.open.values()),
+            open_messages: OpenMessages::count(recovered.open_messages.values()),
             recently_closed: recovered.recently_closed.clone(),
             class_rules: recovered.class_rules.clone(),
-            anchor: recovered.clock.anchor,
+            anchor: recovered.clock_history.anchor,
             write_backoff_until: 0.0,
             lacks_records: false,
             failed_to_read: false,
@@ -237,7 +237,11 @@
 
     /// Records a message that has ended already and whose report is owed once more. False: it must not be answered as
     /// accepted.
-    pub fn append_ended(&mut self, message: &MessageRecord, status: FinalStatus) -> bool {
+    pub fn append_message_with_final_status(
+        &mut self,
+        message: &MessageRecord,
+        status: FinalStatus,
+    ) -> bool {
         let records = [
             codec::encode(&LogRecord::message(message)),
             codec::encode(&LogRecord::final_status(message.number, status)),
