--- a/crates/clock/src/hands.rs
+++ b/crates/clock/src/clock_history.rs
@@ -21,7 +21,7 @@
 
 impl BootId {
     /// The id of the present boot; none where the system does not tell.
-    pub fn present() -> Option<BootId> {
+    pub fn current() -> Option<BootId> {
         let text = std::fs::read_to_string(BOOT_ID_FILE).ok()?;
         let digits: String = text.trim().split('-').collect();
         u128::from_str_radix(&digits, 16).ok().map(BootId)
@@ -30,7 +30,7 @@
 
 /// What the system's clocks say at one instant.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Hands {
+pub struct ClockReading {
     /// The present boot; none where the system does not tell.
     pub boot: Option<BootId>,
     /// Time since that boot, in milliseconds; suspended time counts.
@@ -39,15 +39,15 @@
     pub wall: Millis,
 }
 
-impl Hands {
+impl ClockReading {
     /// Reads the system's clocks.
-    pub fn read() -> Hands {
+    pub fn read() -> ClockReading {
         let since_boot = clock_gettime(ClockId::CLOCK_BOOTTIME);
         let wall = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        Hands {
-            boot: since_boot.ok().and_then(|_| BootId::present()),
+        ClockReading {
+            boot: since_boot.ok().and_then(|_| BootId::current()),
             since_boot: since_boot.map_or(0.0, |time| {
                 time.tv_sec() as f64 * MILLIS_PER_SECOND + time.tv_nsec() as f64 / NANOS_PER_MILLI
             }),
@@ -73,14 +73,14 @@
     /// The anchor of the latest of them; none if none wrote any.
     pub anchor: Option<Anchor>,
     /// The latest instant that any of them wrote; 0 if there is none.
-    pub latest: Millis,
+    pub latest_instant: Millis,
 }
 
 /// Where a clock starts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClockStart {
     /// The instant at which it starts.
-    pub at: Millis,
+    pub instant: Millis,
     /// Its instants are as far from those of earlier processes as the time that has passed. Otherwise nothing is known
     /// of that time but that it was not negative.
     pub is_continuous: bool,
@@ -88,17 +88,17 @@
 
 impl ClockHistory {
     /// Where the clock of the next process starts.
-    pub fn continue_with(&self, hands: &Hands) -> ClockStart {
+    pub fn continue_with(&self, reading: &ClockReading) -> ClockStart {
         let same_boot = self.anchor.filter(|anchor| {
-            Some(anchor.boot) == hands.boot && hands.since_boot >= anchor.since_boot
+            Some(anchor.boot) == reading.boot && reading.since_boot >= anchor.since_boot
         });
         match same_boot {
             Some(anchor) => ClockStart {
-                at: anchor.clock + (hands.since_boot - anchor.since_boot),
+                instant: anchor.clock + (reading.since_boot - anchor.since_boot),
                 is_continuous: true,
             },
             None => ClockStart {
-                at: hands.wall.max(self.latest),
+                instant: reading.wall.max(self.latest_instant),
                 is_continuous: *self == ClockHistory::default(),
             },
         }
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -4,9 +4,9 @@
 //! the clock goes by the time that has passed, also over restarts ([`ClockHistory`]): setting the wall clock changes
 //! nothing. No other part of the sender asks the system for the time.
 
-mod hands;
+mod clock_history;
 
-pub use hands::{Anchor, BootId, ClockHistory, ClockStart, Hands};
+pub use clock_history::{Anchor, BootId, ClockHistory, ClockReading, ClockStart};
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -45,35 +45,35 @@
 impl Clock {
     /// The clock of a process that has none before it.
     pub fn system() -> Clock {
-        Clock::after(&ClockHistory::default())
+        Clock::continuing(&ClockHistory::default())
     }
 
     /// The clock of a process that comes after others.
-    pub fn after(history: &ClockHistory) -> Clock {
-        let hands = Hands::read();
-        Clock::running_from(history.continue_with(&hands), &hands)
+    pub fn continuing(history: &ClockHistory) -> Clock {
+        let reading = ClockReading::read();
+        Clock::running_from(history.continue_with(&reading), &reading)
     }
 
     /// The clock of a process that takes over from one whose clock stood at `at`. Never before `at`. A clock that is not
     /// continuous counts only if it is close behind `at`; otherwise `at` itself does.
     pub fn taking_over(&self, at: Millis) -> Clock {
-        let hands = Hands::read();
+        let reading = ClockReading::read();
         let now = self.now();
         let is_plausible = (at..at + MAX_REPLACEMENT_GAP).contains(&now);
         let trusted = self.is_continuous() || is_plausible;
         let start = ClockStart {
-            at: if trusted { now.max(at) } else { at },
+            instant: if trusted { now.max(at) } else { at },
             is_continuous: true,
         };
-        Clock::running_from(start, &hands)
+        Clock::running_from(start, &reading)
     }
 
-    fn running_from(start: ClockStart, hands: &Hands) -> Clock {
+    fn running_from(start: ClockStart, reading: &ClockReading) -> Clock {
         Clock(Rc::new(Source::System {
             start,
             started: Instant::now(),
-            boot: hands.boot,
-            since_boot: hands.since_boot,
+            boot: reading.boot,
+            since_boot: reading.since_boot,
         }))
     }
 
@@ -97,18 +97,18 @@
             } => boot.map(|boot| Anchor {
                 boot,
                 since_boot: *since_boot,
-                clock: start.at,
+                clock: start.instant,
             }),
             Source::Manual(_) => None,
         }
     }
 
     /// A clock for tests that stands still until [`Clock::set`].
-    pub fn at(now: Millis) -> Clock {
+    pub fn manual(now: Millis) -> Clock {
         Clock(Rc::new(Source::Manual(Cell::new(now))))
     }
 
-    /// Moves a clock made by [`Clock::at`]; does nothing to others.
+    /// Moves a clock made by [`Clock::manual`]; does nothing to others.
     pub fn set(&self, now: Millis) {
         if let Source::Manual(time) = &*self.0 {
             time.set(now);
@@ -119,7 +119,7 @@
     pub fn now(&self) -> Millis {
         match &*self.0 {
             Source::System { start, started, .. } => {
-                start.at + started.elapsed().as_secs_f64() * MILLIS_PER_SECOND
+                start.instant + started.elapsed().as_secs_f64() * MILLIS_PER_SECOND
             }
             Source::Manual(time) => time.get(),
         }
--- a/crates/martenlatch/src/inspect.rs
+++ b/crates/martenlatch/src/inspect.rs
@@ -10,7 +10,7 @@
 /// Prints the messages that are not complete, one a line.
 pub fn show(folder: &Path, json: bool) -> Result<(), CommandError> {
     let log = open(folder)?;
-    let now = Clock::after(&log.recovered.clock_history).now();
+    let now = Clock::continuing(&log.recovered.clock_history).now();
     for record in log.recovered.open_messages.values() {
         let left_ms = record.deadline - now;
         if json {
--- a/crates/sender/src/pipeline/crash_recovery_tests/resumption.rs
+++ b/crates/sender/src/pipeline/crash_recovery_tests/resumption.rs
@@ -68,7 +68,7 @@
         &format!("promised-{name}-{attempted}"),
         [message(3, name, attempts.into_iter().collect(), &rules)].into_iter(),
     );
-    let (mut peers, clock) = (ScriptedPeers::new(Script::Serves), Clock::at(START));
+    let (mut peers, clock) = (ScriptedPeers::new(Script::Serves), Clock::manual(START));
     let (mut driver, _events) = start(&state, MAX_HELD, &peers, true, &clock);
     for _ in 0..600 {
         step(&mut driver, &mut peers, &clock);
@@ -92,7 +92,7 @@
         &format!("listed-{listed}"),
         [message(3, "debit", Vec::new(), &[])].into_iter(),
     );
-    let (mut peers, clock) = (ScriptedPeers::new(Script::Serves), Clock::at(START));
+    let (mut peers, clock) = (ScriptedPeers::new(Script::Serves), Clock::manual(START));
     let (mut driver, _events) = start(&state, MAX_HELD, &peers, listed, &clock);
     for _ in 0..40 {
         step(&mut driver, &mut peers, &clock);
@@ -125,7 +125,7 @@
         "full",
         (0..FULL as u64).map(|number| message(number, "debit", Vec::new(), &[])),
     );
-    let (mut peers, clock) = (ScriptedPeers::new(Script::Serves), Clock::at(START));
+    let (mut peers, clock) = (ScriptedPeers::new(Script::Serves), Clock::manual(START));
     let (mut driver, _events) = start(&state, FULL, &peers, true, &clock);
     let mut clients = Vec::new();
     for round in 0..400 {
--- a/crates/sender/src/pipeline/crash_recovery_tests/two_processes.rs
+++ b/crates/sender/src/pipeline/crash_recovery_tests/two_processes.rs
@@ -51,7 +51,7 @@
         let name = format!("{class}-{script:?}-{stop:?}").replace(['(', ')'], "-");
         let state = empty_folder(&format!("lives-{name}"));
         let peers = ScriptedPeers::new(script);
-        let clock = Clock::at(START);
+        let clock = Clock::manual(START);
         let (driver, events) = start(&state, MAX_HELD, &peers, true, &clock);
         let client = send_message(&driver, class);
         FirstProcess {
--- a/crates/sender/src/pipeline/tests/mod.rs
+++ b/crates/sender/src/pipeline/tests/mod.rs
@@ -47,7 +47,7 @@
     let known = format!(
         r#"{{"targets":[{{"uid":"s","endpoint":"{endpoint}","az":"a","model":"k","pod_group":7,"state":"in_service"}}]}}"#
     );
-    let clock = Clock::at(START);
+    let clock = Clock::manual(START);
     let (driver, events) = start_driver(&state, SETTINGS, &known, endpoint, &clock);
     (driver, clock, events)
 }
--- a/crates/sender/src/pipeline/tests/status_reports.rs
+++ b/crates/sender/src/pipeline/tests/status_reports.rs
@@ -230,7 +230,7 @@
     if restart {
         drop((driver, events));
         let state = folder_path(&folder_name(&name));
-        clock = Clock::at(START + 9_000.0);
+        clock = Clock::manual(START + 9_000.0);
         (driver, events) = start_driver(&state, SETTINGS, "{}", address, &clock);
     }
     assert!(driver.status_reporter.is_done(), "nothing is owed");
@@ -337,7 +337,7 @@
         wal.append_final_status(number, FinalStatus::Undeliverable);
     }
     drop(wal);
-    let clock = Clock::at(START);
+    let clock = Clock::manual(START);
     let (driver, events) = start_driver(&state, SETTINGS, "{}", platform, &clock);
     assert_eq!(driver.status_reporter.unconfirmed().len() as u64, count);
     (driver, clock, events)
--- a/crates/sender/src/startup.rs
+++ b/crates/sender/src/startup.rs
@@ -279,7 +279,7 @@
 /// The clock that goes on from what earlier processes wrote. A log that cannot be read is dealt with when it is opened.
 fn clock_after_earlier_processes(state: &Path) -> Clock {
     let log = log_recovery::inspect(state);
-    let clock = Clock::after(&log.recovered.clock_history);
+    let clock = Clock::continuing(&log.recovered.clock_history);
     if !clock.is_continuous() {
         warn!("the time since the last process is not known");
     }
--- a/crates/wal/src/recovery.rs
+++ b/crates/wal/src/recovery.rs
@@ -84,7 +84,8 @@
             Entry::Reported(status) => self.recently_closed.mark_reported(status),
             Entry::Anchor(anchor) => {
                 self.clock_history.anchor = Some(anchor);
-                self.clock_history.latest = self.clock_history.latest.max(anchor.clock);
+                self.clock_history.latest_instant =
+                    self.clock_history.latest_instant.max(anchor.clock);
             }
             Entry::Unknown { .. } => {}
         }
@@ -108,7 +109,7 @@
     }
 
     fn start_attempt(&mut self, number: u64, attempt: usize, sent: Millis) {
-        self.clock_history.latest = self.clock_history.latest.max(sent);
+        self.clock_history.latest_instant = self.clock_history.latest_instant.max(sent);
         let Some(message) = self.open_messages.get_mut(&number) else {
             return;
         };
