--- a/crates/http/src/codec.rs
+++ b/crates/http/src/codec.rs
@@ -49,7 +49,7 @@
 }
 
 /// The result of [`parse_request`].
-pub enum Parsed {
+pub enum ParsedRequest {
     /// The request is incomplete; true if the client waits for `100 Continue` before it sends the body.
     Partial(bool),
     /// The request is malformed or too large: the status to answer with before the connection is closed.
@@ -59,26 +59,28 @@
 }
 
 /// Parses one request at the front of `input`.
-pub fn parse_request(input: &[u8]) -> Parsed {
+pub fn parse_request(input: &[u8]) -> ParsedRequest {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let body_start = match head.parse(input) {
         Ok(httparse::Status::Complete(length)) if length <= HEAD => length,
-        Ok(httparse::Status::Partial) if input.len() < HEAD => return Parsed::Partial(false),
+        Ok(httparse::Status::Partial) if input.len() < HEAD => {
+            return ParsedRequest::Partial(false);
+        }
         Ok(_) | Err(httparse::Error::TooManyHeaders) => {
-            return Parsed::Invalid(HEADER_FIELDS_TOO_LARGE);
+            return ParsedRequest::Invalid(HEADER_FIELDS_TOO_LARGE);
         }
-        Err(_) => return Parsed::Invalid(BAD_REQUEST),
+        Err(_) => return ParsedRequest::Invalid(BAD_REQUEST),
     };
     let body_length = match request_body_length(&head) {
         Ok(length) => length,
-        Err(status) => return Parsed::Invalid(status),
+        Err(status) => return ParsedRequest::Invalid(status),
     };
     if input.len() - body_start < body_length {
-        return Parsed::Partial(list_contains(head.headers, "expect", "100-continue"));
+        return ParsedRequest::Partial(list_contains(head.headers, "expect", "100-continue"));
     }
     let consumed = body_start + body_length;
-    Parsed::Complete(Request {
+    ParsedRequest::Complete(Request {
         method: head.method.unwrap_or("").into(),
         path: head.path.unwrap_or("").into(),
         headers: head
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -17,16 +17,16 @@
 use crate::system_errors::is_connect_in_progress;
 
 /// What the event loop collects between two rounds.
-pub struct Ready<K> {
+pub struct ReadyEvents<K> {
     /// The keys of the sockets that became readable or writable.
     pub keys: Vec<K>,
     /// Signals that the process has received.
     pub signals: Vec<calloop::signals::Signal>,
 }
 
-impl<K> Default for Ready<K> {
-    fn default() -> Ready<K> {
-        Ready {
+impl<K> Default for ReadyEvents<K> {
+    fn default() -> ReadyEvents<K> {
+        ReadyEvents {
             keys: Vec::new(),
             signals: Vec::new(),
         }
@@ -34,7 +34,7 @@
 }
 
 /// A handle to an event loop that identifies its sockets by keys of type `K`.
-pub type Handle<K> = LoopHandle<'static, Ready<K>>;
+pub type EventLoopHandle<K> = LoopHandle<'static, ReadyEvents<K>>;
 
 /// Registers a socket for reading and writing, edge-triggered: its owner has to read and write until the socket would
 /// block.
@@ -42,13 +42,13 @@
 /// # Errors
 /// The system's error if the socket cannot be watched.
 pub fn register<F: AsFd + 'static, K: Copy + 'static>(
-    handle: &Handle<K>,
+    handle: &EventLoopHandle<K>,
     socket: F,
     key: K,
 ) -> std::io::Result<RegistrationToken> {
     let source = Generic::new(socket, Interest::BOTH, Mode::Edge);
     handle
-        .insert_source(source, move |_, _, ready: &mut Ready<K>| {
+        .insert_source(source, move |_, _, ready: &mut ReadyEvents<K>| {
             ready.keys.push(key);
             Ok(PostAction::Continue)
         })
@@ -71,7 +71,7 @@
 /// A non-blocking connection with its read and write buffers.
 pub struct Connection<K: Copy + 'static> {
     stream: Rc<TcpStream>,
-    handle: Handle<K>,
+    handle: EventLoopHandle<K>,
     token: RegistrationToken,
     pool: BufferPool,
     /// Bytes that were received and not yet consumed; `None` if there are none.
@@ -95,7 +95,7 @@
     /// The system's error if the socket cannot be configured or watched.
     pub fn new(
         stream: TcpStream,
-        handle: &Handle<K>,
+        handle: &EventLoopHandle<K>,
         pool: &BufferPool,
         key: K,
     ) -> std::io::Result<Connection<K>> {
@@ -138,7 +138,7 @@
     pub fn restore(
         stream: TcpStream,
         snapshot: &ConnectionSnapshot,
-        handle: &Handle<K>,
+        handle: &EventLoopHandle<K>,
         pool: &BufferPool,
         key: K,
     ) -> std::io::Result<Connection<K>> {
@@ -159,7 +159,7 @@
     /// ([`crate::is_local_shortage`]).
     pub fn connect(
         address: SocketAddr,
-        handle: &Handle<K>,
+        handle: &EventLoopHandle<K>,
         pool: &BufferPool,
         key: K,
     ) -> std::io::Result<Connection<K>> {
--- a/crates/http/src/connection/tests.rs
+++ b/crates/http/src/connection/tests.rs
@@ -6,7 +6,7 @@
 fn a_connection_that_is_read_before_it_is_up_is_not_given_up() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let events = calloop::EventLoop::<Ready<u8>>::try_new().unwrap();
+    let events = calloop::EventLoop::<ReadyEvents<u8>>::try_new().unwrap();
     // An unconnected socket answers a read as some systems answer it while a connection is being established.
     let socket = Socket::new(
         Domain::for_address(address),
@@ -41,7 +41,7 @@
 fn bytes_that_a_peer_sent_before_its_reset_are_read_though_a_write_meets_the_reset_first() {
     // A response, such as a rejection with Retry-After, may stand before a reset that a write meets first.
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let events = calloop::EventLoop::<Ready<u8>>::try_new().unwrap();
+    let events = calloop::EventLoop::<ReadyEvents<u8>>::try_new().unwrap();
     let address = listener.local_addr().unwrap();
     let mut connection =
         Connection::connect(address, &events.handle(), &BufferPool::new(2), 1).unwrap();
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -14,9 +14,9 @@
 
 pub use body::{Body, BodyProgress};
 pub use codec::{
-    Parsed, Request, Response, encode_response, parse_request, parse_response,
+    ParsedRequest, Request, Response, encode_response, parse_request, parse_response,
     starts_with_status_200,
 };
-pub use connection::{Connection, ConnectionSnapshot, Handle, Ready, register};
+pub use connection::{Connection, ConnectionSnapshot, EventLoopHandle, ReadyEvents, register};
 pub use error::Malformed;
 pub use system_errors::{concerns_one_connection, is_local_shortage};
--- a/crates/lab/src/baseline_relay.rs
+++ b/crates/lab/src/baseline_relay.rs
@@ -10,7 +10,7 @@
 use calloop::EventLoop;
 use calloop::signals::{Signal, Signals};
 use martenlatch_http::buffer_pool::BufferPool;
-use martenlatch_http::{self as http, Handle, Parsed, Ready, Request};
+use martenlatch_http::{self as http, EventLoopHandle, ParsedRequest, ReadyEvents, Request};
 use slab::Slab;
 
 use crate::error::LabError;
@@ -47,18 +47,18 @@
 type AnyError = Box<dyn std::error::Error + Send + Sync>;
 
 fn relay_until_signalled(options: RelayOptions) -> Result<(), AnyError> {
-    let mut events = EventLoop::<Ready<usize>>::try_new()?;
+    let mut events = EventLoop::<ReadyEvents<usize>>::try_new()?;
     let listener = TcpListener::bind(options.listen)?;
     listener.set_nonblocking(true)?;
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT])?;
     events
         .handle()
-        .insert_source(signals, |event, _, ready: &mut Ready<usize>| {
+        .insert_source(signals, |event, _, ready: &mut ReadyEvents<usize>| {
             ready.signals.push(event.signal());
         })
         .map_err(|error| error.to_string())?;
     let mut relay = Relay::new(options, listener, events.handle())?;
-    let mut ready = Ready::default();
+    let mut ready = ReadyEvents::default();
     while ready.signals.is_empty() {
         for key in std::mem::take(&mut ready.keys) {
             relay.handle_ready(key);
@@ -77,7 +77,7 @@
 
 struct Relay {
     options: RelayOptions,
-    handle: Handle<usize>,
+    handle: EventLoopHandle<usize>,
     buffers: BufferPool,
     listener: Rc<TcpListener>,
     peers: Slab<Peer>,
@@ -95,7 +95,7 @@
     fn new(
         options: RelayOptions,
         listener: TcpListener,
-        handle: Handle<usize>,
+        handle: EventLoopHandle<usize>,
     ) -> std::io::Result<Relay> {
         let mut relay = Relay {
             options,
@@ -138,7 +138,7 @@
         };
         connection.flush();
         connection.receive();
-        while let Parsed::Complete(request) = http::parse_request(connection.bytes()) {
+        while let ParsedRequest::Complete(request) = http::parse_request(connection.bytes()) {
             connection.consume(request.consumed);
             if request.method != "POST" {
                 connection.queue(&http::encode_response(200, "", false));
--- a/crates/lab/src/sockets/discovery.rs
+++ b/crates/lab/src/sockets/discovery.rs
@@ -3,7 +3,7 @@
 use std::net::TcpListener;
 
 use martenlatch_clock::Millis;
-use martenlatch_http::{self as http, Parsed, Request};
+use martenlatch_http::{self as http, ParsedRequest, Request};
 use serde_json::{Value, json};
 
 use super::event::Event;
@@ -66,7 +66,7 @@
             }
             return None;
         }
-        let Parsed::Complete(request) = http::parse_request(agent.connection.bytes()) else {
+        let ParsedRequest::Complete(request) = http::parse_request(agent.connection.bytes()) else {
             return None;
         };
         agent.connection.consume(request.consumed);
--- a/crates/lab/src/sockets/mod.rs
+++ b/crates/lab/src/sockets/mod.rs
@@ -22,7 +22,7 @@
 
 use calloop::EventLoop;
 use martenlatch_clock::Millis;
-use martenlatch_http::Ready;
+use martenlatch_http::ReadyEvents;
 
 use crate::error::LabError;
 use crate::experiment::{Experiment, Variant};
@@ -72,12 +72,12 @@
     seed: u64,
     stop: &AtomicBool,
 ) -> Result<SocketRun, LabError> {
-    let mut events = EventLoop::<Ready<usize>>::try_new().map_err(LabError::EventLoop)?;
+    let mut events = EventLoop::<ReadyEvents<usize>>::try_new().map_err(LabError::EventLoop)?;
     let mut testbed = Testbed::new(experiment, variant, seed, events.handle())?;
     let end = experiment.last_deadline() + TIME_AFTER_LAST_DEADLINE;
     testbed.start_senders()?;
     testbed.schedule_run();
-    let mut ready = Ready::default();
+    let mut ready = ReadyEvents::default();
     loop {
         if stop.load(Ordering::Relaxed) {
             return Err(LabError::Stopped);
--- a/crates/lab/src/sockets/partners.rs
+++ b/crates/lab/src/sockets/partners.rs
@@ -3,7 +3,7 @@
 use std::net::TcpListener;
 
 use martenlatch_clock::Millis;
-use martenlatch_http::{self as http, Parsed, Request};
+use martenlatch_http::{self as http, ParsedRequest, Request};
 
 use super::Connection;
 use super::clients::{body_of, message_number};
@@ -104,9 +104,9 @@
             return;
         }
         match http::parse_request(socket.connection.bytes()) {
-            Parsed::Partial(_) => {}
-            Parsed::Invalid(_) => self.fail(LabError::NoRequest { endpoint }),
-            Parsed::Complete(request) => {
+            ParsedRequest::Partial(_) => {}
+            ParsedRequest::Invalid(_) => self.fail(LabError::NoRequest { endpoint }),
+            ParsedRequest::Complete(request) => {
                 socket.connection.consume(request.consumed);
                 match self.check_request(endpoint, &request) {
                     Ok(message) => self.begin_call(key, message, faults.reset, now),
--- a/crates/lab/src/sockets/testbed.rs
+++ b/crates/lab/src/sockets/testbed.rs
@@ -6,7 +6,7 @@
 
 use martenlatch_clock::{Clock, Millis};
 use martenlatch_http::buffer_pool::BufferPool;
-use martenlatch_http::{self as http, Handle};
+use martenlatch_http::{self as http, EventLoopHandle};
 use martenlatch_policy::interface::Settings;
 use slab::Slab;
 
@@ -97,7 +97,7 @@
     pub senders: Vec<SenderSlot>,
     /// Keys of listeners whose endpoints have gone.
     pub vacant_listeners: Vec<usize>,
-    pub handle: Handle<usize>,
+    pub handle: EventLoopHandle<usize>,
     pub buffers: BufferPool,
     pub judge: Judge,
     pub metrics: Metrics,
@@ -124,7 +124,7 @@
         experiment: &'a Experiment,
         variant: &Variant,
         seed: u64,
-        handle: Handle<usize>,
+        handle: EventLoopHandle<usize>,
     ) -> Result<Testbed<'a>, LabError> {
         let environment = Environment::new(experiment, seed);
         let settings = sim::checked_settings(experiment, variant, &environment.site)?;
--- a/crates/lab/src/throughput_ceiling/endpoints.rs
+++ b/crates/lab/src/throughput_ceiling/endpoints.rs
@@ -9,7 +9,7 @@
 
 use calloop::EventLoop;
 use martenlatch_http::buffer_pool::BufferPool;
-use martenlatch_http::{self as http, Handle, Parsed, Ready};
+use martenlatch_http::{self as http, EventLoopHandle, ParsedRequest, ReadyEvents};
 use slab::Slab;
 
 use super::Connection;
@@ -75,11 +75,11 @@
 
 /// Answers until it is told to stop.
 fn serve(listeners: Vec<TcpListener>, served: &AtomicU64, stop: &AtomicBool) {
-    let Ok(mut events) = EventLoop::<Ready<usize>>::try_new() else {
+    let Ok(mut events) = EventLoop::<ReadyEvents<usize>>::try_new() else {
         return;
     };
     let mut server = Server::new(listeners, events.handle(), served);
-    let mut ready = Ready::<usize>::default();
+    let mut ready = ReadyEvents::<usize>::default();
     while !stop.load(Ordering::Relaxed) {
         for key in std::mem::take(&mut ready.keys) {
             server.handle_ready(key);
@@ -91,7 +91,7 @@
 struct Server<'a> {
     listeners: Vec<Rc<TcpListener>>,
     connections: Slab<Connection>,
-    handle: Handle<usize>,
+    handle: EventLoopHandle<usize>,
     buffers: BufferPool,
     served: &'a AtomicU64,
 }
@@ -99,7 +99,7 @@
 impl<'a> Server<'a> {
     fn new(
         listeners: Vec<TcpListener>,
-        handle: Handle<usize>,
+        handle: EventLoopHandle<usize>,
         served: &'a AtomicU64,
     ) -> Server<'a> {
         let listeners: Vec<Rc<TcpListener>> = listeners.into_iter().map(Rc::new).collect();
@@ -139,7 +139,7 @@
             return;
         };
         connection.receive();
-        while let Parsed::Complete(request) = http::parse_request(connection.bytes()) {
+        while let ParsedRequest::Complete(request) = http::parse_request(connection.bytes()) {
             connection.consume(request.consumed);
             self.served.fetch_add(1, Ordering::Relaxed);
             connection.queue(ANSWER);
--- a/crates/lab/src/throughput_ceiling/load_generator.rs
+++ b/crates/lab/src/throughput_ceiling/load_generator.rs
@@ -5,7 +5,7 @@
 
 use calloop::EventLoop;
 use martenlatch_http::buffer_pool::BufferPool;
-use martenlatch_http::{self as http, Handle, Ready};
+use martenlatch_http::{self as http, EventLoopHandle, ReadyEvents};
 
 use super::Connection;
 use super::endpoints::ImmediateEndpoints;
@@ -79,14 +79,14 @@
     /// # Errors
     /// Where the program cannot be reached, or closes a connection.
     pub fn run(&mut self, to: SocketAddr, span: Duration) -> Result<f64, LabError> {
-        let mut events = EventLoop::<Ready<usize>>::try_new().map_err(LabError::EventLoop)?;
+        let mut events = EventLoop::<ReadyEvents<usize>>::try_new().map_err(LabError::EventLoop)?;
         let buffers = BufferPool::new(CLIENTS * BUFFERS_PER_CLIENT);
         let mut clients = connect(to, &events.handle(), &buffers)?;
         let body = "x".repeat(BODY_SIZE);
         let start = Instant::now();
         let before = self.served();
         let mut accepted = 0;
-        let mut ready = Ready::default();
+        let mut ready = ReadyEvents::default();
         while start.elapsed() < span {
             for client in &mut clients {
                 accepted += u64::from(client.read_answer());
@@ -111,7 +111,7 @@
 
 fn connect(
     to: SocketAddr,
-    handle: &Handle<usize>,
+    handle: &EventLoopHandle<usize>,
     buffers: &BufferPool,
 ) -> Result<Vec<Client>, LabError> {
     (0..CLIENTS)
--- a/crates/sender/src/event_source.rs
+++ b/crates/sender/src/event_source.rs
@@ -67,8 +67,8 @@
 }
 
 /// A handle to the sender's event loop.
-pub type Handle = martenlatch_http::Handle<EventSource>;
+pub type Handle = martenlatch_http::EventLoopHandle<EventSource>;
 /// A connection in the sender's event loop.
 pub type Connection = martenlatch_http::Connection<EventSource>;
 /// What the sender's event loop collects between two rounds.
-pub type Ready = martenlatch_http::Ready<EventSource>;
+pub type Ready = martenlatch_http::ReadyEvents<EventSource>;
--- a/crates/sender/src/pipeline/ingress/receive.rs
+++ b/crates/sender/src/pipeline/ingress/receive.rs
@@ -1,7 +1,7 @@
 //! Reading what a client has sent.
 
 use martenlatch_clock::Millis;
-use martenlatch_http::{self as http, Parsed};
+use martenlatch_http::{self as http, ParsedRequest};
 use tracing::debug;
 
 use super::closing::CloseReason;
@@ -41,17 +41,17 @@
             return !self.remove_if_ended(index) && more;
         }
         match http::parse_request(client.connection.bytes()) {
-            Parsed::Partial(expects_continue) => {
+            ParsedRequest::Partial(expects_continue) => {
                 if !self.remove_if_ended(index) && expects_continue {
                     self.send_continue(index);
                 }
                 more
             }
-            Parsed::Invalid(status) => {
+            ParsedRequest::Invalid(status) => {
                 self.answer_malformed(index, status, now, counters);
                 true
             }
-            Parsed::Complete(request) => {
+            ParsedRequest::Complete(request) => {
                 self.on_request(index, &request, now, received, counters);
                 true
             }
