--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -2,8 +2,8 @@
 //!
 //! Like the heads, bodies come from peers that are not trusted: nothing here panics on them.
 
-use crate::buffer_pool::HEAD;
-use crate::error::Malformed;
+use crate::buffer_pool::MAX_HEAD_BYTES;
+use crate::error::MalformedResponse;
 
 /// The line end behind the data of a chunk (`\r\n`), in bytes.
 const CHUNK_LINE_END: usize = 2;
@@ -39,12 +39,12 @@
     /// Decodes the body bytes in `input` and passes their content to `output`.
     ///
     /// # Errors
-    /// [`Malformed`] if a chunk size cannot be read or its line is longer than a head may be.
+    /// [`MalformedResponse`] if a chunk size cannot be read or its line is longer than a head may be.
     pub fn decode(
         &mut self,
         input: &[u8],
         mut output: impl FnMut(&[u8]),
-    ) -> Result<BodyProgress, Malformed> {
+    ) -> Result<BodyProgress, MalformedResponse> {
         match self {
             Body::ContentLength(left) => {
                 let consumed = (*left).min(input.len());
@@ -68,7 +68,7 @@
 
     /// [`Body::decode`] with a plain result: the bytes consumed and whether the body is complete, or `None` if it is
     /// malformed.
-    pub fn feed(&mut self, input: &[u8], output: impl FnMut(&[u8])) -> Option<(usize, bool)> {
+    pub fn try_decode(&mut self, input: &[u8], output: impl FnMut(&[u8])) -> Option<(usize, bool)> {
         let progress = self.decode(input, output).ok()?;
         Some((progress.consumed, progress.complete))
     }
@@ -79,7 +79,7 @@
     last: &mut bool,
     input: &[u8],
     mut output: impl FnMut(&[u8]),
-) -> Result<BodyProgress, Malformed> {
+) -> Result<BodyProgress, MalformedResponse> {
     let mut consumed = 0;
     let mut complete = false;
     while consumed < input.len() && !complete {
@@ -119,22 +119,22 @@
 
 impl ChunkSizeLine {
     /// Bytes of the chunk with its line end; the last chunk has neither.
-    fn bytes_to_read(&self) -> Result<usize, Malformed> {
+    fn bytes_to_read(&self) -> Result<usize, MalformedResponse> {
         if self.chunk_size == 0 {
             return Ok(0);
         }
-        let size = usize::try_from(self.chunk_size).map_err(|_| Malformed)?;
-        size.checked_add(CHUNK_LINE_END).ok_or(Malformed)
+        let size = usize::try_from(self.chunk_size).map_err(|_| MalformedResponse)?;
+        size.checked_add(CHUNK_LINE_END).ok_or(MalformedResponse)
     }
 }
 
 /// `None` while the line is incomplete.
-fn parse_chunk_size(input: &[u8]) -> Result<Option<ChunkSizeLine>, Malformed> {
+fn parse_chunk_size(input: &[u8]) -> Result<Option<ChunkSizeLine>, MalformedResponse> {
     match httparse::parse_chunk_size(input) {
         Ok(httparse::Status::Complete((length, chunk_size))) => {
             Ok(Some(ChunkSizeLine { length, chunk_size }))
         }
-        Ok(httparse::Status::Partial) if input.len() < HEAD => Ok(None),
-        _ => Err(Malformed),
+        Ok(httparse::Status::Partial) if input.len() < MAX_HEAD_BYTES => Ok(None),
+        _ => Err(MalformedResponse),
     }
 }
--- a/crates/http/src/buffer_pool.rs
+++ b/crates/http/src/buffer_pool.rs
@@ -8,11 +8,11 @@
 use std::rc::Rc;
 
 /// Longest head of a request or response, in bytes.
-pub const HEAD: usize = 8 * 1024;
+pub const MAX_HEAD_BYTES: usize = 8 * 1024;
 /// Longest body of a request or response, in bytes.
-pub const BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Size of each buffer in bytes: room for one message of the greatest size.
-pub const BUFFER_SIZE: usize = HEAD + BODY;
+pub const BUFFER_SIZE: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES;
 
 #[derive(Default)]
 struct PoolState {
--- a/crates/http/src/codec.rs
+++ b/crates/http/src/codec.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 
 use crate::body::Body;
-use crate::buffer_pool::{BODY, HEAD};
-use crate::error::Malformed;
+use crate::buffer_pool::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
+use crate::error::MalformedResponse;
 
 /// Most header lines in one message.
 const MAX_HEADERS: usize = 64;
@@ -63,8 +63,8 @@
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let body_start = match head.parse(input) {
-        Ok(httparse::Status::Complete(length)) if length <= HEAD => length,
-        Ok(httparse::Status::Partial) if input.len() < HEAD => {
+        Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD_BYTES => length,
+        Ok(httparse::Status::Partial) if input.len() < MAX_HEAD_BYTES => {
             return ParsedRequest::Partial(false);
         }
         Ok(_) | Err(httparse::Error::TooManyHeaders) => {
@@ -112,7 +112,7 @@
         Ok(None) if may_omit_length => 0,
         _ => return Err(BAD_REQUEST),
     };
-    if length > BODY {
+    if length > MAX_BODY_BYTES {
         return Err(CONTENT_TOO_LARGE);
     }
     Ok(length)
@@ -167,8 +167,8 @@
     pub body: Body,
     /// Whether the connection may carry another request.
     pub keep_alive: bool,
-    /// Malformed framing: the declared lengths contradict each other, cannot be read, or exceed [`BODY`].
-    pub malformed: bool,
+    /// Malformed framing: the declared lengths contradict each other, cannot be read, or exceed [`MAX_BODY_BYTES`].
+    pub malformed_framing: bool,
     /// Names in lower case.
     headers: Vec<(String, String)>,
     /// Length of the head in the input, in bytes.
@@ -188,19 +188,19 @@
 /// Parses the head of a response at the front of `input`; `None` while it is incomplete.
 ///
 /// # Errors
-/// [`Malformed`] if the input is not the head of an HTTP/1 response or is longer than [`HEAD`].
-pub fn parse_response(input: &[u8]) -> Result<Option<Response>, Malformed> {
+/// [`MalformedResponse`] if the input is not the head of an HTTP/1 response or is longer than [`MAX_HEAD_BYTES`].
+pub fn parse_response(input: &[u8]) -> Result<Option<Response>, MalformedResponse> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
     let consumed = match head.parse(input) {
-        Ok(httparse::Status::Complete(length)) if length <= HEAD => length,
-        Ok(httparse::Status::Partial) if input.len() < HEAD => return Ok(None),
-        _ => return Err(Malformed),
+        Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD_BYTES => length,
+        Ok(httparse::Status::Partial) if input.len() < MAX_HEAD_BYTES => return Ok(None),
+        _ => return Err(MalformedResponse),
     };
-    let status = head.code.ok_or(Malformed)?;
+    let status = head.code.ok_or(MalformedResponse)?;
     let declared_length = content_length(head.headers);
     let malformed_framing = match declared_length {
-        Ok(length) => length.is_some_and(|length| length > BODY),
+        Ok(length) => length.is_some_and(|length| length > MAX_BODY_BYTES),
         Err(InvalidLength) => true,
     };
     let body = match declared_length {
@@ -228,7 +228,7 @@
         status,
         body,
         keep_alive,
-        malformed: malformed_framing,
+        malformed_framing,
         headers,
         consumed,
     }))
--- a/crates/http/src/error.rs
+++ b/crates/http/src/error.rs
@@ -3,4 +3,4 @@
 /// Input that is not a valid HTTP response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("malformed HTTP response")]
-pub struct Malformed;
+pub struct MalformedResponse;
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -18,5 +18,5 @@
     starts_with_status_200,
 };
 pub use connection::{Connection, ConnectionSnapshot, EventLoopHandle, ReadyEvents, register};
-pub use error::Malformed;
+pub use error::MalformedResponse;
 pub use system_errors::{concerns_one_connection, is_local_shortage};
--- a/crates/sender/src/discovery/watch.rs
+++ b/crates/sender/src/discovery/watch.rs
@@ -111,7 +111,7 @@
         };
         let framer = &mut self.framer;
         let (consumed, ended) = body
-            .feed(self.connection.bytes(), |bytes| framer.push(bytes, objects))
+            .try_decode(self.connection.bytes(), |bytes| framer.push(bytes, objects))
             .ok_or(WatchFault::MalformedResponse)?;
         self.connection.consume(consumed);
         if self.framer.pending_bytes() > MAX_OBJECT_BYTES {
@@ -136,7 +136,7 @@
                 Ok(())
             }
             Ok(Some(_)) => Err(WatchFault::Refused),
-            Err(http::Malformed) => Err(WatchFault::MalformedResponse),
+            Err(http::MalformedResponse) => Err(WatchFault::MalformedResponse),
         }
     }
 }
--- a/crates/sender/src/egress/response.rs
+++ b/crates/sender/src/egress/response.rs
@@ -1,7 +1,7 @@
 //! Reading responses of endpoints, and what they mean for an attempt and for a connection.
 
 use martenlatch_clock::{Nanos, nanos};
-use martenlatch_http::buffer_pool::BODY;
+use martenlatch_http::buffer_pool::MAX_BODY_BYTES;
 use martenlatch_http::{self as http, Body};
 use martenlatch_policy::interface::Outcome;
 
@@ -39,7 +39,7 @@
         Ok(None) if connection.is_closed() => ResponseProgress::Ended(EndCause::ConnectionLost),
         Ok(None) => ResponseProgress::Pending,
         // The request has run, and the endpoint is up: this is not the reset of one that has gone.
-        Err(http::Malformed) => ResponseProgress::Ended(EndCause::MalformedResponse),
+        Err(http::MalformedResponse) => ResponseProgress::Ended(EndCause::MalformedResponse),
     }
 }
 
@@ -75,17 +75,17 @@
 /// and may be repeated: a malformed one comes after it has run.
 fn body_state(response: &http::Response, connection: &EndpointConnection) -> BodyState {
     let received = &connection.connection.bytes()[response.consumed..];
-    if response.malformed {
+    if response.malformed_framing {
         return BodyState::Malformed;
     }
-    match response.body.clone().feed(received, |_| {}) {
+    match response.body.clone().try_decode(received, |_| {}) {
         None => BodyState::Malformed,
         Some((_, true)) => BodyState::Complete,
         Some((_, false)) if connection.is_closed() => match response.body {
             Body::UntilClose => BodyState::Complete,
             _ => BodyState::Malformed,
         },
-        Some((_, false)) if received.len() >= BODY => BodyState::Malformed,
+        Some((_, false)) if received.len() >= MAX_BODY_BYTES => BodyState::Malformed,
         Some((_, false)) => BodyState::Incomplete,
     }
 }
@@ -150,7 +150,7 @@
     let received = connection.connection.bytes();
     let progress = match connection.remaining_response.as_mut() {
         Some(RemainingResponse::Head | RemainingResponse::Body(Body::UntilClose)) => None,
-        Some(RemainingResponse::Body(body)) => body.feed(received, |_| {}),
+        Some(RemainingResponse::Body(body)) => body.try_decode(received, |_| {}),
         None => received.is_empty().then_some((0, true)),
     };
     match progress {
@@ -171,7 +171,7 @@
     let body = match http::parse_response(connection.connection.bytes()) {
         Ok(Some(response)) => {
             connection.connection.consume(response.consumed);
-            if response.keep_alive && !response.malformed {
+            if response.keep_alive && !response.malformed_framing {
                 response.body
             } else {
                 Body::UntilClose
