--- a/crates/lab/src/error.rs
+++ b/crates/lab/src/error.rs
@@ -6,7 +6,7 @@
 
 use martenlatch_clock::Millis;
 use martenlatch_policy::interface::SettingsError;
-use martenlatch_settings::text::Fault;
+use martenlatch_settings::text::FieldError;
 
 /// How a sender's process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
     Dispatch(#[source] calloop::Error),
     /// An experiment's text is wrong.
     #[error("{0}")]
-    Experiment(#[from] Fault),
+    Experiment(#[from] FieldError),
     /// The decision module rejects the settings that a variant leads to.
     #[error("variant {variant:?}: {source}")]
     VariantSettings {
--- a/crates/lab/src/experiment/failure_reader.rs
+++ b/crates/lab/src/experiment/failure_reader.rs
@@ -2,7 +2,7 @@
 
 use martenlatch_clock::Millis;
 use martenlatch_settings::schema::experiment as schema;
-use martenlatch_settings::text::Fault;
+use martenlatch_settings::text::FieldError;
 
 use super::rules::{self, NumberRule, number};
 use super::section::{Section, Text};
@@ -74,7 +74,11 @@
 ///
 /// # Errors
 /// The first fault.
-pub(super) fn failures(text: &Text, world: &World, seconds: f64) -> Result<Vec<Failure>, Fault> {
+pub(super) fn failures(
+    text: &Text,
+    world: &World,
+    seconds: f64,
+) -> Result<Vec<Failure>, FieldError> {
     let numbered = text.message.failure.iter().enumerate();
     numbered
         .map(|(number, given)| failure(text, number, given, world, seconds))
@@ -87,7 +91,7 @@
     given: &schema::Failure,
     world: &World,
     seconds: f64,
-) -> Result<Failure, Fault> {
+) -> Result<Failure, FieldError> {
     use rules::failure as rule;
     let at = Section::new(text, format!("failure[{number}]"));
     let what = given.what();
@@ -120,7 +124,7 @@
 }
 
 /// Checks that a failure is named, and that no field is given that it does not use.
-fn check_used(at: &Section, given: &schema::Failure, used: &UsedFields) -> Result<(), Fault> {
+fn check_used(at: &Section, given: &schema::Failure, used: &UsedFields) -> Result<(), FieldError> {
     let what = given.what();
     if what == What::Nothing {
         return Err(at.fault("what", "a failure is wanted"));
@@ -138,7 +142,7 @@
     check("every_s", given.every_s.is_some(), used.every.is_some())
 }
 
-fn check_partners(at: &Section, given: &schema::Failure, world: &World) -> Result<(), Fault> {
+fn check_partners(at: &Section, given: &schema::Failure, world: &World) -> Result<(), FieldError> {
     let unknown = given.partner.iter().find(|rank| **rank >= world.partners);
     match unknown {
         Some(rank) => {
--- a/crates/lab/src/experiment/mod.rs
+++ b/crates/lab/src/experiment/mod.rs
@@ -12,7 +12,7 @@
 
 use martenlatch_clock::Millis;
 use martenlatch_settings::schema::experiment as schema;
-use martenlatch_settings::text::Fault;
+use martenlatch_settings::text::FieldError;
 
 use crate::error::LabError;
 use crate::sampling::{Stream, rng_for, uniform};
@@ -247,7 +247,7 @@
     ///
     /// # Errors
     /// The first fault of form or of bounds.
-    pub fn read(name: &str, file: &str, text: &str) -> Result<Experiment, Fault> {
+    pub fn read(name: &str, file: &str, text: &str) -> Result<Experiment, FieldError> {
         reader::read(name, file, text)
     }
 
--- a/crates/lab/src/experiment/reader.rs
+++ b/crates/lab/src/experiment/reader.rs
@@ -3,7 +3,7 @@
 
 use martenlatch_clock::Millis;
 use martenlatch_settings::schema::experiment as schema;
-use martenlatch_settings::text::{self, Fault};
+use martenlatch_settings::text::{self, FieldError};
 
 use super::section::{Section, Text};
 use super::{
@@ -19,7 +19,7 @@
 ///
 /// # Errors
 /// The first fault of form or of bounds.
-pub(super) fn read(name: &str, file: &str, text: &str) -> Result<Experiment, Fault> {
+pub(super) fn read(name: &str, file: &str, text: &str) -> Result<Experiment, FieldError> {
     let text = text::read::<schema::Experiment>(file, text, SCHEMA)?;
     let given = &text.message;
     let top = Section::new(&text, "");
@@ -41,7 +41,7 @@
     })
 }
 
-fn world(text: &Text) -> Result<World, Fault> {
+fn world(text: &Text) -> Result<World, FieldError> {
     use rules::world as rule;
     let at = Section::new(text, "world");
     let given = text.message.world.clone().unwrap_or_default();
@@ -60,7 +60,7 @@
     })
 }
 
-fn kinds(text: &Text, given: Vec<schema::Kind>) -> Result<Vec<Kind>, Fault> {
+fn kinds(text: &Text, given: Vec<schema::Kind>) -> Result<Vec<Kind>, FieldError> {
     let given = if given.is_empty() {
         defaults::kinds()
     } else {
@@ -72,7 +72,7 @@
         .collect()
 }
 
-fn kind(text: &Text, number: usize, given: &schema::Kind) -> Result<Kind, Fault> {
+fn kind(text: &Text, number: usize, given: &schema::Kind) -> Result<Kind, FieldError> {
     use rules::kind as rule;
     let at = Section::new(text, format!("world.kind[{number}]"));
     Ok(Kind {
@@ -94,7 +94,7 @@
     })
 }
 
-fn classes(text: &Text, given: Vec<schema::Class>) -> Result<Vec<Class>, Fault> {
+fn classes(text: &Text, given: Vec<schema::Class>) -> Result<Vec<Class>, FieldError> {
     let given = if given.is_empty() {
         defaults::classes()
     } else {
@@ -106,7 +106,7 @@
         .collect()
 }
 
-fn class(text: &Text, number: usize, given: &schema::Class) -> Result<Class, Fault> {
+fn class(text: &Text, number: usize, given: &schema::Class) -> Result<Class, FieldError> {
     use rules::class as rule;
     let at = Section::new(text, format!("world.class[{number}]"));
     let name = at.name(&given.name)?;
@@ -129,7 +129,7 @@
     })
 }
 
-fn load(text: &Text) -> Result<Load, Fault> {
+fn load(text: &Text) -> Result<Load, FieldError> {
     use rules::load as rule;
     let at = Section::new(text, "load");
     let given = text.message.load.unwrap_or_default();
@@ -145,7 +145,7 @@
     })
 }
 
-fn variants(text: &Text) -> Result<Vec<Variant>, Fault> {
+fn variants(text: &Text) -> Result<Vec<Variant>, FieldError> {
     let given = &text.message.variant;
     let variants: Vec<Variant> = if given.is_empty() {
         vec![variant(text, 0, &defaults::variant())?]
@@ -167,7 +167,7 @@
     Ok(variants)
 }
 
-fn variant(text: &Text, number: usize, given: &schema::Variant) -> Result<Variant, Fault> {
+fn variant(text: &Text, number: usize, given: &schema::Variant) -> Result<Variant, FieldError> {
     use rules::variant as rule;
     let at = Section::new(text, format!("variant[{number}]"));
     let path = |given: &String| (!given.is_empty()).then(|| given.into());
--- a/crates/lab/src/experiment/section.rs
+++ b/crates/lab/src/experiment/section.rs
@@ -2,13 +2,13 @@
 //! top.
 
 use martenlatch_settings::schema::experiment as schema;
-use martenlatch_settings::text::{Fault, Read};
+use martenlatch_settings::text::{FieldError, ParsedFile};
 
 use super::rules::{CountRule, NumberRule, SpanRule};
 use crate::sampling::Span;
 
 /// The text of an experiment as read.
-pub type Text = Read<schema::Experiment>;
+pub type Text = ParsedFile<schema::Experiment>;
 
 /// A section of the text.
 pub struct Section<'a> {
@@ -33,23 +33,34 @@
     }
 
     /// The fault of a field.
-    pub fn fault(&self, field: &str, reason: impl Into<String>) -> Fault {
-        self.text.fault(&self.path_of(field), reason)
+    pub fn fault(&self, field: &str, reason: impl Into<String>) -> FieldError {
+        self.text.field_error(&self.path_of(field), reason)
     }
 
     /// A number within bounds.
-    pub fn checked(&self, field: &str, value: f64, bounds: Span) -> Result<f64, Fault> {
+    pub fn checked(&self, field: &str, value: f64, bounds: Span) -> Result<f64, FieldError> {
         let path = self.path_of(field);
-        self.text.within(&path, value, bounds.least, bounds.most)
+        self.text
+            .check_bounds(&path, value, bounds.least, bounds.most)
     }
 
     /// A number within its bounds, or its default; the default is checked too.
-    pub fn number(&self, field: &str, given: Option<f64>, rule: NumberRule) -> Result<f64, Fault> {
+    pub fn number(
+        &self,
+        field: &str,
+        given: Option<f64>,
+        rule: NumberRule,
+    ) -> Result<f64, FieldError> {
         self.checked(field, given.unwrap_or(rule.default), rule.bounds)
     }
 
     /// A count within its bounds, or its default.
-    pub fn count(&self, field: &str, given: Option<u32>, rule: CountRule) -> Result<u32, Fault> {
+    pub fn count(
+        &self,
+        field: &str,
+        given: Option<u32>,
+        rule: CountRule,
+    ) -> Result<u32, FieldError> {
         let value = given.unwrap_or(rule.default);
         let bounds = Span::new(1.0, rule.most.into());
         self.checked(field, value.into(), bounds)?;
@@ -62,7 +73,7 @@
         field: &str,
         given: Option<u32>,
         bounds: Span,
-    ) -> Result<Option<usize>, Fault> {
+    ) -> Result<Option<usize>, FieldError> {
         let Some(value) = given else {
             return Ok(None);
         };
@@ -76,7 +87,7 @@
         field: &str,
         given: Option<schema::Span>,
         rule: SpanRule,
-    ) -> Result<Span, Fault> {
+    ) -> Result<Span, FieldError> {
         let Some(given) = given else {
             return Ok(rule.default);
         };
@@ -87,7 +98,7 @@
     }
 
     /// The name of what the section describes, which must not be empty.
-    pub fn name(&self, given: &str) -> Result<String, Fault> {
+    pub fn name(&self, given: &str) -> Result<String, FieldError> {
         if given.is_empty() {
             return Err(self.fault("name", "a name is wanted"));
         }
--- a/crates/martenlatch/src/error.rs
+++ b/crates/martenlatch/src/error.rs
@@ -21,7 +21,7 @@
     },
     /// The settings file has a fault of form or bounds.
     #[error(transparent)]
-    InvalidSettings(#[from] text::Fault),
+    InvalidSettings(#[from] text::FieldError),
     /// The platform's configuration cannot be used.
     #[error(transparent)]
     InvalidConfig(#[from] ConfigError),
--- a/crates/settings/src/program.rs
+++ b/crates/settings/src/program.rs
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 
 use crate::schema::settings::{self as schema, Settings, log};
-use crate::text::{self, Fault, Read};
+use crate::text::{self, FieldError, ParsedFile};
 
 /// The full name of the file's message.
 const MESSAGE: &str = "martenlatch.settings.Settings";
@@ -36,9 +36,9 @@
     }
 
     /// The field's value in a file, or its default.
-    fn read(&self, file: &Read<Settings>, value: Option<f64>) -> Result<f64, Fault> {
+    fn read(&self, file: &ParsedFile<Settings>, value: Option<f64>) -> Result<f64, FieldError> {
         let value = value.unwrap_or(self.default);
-        file.within(self.path, value, self.min, self.max)
+        file.check_bounds(self.path, value, self.min, self.max)
     }
 }
 
@@ -128,7 +128,7 @@
 ///
 /// # Errors
 /// The first fault of form or bounds.
-pub fn read(file: &str, text: &str) -> Result<Program, Fault> {
+pub fn read(file: &str, text: &str) -> Result<Program, FieldError> {
     let file = text::read::<Settings>(file, text, MESSAGE)?;
     let mut program = Program::default();
     if let Some(log) = &file.message.log {
@@ -143,7 +143,7 @@
     Ok(program)
 }
 
-fn read_log(file: &Read<Settings>, log: &schema::Log) -> Result<Log, Fault> {
+fn read_log(file: &ParsedFile<Settings>, log: &schema::Log) -> Result<Log, FieldError> {
     let level = match log.level() {
         log::Level::Unset => log::Level::Info,
         level => level,
@@ -156,20 +156,23 @@
     })
 }
 
-fn read_clients(file: &Read<Settings>, clients: &schema::Clients) -> Result<Clients, Fault> {
+fn read_clients(
+    file: &ParsedFile<Settings>,
+    clients: &schema::Clients,
+) -> Result<Clients, FieldError> {
     Ok(Clients {
         request_ms: REQUEST_MS.read(file, clients.request_ms)?,
         idle_ms: IDLE_MS.read(file, clients.idle_ms)?,
     })
 }
 
-fn read_peers(file: &Read<Settings>, peers: &schema::Peers) -> Result<Peers, Fault> {
+fn read_peers(file: &ParsedFile<Settings>, peers: &schema::Peers) -> Result<Peers, FieldError> {
     if peers.secret_file.is_empty() {
         let reason = "a file is wanted that all members share";
-        return Err(file.fault("peers.secret_file", reason));
+        return Err(file.field_error("peers.secret_file", reason));
     }
     if peers.seed.len() > MAX_SEEDS {
-        return Err(file.fault("peers.seed", format!("more than {MAX_SEEDS}")));
+        return Err(file.field_error("peers.seed", format!("more than {MAX_SEEDS}")));
     }
     Ok(Peers {
         listen: read_address(file, "peers.listen", &peers.listen)?,
@@ -184,7 +187,10 @@
     })
 }
 
-fn read_seeds(file: &Read<Settings>, seeds: &[String]) -> Result<Vec<SocketAddr>, Fault> {
+fn read_seeds(
+    file: &ParsedFile<Settings>,
+    seeds: &[String],
+) -> Result<Vec<SocketAddr>, FieldError> {
     seeds
         .iter()
         .enumerate()
@@ -192,9 +198,13 @@
         .collect()
 }
 
-fn read_address(file: &Read<Settings>, field: &str, address: &str) -> Result<SocketAddr, Fault> {
+fn read_address(
+    file: &ParsedFile<Settings>,
+    field: &str,
+    address: &str,
+) -> Result<SocketAddr, FieldError> {
     match address.parse::<SocketAddr>() {
         Ok(parsed) if parsed.port() != 0 => Ok(parsed),
-        _ => Err(file.fault(field, format!("{address:?} is not an address with a port"))),
+        _ => Err(file.field_error(field, format!("{address:?} is not an address with a port"))),
     }
 }
--- a/crates/settings/src/program/tests.rs
+++ b/crates/settings/src/program/tests.rs
@@ -18,7 +18,7 @@
         (peers.seeds.len(), peers.learn_ms, peers.half_life_ms),
         (1, 200.0, 20_000.0)
     );
-    let fault = |text: Result<Program, Fault>| text.unwrap_err().to_string();
+    let fault = |text: Result<Program, FieldError>| text.unwrap_err().to_string();
     let odd = fault(some("seed: \"127.0.0.1:7301\" seed: \"here\""));
     assert_eq!(
         odd,
--- a/crates/settings/src/text/mod.rs
+++ b/crates/settings/src/text/mod.rs
@@ -19,7 +19,7 @@
 /// What is wrong with a file. `Display` is one line of text.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}:{line}: {}{reason}", field_prefix(field))]
-pub struct Fault {
+pub struct FieldError {
     /// The file's name, as it was given.
     pub file: String,
     /// The line in the file, from 1.
@@ -40,7 +40,7 @@
 
 /// A message that was read, with the positions of its fields for checks that follow.
 #[derive(Debug)]
-pub struct Read<T> {
+pub struct ParsedFile<T> {
     /// The message.
     pub message: T,
     file: String,
@@ -48,11 +48,11 @@
     positions: Vec<FieldPosition>,
 }
 
-impl<T> Read<T> {
+impl<T> ParsedFile<T> {
     /// A fault of a field, given by its path (`clients.idle_ms`, `failure[1].part`). The fault of an absent field is
     /// placed at the nearest parent in the file.
-    pub fn fault(&self, field: &str, reason: impl Into<String>) -> Fault {
-        Fault {
+    pub fn field_error(&self, field: &str, reason: impl Into<String>) -> FieldError {
+        FieldError {
             file: self.file.clone(),
             line: line_at(&self.text, self.offset_of(field)),
             field: field.into(),
@@ -78,11 +78,17 @@
     ///
     /// # Errors
     /// A fault that names the field and the bounds.
-    pub fn within(&self, field: &str, value: f64, least: f64, most: f64) -> Result<f64, Fault> {
+    pub fn check_bounds(
+        &self,
+        field: &str,
+        value: f64,
+        least: f64,
+        most: f64,
+    ) -> Result<f64, FieldError> {
         if (least..=most).contains(&value) {
             return Ok(value);
         }
-        Err(self.fault(field, format!("{value} is not within {least} and {most}")))
+        Err(self.field_error(field, format!("{value} is not within {least} and {most}")))
     }
 }
 
@@ -121,17 +127,17 @@
     file: &str,
     text: &str,
     name: &str,
-) -> Result<Read<T>, Fault> {
+) -> Result<ParsedFile<T>, FieldError> {
     let descriptor = SCHEMAS
         .get_message_by_name(name)
         .expect("the caller names a message of the schemas");
     let positions = field_positions(text);
     let dynamic = DynamicMessage::parse_text_format(descriptor.clone(), text)
-        .map_err(|error| parse_errors::fault(file, text, &descriptor, &positions, &error))?;
+        .map_err(|error| parse_errors::field_error(file, text, &descriptor, &positions, &error))?;
     let message = dynamic
         .transcode_to()
         .expect("the type and the descriptor are generated from one schema");
-    Ok(Read {
+    Ok(ParsedFile {
         message,
         file: file.into(),
         text: text.into(),
--- a/crates/settings/src/text/parse_errors.rs
+++ b/crates/settings/src/text/parse_errors.rs
@@ -6,16 +6,16 @@
 use prost_reflect::{Kind, MessageDescriptor};
 
 use super::field_positions::FieldPosition;
-use super::{Fault, line_at, without_first_indices};
+use super::{FieldError, line_at, without_first_indices};
 
 /// The fault that the parser found in a text.
-pub(super) fn fault(
+pub(super) fn field_error(
     file: &str,
     text: &str,
     descriptor: &MessageDescriptor,
     positions: &[FieldPosition],
     error: &ParseError,
-) -> Fault {
+) -> FieldError {
     let label = error.labels().and_then(|mut labels| labels.next());
     let offset = label.map_or(text.len(), |label| label.offset());
     let mut preceding = positions.iter().rev();
@@ -24,7 +24,7 @@
         .map_or("", |position| position.path.as_str());
     let rest = &text[offset.min(text.len())..];
     let reason = unknown_name(descriptor, path, rest).unwrap_or_else(|| error.to_string());
-    Fault {
+    FieldError {
         file: file.into(),
         line: line_at(text, offset),
         field: without_first_indices(path),
--- a/crates/settings/src/text/tests.rs
+++ b/crates/settings/src/text/tests.rs
@@ -50,14 +50,14 @@
     let text = "log { }\nclients {\n  request_ms: 5\n}";
     let read = read::<Settings>("f", text, "martenlatch.settings.Settings").unwrap();
     let fault = read
-        .within("clients.request_ms", 5.0, 100.0, 2900.0)
+        .check_bounds("clients.request_ms", 5.0, 100.0, 2900.0)
         .unwrap_err();
     assert_eq!(
         fault.to_string(),
         "f:3: clients.request_ms: 5 is not within 100 and 2900"
     );
     assert_eq!(
-        read.fault("clients.idle_ms", "absent").line,
+        read.field_error("clients.idle_ms", "absent").line,
         2,
         "at its parent"
     );
