--- a/crates/martenlatch/src/commands.rs
+++ b/crates/martenlatch/src/commands.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 
 use martenlatch_sender::Config;
-use martenlatch_settings::program::{self, Program};
+use martenlatch_settings::program::{self, ProgramSettings};
 
 use crate::cli::{Cli, Command, EXIT_DAMAGED, WalCommand};
 use crate::error::CommandError;
@@ -77,9 +77,9 @@
 }
 
 /// The program's own settings; the defaults if no file is given.
-fn read_settings(file: Option<&Path>) -> Result<Program, CommandError> {
+fn read_settings(file: Option<&Path>) -> Result<ProgramSettings, CommandError> {
     let Some(file) = file else {
-        return Ok(Program::default());
+        return Ok(ProgramSettings::default());
     };
     let text = std::fs::read_to_string(file).map_err(|source| CommandError::ReadSettings {
         file: file.to_path_buf(),
@@ -89,7 +89,7 @@
 }
 
 /// The platform's configuration, with what the settings add to it.
-fn read_config(settings: Program) -> Result<Config, CommandError> {
+fn read_config(settings: ProgramSettings) -> Result<Config, CommandError> {
     let config = Config::read()?;
     Ok(Config {
         clients: settings.clients,
--- a/crates/martenlatch/src/logging.rs
+++ b/crates/martenlatch/src/logging.rs
@@ -7,7 +7,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Instant;
 
-use martenlatch_settings::program::Log;
+use martenlatch_settings::program::LogSettings;
 use martenlatch_settings::schema::settings::log::Level;
 use tracing_subscriber::filter::{LevelFilter, Targets};
 use tracing_subscriber::fmt::MakeWriter;
@@ -112,7 +112,7 @@
 }
 
 /// Starts the log for the life of the process. A second call changes nothing.
-pub fn start(log: &Log) {
+pub fn start(log: &LogSettings) {
     let builder = tracing_subscriber::fmt()
         .with_max_level(level_filter(log.level))
         .with_target(false)
--- a/crates/martenlatch/src/members.rs
+++ b/crates/martenlatch/src/members.rs
@@ -9,7 +9,7 @@
 
 use martenlatch_peers::membership::{MemberUpdate, State};
 use martenlatch_peers::wire::{Fault, Page, Secret};
-use martenlatch_settings::program::Peers;
+use martenlatch_settings::program::PeerSettings;
 use serde_json::json;
 
 use crate::error::{CommandError, QueryError};
@@ -23,7 +23,7 @@
 ///
 /// # Errors
 /// If the secret cannot be read, or the sender does not give a response that can be authenticated.
-pub fn show(peers: &Peers, as_json: bool) -> Result<(), CommandError> {
+pub fn show(peers: &PeerSettings, as_json: bool) -> Result<(), CommandError> {
     let secret = martenlatch_sender::secret(&peers.secret_file)?;
     let members = query(peers, &secret).map_err(|source| CommandError::QueryMembers {
         address: peers.listen,
@@ -40,7 +40,7 @@
     Ok(())
 }
 
-fn query(peers: &Peers, secret: &Secret) -> Result<Vec<MemberUpdate>, QueryError> {
+fn query(peers: &PeerSettings, secret: &Secret) -> Result<Vec<MemberUpdate>, QueryError> {
     let mut stream = TcpStream::connect_timeout(&peers.listen, TIMEOUT)?;
     stream.set_read_timeout(Some(TIMEOUT))?;
     // The response repeats this number, so that an earlier one is not taken for it.
--- a/crates/sender/src/config.rs
+++ b/crates/sender/src/config.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use martenlatch_settings::platform::{self, PlatformSettings};
-use martenlatch_settings::program::{Clients, Peers, Program};
+use martenlatch_settings::program::{ClientTimeouts, PeerSettings, ProgramSettings};
 use serde_json::Value;
 
 /// The environment variable that names the configuration file.
@@ -51,9 +51,9 @@
     /// The platform's settings.
     pub platform_settings: PlatformSettings,
     /// The timeouts for clients, from the program's own settings.
-    pub clients: Clients,
+    pub clients: ClientTimeouts,
     /// The other senders, from the program's own settings; none where senders do not know one another.
-    pub peers: Option<Peers>,
+    pub peers: Option<PeerSettings>,
 }
 
 /// Why the platform's configuration cannot be used. `Display` is one line that names the field or variable.
@@ -146,7 +146,7 @@
             memory: read_megabytes(&json, "memory_mb", MIN_MEMORY_MEGABYTES)?,
             known,
             platform_settings,
-            clients: Program::default().clients,
+            clients: ProgramSettings::default().clients,
             peers: None,
         })
     }
--- a/crates/sender/src/peer_service/mod.rs
+++ b/crates/sender/src/peer_service/mod.rs
@@ -45,7 +45,7 @@
 
 /// The other senders, as this one knows them.
 pub struct PeerService {
-    settings: program::Peers,
+    settings: program::PeerSettings,
     secret: Secret,
     sockets: Sockets,
     membership: Membership,
@@ -69,7 +69,7 @@
     /// # Errors
     /// If the shared secret cannot be read, or the address to listen on cannot be bound.
     pub fn open(
-        settings: &program::Peers,
+        settings: &program::PeerSettings,
         name: &str,
         folder: &Path,
         per_endpoint: Vec<bool>,
@@ -213,7 +213,7 @@
 }
 
 fn join(
-    settings: &program::Peers,
+    settings: &program::PeerSettings,
     name: &str,
     incarnation: u64,
     rng_seed: u64,
--- a/crates/sender/src/peer_service/seed_queries.rs
+++ b/crates/sender/src/peer_service/seed_queries.rs
@@ -76,7 +76,7 @@
 impl SeedQueries {
     /// No query runs yet. `rng_seed` selects the first seed, so that starting senders do not all query the same one.
     pub(super) fn new(
-        settings: &program::Peers,
+        settings: &program::PeerSettings,
         local_name: String,
         rng_seed: u64,
         handle: &Handle,
--- a/crates/sender/src/pipeline/ingress/mod.rs
+++ b/crates/sender/src/pipeline/ingress/mod.rs
@@ -18,7 +18,7 @@
 use martenlatch_clock::Millis;
 use martenlatch_http as http;
 use martenlatch_http::buffer_pool::BufferPool;
-use martenlatch_settings::program::Clients;
+use martenlatch_settings::program::ClientTimeouts;
 use slab::Slab;
 
 use crate::error::SenderError;
@@ -47,7 +47,7 @@
     pub(super) max_clients: usize,
     /// How long a client may take over a request, the first one counted from its connection, and how long it may be
     /// idle between two requests.
-    pub(super) timeouts: Clients,
+    pub(super) timeouts: ClientTimeouts,
     /// The longest Retry-After that clients follow; none if they follow none.
     pub(super) max_retry_after: Option<Millis>,
 }
--- a/crates/sender/src/pipeline/ingress/sweep.rs
+++ b/crates/sender/src/pipeline/ingress/sweep.rs
@@ -1,7 +1,7 @@
 //! Closing the connections of clients that are over their time, and of all clients at shutdown.
 
 use martenlatch_clock::Millis;
-use martenlatch_settings::program::Clients;
+use martenlatch_settings::program::ClientTimeouts;
 
 use super::closing::CloseReason;
 use super::{Client, Ingress};
@@ -27,7 +27,7 @@
     TimeOutRequest,
 }
 
-fn judge(client: &Client, timeouts: Clients, now: Millis) -> SweepVerdict {
+fn judge(client: &Client, timeouts: ClientTimeouts, now: Millis) -> SweepVerdict {
     let age = now - client.since;
     if client.closing {
         let limit = if client.connection.is_flushed() {
--- a/crates/sender/src/pipeline/test_support.rs
+++ b/crates/sender/src/pipeline/test_support.rs
@@ -6,7 +6,7 @@
 
 use martenlatch_clock::{Clock, Millis};
 use martenlatch_settings::platform;
-use martenlatch_settings::program::Program;
+use martenlatch_settings::program::ProgramSettings;
 
 use super::{Driver, Start};
 use crate::Config;
@@ -57,7 +57,7 @@
         disk: DISK_LIMIT,
         memory: 64_000_000,
         known: serde_json::from_str(known).unwrap(),
-        clients: Program::default().clients,
+        clients: ProgramSettings::default().clients,
         peers: None,
         platform_settings: platform::read(settings).unwrap(),
     };
--- a/crates/sender/src/startup.rs
+++ b/crates/sender/src/startup.rs
@@ -10,7 +10,7 @@
 use martenlatch_clock::{Clock, Millis};
 use martenlatch_handover::{Lock, ReceivedState};
 use martenlatch_http::is_local_shortage;
-use martenlatch_settings::program::Peers as PeerSettings;
+use martenlatch_settings::program::PeerSettings;
 use socket2::{Domain, Protocol, Socket, Type};
 use tracing::{info, warn};
 
--- a/crates/settings/src/program.rs
+++ b/crates/settings/src/program.rs
@@ -55,7 +55,7 @@
 
 /// The format and the bounds of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Log {
+pub struct LogSettings {
     /// Whether lines are JSON objects instead of `key=value` pairs.
     pub json: bool,
     /// The least severe level that is logged.
@@ -66,7 +66,7 @@
 
 /// The timeouts for clients, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Clients {
+pub struct ClientTimeouts {
     /// For a whole request. The time for the first one starts with its connection.
     pub request_ms: f64,
     /// Between two requests.
@@ -75,7 +75,7 @@
 
 /// How this sender meets its peers, the other senders. Times are in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Peers {
+pub struct PeerSettings {
     /// The address for datagrams and connections.
     pub listen: SocketAddr,
     /// The addresses of senders that usually run; this one's may be among them.
@@ -98,24 +98,24 @@
 
 /// The sender's own settings, checked.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Program {
+pub struct ProgramSettings {
     /// The format and the bounds of the log.
-    pub log: Log,
+    pub log: LogSettings,
     /// The timeouts for clients.
-    pub clients: Clients,
+    pub clients: ClientTimeouts,
     /// How this sender meets its peers; none if senders share nothing.
-    pub peers: Option<Peers>,
+    pub peers: Option<PeerSettings>,
 }
 
-impl Default for Program {
-    fn default() -> Program {
-        Program {
-            log: Log {
+impl Default for ProgramSettings {
+    fn default() -> ProgramSettings {
+        ProgramSettings {
+            log: LogSettings {
                 json: false,
                 level: log::Level::Info,
                 lines_per_second: LINES_PER_SECOND.default as u32,
             },
-            clients: Clients {
+            clients: ClientTimeouts {
                 request_ms: REQUEST_MS.default,
                 idle_ms: IDLE_MS.default,
             },
@@ -128,9 +128,9 @@
 ///
 /// # Errors
 /// The first fault of form or bounds.
-pub fn read(file: &str, text: &str) -> Result<Program, FieldError> {
+pub fn read(file: &str, text: &str) -> Result<ProgramSettings, FieldError> {
     let file = text::read::<Settings>(file, text, MESSAGE)?;
-    let mut program = Program::default();
+    let mut program = ProgramSettings::default();
     if let Some(log) = &file.message.log {
         program.log = read_log(&file, log)?;
     }
@@ -143,13 +143,13 @@
     Ok(program)
 }
 
-fn read_log(file: &ParsedFile<Settings>, log: &schema::Log) -> Result<Log, FieldError> {
+fn read_log(file: &ParsedFile<Settings>, log: &schema::Log) -> Result<LogSettings, FieldError> {
     let level = match log.level() {
         log::Level::Unset => log::Level::Info,
         level => level,
     };
     let lines_per_second = LINES_PER_SECOND.read(file, log.lines_per_second.map(f64::from))?;
-    Ok(Log {
+    Ok(LogSettings {
         json: log.format() == log::Format::Json,
         level,
         lines_per_second: lines_per_second as u32,
@@ -159,14 +159,17 @@
 fn read_clients(
     file: &ParsedFile<Settings>,
     clients: &schema::Clients,
-) -> Result<Clients, FieldError> {
-    Ok(Clients {
+) -> Result<ClientTimeouts, FieldError> {
+    Ok(ClientTimeouts {
         request_ms: REQUEST_MS.read(file, clients.request_ms)?,
         idle_ms: IDLE_MS.read(file, clients.idle_ms)?,
     })
 }
 
-fn read_peers(file: &ParsedFile<Settings>, peers: &schema::Peers) -> Result<Peers, FieldError> {
+fn read_peers(
+    file: &ParsedFile<Settings>,
+    peers: &schema::Peers,
+) -> Result<PeerSettings, FieldError> {
     if peers.secret_file.is_empty() {
         let reason = "a file is wanted that all members share";
         return Err(file.field_error("peers.secret_file", reason));
@@ -174,7 +177,7 @@
     if peers.seed.len() > MAX_SEEDS {
         return Err(file.field_error("peers.seed", format!("more than {MAX_SEEDS}")));
     }
-    Ok(Peers {
+    Ok(PeerSettings {
         listen: read_address(file, "peers.listen", &peers.listen)?,
         seeds: read_seeds(file, &peers.seed)?,
         secret_file: peers.secret_file.clone().into(),
--- a/crates/settings/src/program/tests.rs
+++ b/crates/settings/src/program/tests.rs
@@ -18,7 +18,7 @@
         (peers.seeds.len(), peers.learn_ms, peers.half_life_ms),
         (1, 200.0, 20_000.0)
     );
-    let fault = |text: Result<Program, FieldError>| text.unwrap_err().to_string();
+    let fault = |text: Result<ProgramSettings, FieldError>| text.unwrap_err().to_string();
     let odd = fault(some("seed: \"127.0.0.1:7301\" seed: \"here\""));
     assert_eq!(
         odd,
@@ -39,8 +39,8 @@
 #[test]
 fn the_shipped_file_gives_the_defaults_and_bounds_are_checked() {
     let shipped = include_str!("../../../../deploy/settings.textproto");
-    assert_eq!(read("shipped", shipped), Ok(Program::default()));
-    assert_eq!(read("empty", ""), Ok(Program::default()));
+    assert_eq!(read("shipped", shipped), Ok(ProgramSettings::default()));
+    assert_eq!(read("empty", ""), Ok(ProgramSettings::default()));
     let fault = read("f", "clients { request_ms: nan }").unwrap_err();
     assert_eq!(
         fault.to_string(),
