--- a/crates/wal/src/codec.rs
+++ b/crates/wal/src/codec.rs
@@ -2,7 +2,7 @@
 //!
 //! A file is [`MAGIC`] followed by frames. A frame is the payload's length (`u32`), the payload's CRC-32 (`u32`) and the
 //! payload. A payload is a tag byte, a message number (`u64`) and the fields of the record type that the tag names.
-//! Integers are little-endian, instants are the bits of an `f64`, and strings have a `u32` length before them.
+//! Integers are little-endian, instants are the bits of an `f64`, and strings are preceded by their length as a `u32`.
 
 use martenlatch_clock::{Anchor, BootId, Millis};
 
@@ -10,10 +10,10 @@
 
 /// The first bytes of a log file: its format and version.
 pub(crate) const MAGIC: &[u8; 8] = b"mlatch1\n";
-/// Longest payload in bytes; a frame that says a longer one is torn.
-const MAX_PAYLOAD: usize = 80 * 1024;
+/// A frame that declares a longer payload counts as torn.
+const MAX_PAYLOAD_BYTES: usize = 80 * 1024;
 
-/// Marks before an idempotency key, so that an absent key differs from an empty one.
+/// The byte stored before an idempotency key, which distinguishes an absent key from an empty one.
 const KEY_ABSENT: u8 = 0;
 const KEY_PRESENT: u8 = 1;
 
@@ -36,12 +36,12 @@
 }
 
 fn encode_payload(record: &LogRecord<'_>) -> Vec<u8> {
-    let header = PayloadWriter(vec![record.entry.tag()]).integer(record.number);
+    let header = PayloadWriter(vec![record.entry.tag()]).u64(record.number);
     let payload = match record.entry {
         Entry::Message(message) => encode_message(header, &message),
         Entry::ClassRules { class, rules } => header.bytes(class.as_bytes()).bytes(rules),
-        Entry::Attempt { attempt, sent } => header.integer(attempt as u64).instant(sent),
-        Entry::NeverRan { attempt } => header.integer(attempt as u64),
+        Entry::Attempt { attempt, sent_at } => header.u64(attempt as u64).instant(sent_at),
+        Entry::NeverRan { attempt } => header.u64(attempt as u64),
         Entry::FinalStatus(status) | Entry::Reported(status) => encode_final_status(header, status),
         Entry::Closed { id } => header.bytes(id.as_bytes()),
         Entry::Anchor(anchor) => encode_anchor(header, &anchor),
@@ -51,12 +51,12 @@
 }
 
 fn encode_message(header: PayloadWriter, message: &MessageFields<'_>) -> PayloadWriter {
-    let marked_key = match message.key {
+    let marked_key = match message.idempotency_key {
         Some(key) => [&[KEY_PRESENT], key.as_bytes()].concat(),
         None => vec![KEY_ABSENT],
     };
     header
-        .integer(message.destination)
+        .u64(message.destination)
         .instant(message.deadline)
         .bytes(message.id.as_bytes())
         .bytes(message.class.as_bytes())
@@ -70,19 +70,19 @@
         FinalStatus::Deferred(None) => (DEFERRED, 0),
         FinalStatus::Deferred(Some(delay)) => (DEFERRED_WITH_DELAY, delay),
     };
-    header.integer(code).integer(delay)
+    header.u64(code).u64(delay)
 }
 
 fn encode_anchor(header: PayloadWriter, anchor: &Anchor) -> PayloadWriter {
     let BootId(boot) = anchor.boot;
     header
-        .integer(boot as u64)
-        .integer((boot >> u64::BITS) as u64)
+        .u64(boot as u64)
+        .u64((boot >> u64::BITS) as u64)
         .instant(anchor.since_boot)
         .instant(anchor.clock)
 }
 
-/// The part that all payloads share.
+/// The start of a payload, which is the same for all record types, and the fields that follow it.
 pub(crate) struct RecordHeader<'a> {
     pub(crate) tag: u8,
     pub(crate) number: u64,
@@ -90,11 +90,11 @@
 }
 
 impl<'a> RecordHeader<'a> {
-    /// Decodes a payload's tag and message number; none if it is too short for them.
+    /// Decodes a payload's tag and message number. `None` if the payload is too short for them.
     pub(crate) fn decode(payload: &'a [u8]) -> Option<RecordHeader<'a>> {
         let (tag, rest) = payload.split_first()?;
-        let mut reader = Reader(rest);
-        let number = reader.integer()?;
+        let mut reader = ByteReader(rest);
+        let number = reader.u64()?;
         Some(RecordHeader {
             tag: *tag,
             number,
@@ -102,9 +102,9 @@
         })
     }
 
-    /// Decodes the fields behind the header; none if they are not of the form that the tag demands.
+    /// Decodes the fields after the header. `None` if they do not match the record type that the tag names.
     pub(crate) fn decode_entry(&self) -> Option<Entry<'a>> {
-        let mut reader = Reader(self.fields);
+        let mut reader = ByteReader(self.fields);
         let entry = match self.tag {
             tag::MESSAGE => Entry::Message(decode_message(&mut reader)?),
             tag::CLASS_RULES => Entry::ClassRules {
@@ -112,11 +112,11 @@
                 rules: reader.bytes()?,
             },
             tag::ATTEMPT => Entry::Attempt {
-                attempt: reader.integer()? as usize,
-                sent: reader.instant()?,
+                attempt: reader.u64()? as usize,
+                sent_at: reader.instant()?,
             },
             tag::NEVER_RAN => Entry::NeverRan {
-                attempt: reader.integer()? as usize,
+                attempt: reader.u64()? as usize,
             },
             tag::FINAL_STATUS => Entry::FinalStatus(decode_final_status(&mut reader)?),
             tag::REPORTED => Entry::Reported(decode_final_status(&mut reader)?),
@@ -128,13 +128,13 @@
     }
 }
 
-fn decode_message<'a>(reader: &mut Reader<'a>) -> Option<MessageFields<'a>> {
+fn decode_message<'a>(reader: &mut ByteReader<'a>) -> Option<MessageFields<'a>> {
     Some(MessageFields {
-        destination: reader.integer()?,
+        destination: reader.u64()?,
         deadline: reader.instant()?,
         id: reader.text()?,
         class: reader.text()?,
-        key: match reader.bytes()?.split_first()? {
+        idempotency_key: match reader.bytes()?.split_first()? {
             (&KEY_ABSENT, _) => None,
             (_, key) => Some(std::str::from_utf8(key).ok()?),
         },
@@ -142,9 +142,9 @@
     })
 }
 
-fn decode_final_status(reader: &mut Reader<'_>) -> Option<FinalStatus> {
-    let code = reader.integer()?;
-    let delay = reader.integer()?;
+fn decode_final_status(reader: &mut ByteReader<'_>) -> Option<FinalStatus> {
+    let code = reader.u64()?;
+    let delay = reader.u64()?;
     Some(match code {
         UNDELIVERABLE => FinalStatus::Undeliverable,
         DEFERRED => FinalStatus::Deferred(None),
@@ -152,9 +152,9 @@
     })
 }
 
-fn decode_anchor(reader: &mut Reader<'_>) -> Option<Anchor> {
-    let low = reader.integer()?;
-    let high = reader.integer()?;
+fn decode_anchor(reader: &mut ByteReader<'_>) -> Option<Anchor> {
+    let low = reader.u64()?;
+    let high = reader.u64()?;
     Some(Anchor {
         boot: BootId(u128::from(high) << u64::BITS | u128::from(low)),
         since_boot: reader.instant()?,
@@ -164,14 +164,14 @@
 
 /// The payloads of a log file, up to its end or the first torn frame.
 pub(crate) struct Payloads<'a> {
-    reader: Reader<'a>,
+    reader: ByteReader<'a>,
     file_size: usize,
 }
 
 impl<'a> Payloads<'a> {
-    /// Starts behind the magic bytes; none if the file does not begin with them.
+    /// Starts after the magic bytes. `None` if the file does not begin with them.
     pub(crate) fn new(file: &'a [u8]) -> Option<Payloads<'a>> {
-        let mut reader = Reader(file);
+        let mut reader = ByteReader(file);
         if reader.take(MAGIC.len())? != MAGIC {
             return None;
         }
@@ -181,7 +181,7 @@
         })
     }
 
-    /// Bytes of the file before the next frame.
+    /// The offset of the next frame in the file, in bytes.
     pub(crate) fn offset(&self) -> u64 {
         (self.file_size - self.reader.0.len()) as u64
     }
@@ -191,25 +191,25 @@
     type Item = &'a [u8];
 
     fn next(&mut self) -> Option<&'a [u8]> {
-        let length = self.reader.word()? as usize;
-        let checksum = self.reader.word()?;
+        let length = self.reader.u32()? as usize;
+        let checksum = self.reader.u32()?;
         let payload = self.reader.take(length)?;
-        let complete = length <= MAX_PAYLOAD && crc32fast::hash(payload) == checksum;
+        let complete = length <= MAX_PAYLOAD_BYTES && crc32fast::hash(payload) == checksum;
         complete.then_some(payload)
     }
 }
 
-/// A payload being written.
+/// Appends fields to a payload.
 struct PayloadWriter(Vec<u8>);
 
 impl PayloadWriter {
-    fn integer(mut self, value: u64) -> PayloadWriter {
+    fn u64(mut self, value: u64) -> PayloadWriter {
         self.0.extend(value.to_le_bytes());
         self
     }
 
     fn instant(self, value: Millis) -> PayloadWriter {
-        self.integer(value.to_bits())
+        self.u64(value.to_bits())
     }
 
     fn bytes(mut self, value: &[u8]) -> PayloadWriter {
@@ -219,34 +219,34 @@
     }
 }
 
-/// The bytes that are still to be read. Each method gives none where there are too few.
-struct Reader<'a>(&'a [u8]);
+/// The bytes that are still to be read. Each method returns `None` if too few of them are left.
+struct ByteReader<'a>(&'a [u8]);
 
-impl<'a> Reader<'a> {
+impl<'a> ByteReader<'a> {
     fn take(&mut self, count: usize) -> Option<&'a [u8]> {
         let (taken, rest) = self.0.split_at_checked(count)?;
         self.0 = rest;
         Some(taken)
     }
 
-    fn word(&mut self) -> Option<u32> {
+    fn u32(&mut self) -> Option<u32> {
         Some(u32::from_le_bytes(self.take(4)?.try_into().ok()?))
     }
 
-    fn integer(&mut self) -> Option<u64> {
+    fn u64(&mut self) -> Option<u64> {
         Some(u64::from_le_bytes(self.take(8)?.try_into().ok()?))
     }
 
     fn instant(&mut self) -> Option<Millis> {
-        self.integer().map(f64::from_bits)
+        self.u64().map(f64::from_bits)
     }
 
     fn bytes(&mut self) -> Option<&'a [u8]> {
-        let count = self.word()?;
+        let count = self.u32()?;
         self.take(count as usize)
     }
 
-    /// A string of UTF-8.
+    /// A UTF-8 string.
     fn text(&mut self) -> Option<&'a str> {
         std::str::from_utf8(self.bytes()?).ok()
     }
--- a/crates/wal/src/codec/tests.rs
+++ b/crates/wal/src/codec/tests.rs
@@ -8,14 +8,14 @@
     Some(LogRecord { number, entry })
 }
 
-fn one_of_each_type() -> Vec<LogRecord<'static>> {
-    let message = |key| {
+fn records_of_each_type() -> Vec<LogRecord<'static>> {
+    let message = |idempotency_key| {
         Entry::Message(MessageFields {
             destination: 7,
             deadline: 1_796_121_600_016.25,
             id: "id",
             class: "notice",
-            key,
+            idempotency_key,
             body: b"body",
         })
     };
@@ -29,7 +29,7 @@
         },
         Entry::Attempt {
             attempt: 2,
-            sent: 5.5,
+            sent_at: 5.5,
         },
         Entry::NeverRan { attempt: 2 },
         Entry::FinalStatus(FinalStatus::Undeliverable),
@@ -44,7 +44,7 @@
 
 #[test]
 fn every_record_type_is_decoded_as_it_was_encoded() {
-    let records = one_of_each_type();
+    let records = records_of_each_type();
     let mut file = MAGIC.to_vec();
     for record in &records {
         file.extend(encode(record));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_frame_has_the_bytes_that_earlier_versions_wrote() {
+fn a_frame_is_encoded_to_the_same_bytes_as_in_earlier_versions() {
     let mut payload = b"T".to_vec();
     payload.extend([3, 0, 0, 0, 0, 0, 0, 0]);
     payload.extend([7, 0, 0, 0, 0, 0, 0, 0]);
@@ -67,15 +67,15 @@
     let mut frame = (payload.len() as u32).to_le_bytes().to_vec();
     frame.extend(crc32fast::hash(&payload).to_le_bytes());
     frame.extend(payload);
-    assert_eq!(encode(&one_of_each_type()[2]), frame);
+    assert_eq!(encode(&records_of_each_type()[2]), frame);
 }
 
 #[test]
-fn a_frame_that_is_cut_damaged_or_too_long_ends_the_payloads() {
+fn payloads_end_at_a_frame_that_is_truncated_damaged_or_too_long() {
     let record = encode(&LogRecord::closed(3, "id"));
     let mut damaged = record.clone();
     *damaged.last_mut().unwrap() ^= 1;
-    let too_long = encode(&LogRecord::class_rules("class", &[0; MAX_PAYLOAD]));
+    let too_long = encode(&LogRecord::class_rules("class", &[0; MAX_PAYLOAD_BYTES]));
     for last in [&record[..record.len() - 1], &damaged, &too_long, &[0; 7]] {
         let file = [&MAGIC[..], &record, last, &record].concat();
         let mut payloads = Payloads::new(&file).unwrap();
--- a/crates/wal/src/compaction.rs
+++ b/crates/wal/src/compaction.rs
@@ -1,4 +1,4 @@
-//! Compaction: a new file that holds only what is still needed takes the place of the old one.
+//! Compaction: a new file with only the records that are still needed replaces the log file.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -9,24 +9,26 @@
 use crate::codec::{self, MAGIC};
 use crate::recently_closed::RecentlyClosed;
 use crate::record::{LogRecord, MessageRecord, NO_MESSAGE};
-use crate::space::OpenMessages;
+use crate::space::OpenMessageSizes;
 use crate::write_ahead_log::WriteAheadLog;
 
-/// Milliseconds after a failed compaction before the next one.
+/// Delay between a failed compaction and the next one.
 const FAILURE_BACKOFF: Millis = 1_000.0;
-/// The same where a compaction has to write what could not be appended: what is owed depends on it.
+/// The same delay if the file lacks records that could not be appended. It is shorter because only a compaction can write
+/// them, and pending deliveries and status reports depend on them.
 const MISSING_RECORDS_BACKOFF: Millis = 100.0;
 
 impl WriteAheadLog {
-    /// Whether a compaction would free space, or must be tried because there is no file to write to or the file lacks
+    /// Whether a compaction would free enough space, or is needed because no file is open for writing or the file lacks
     /// records. False during the backoff after a failure.
     pub fn needs_compaction(&self, now: Millis) -> bool {
-        let worth_it = self.limits.worth_compacting(
+        let frees_space = self.limits.worth_compacting(
             self.file.size(),
-            &self.open_messages,
+            &self.open_message_sizes,
             self.recently_closed.len(),
         );
-        (worth_it || !self.file.is_open() || self.lacks_records) && now >= self.write_backoff_until
+        (frees_space || !self.file.is_open() || self.lacks_records)
+            && now >= self.write_backoff_until
     }
 
     /// Starts the backoff after a failed compaction; `now` is in milliseconds of Unix time.
@@ -39,13 +41,13 @@
         self.write_backoff_until = now + backoff;
     }
 
-    /// Writes the open messages and the recently closed ids to a new file, which replaces the old one. False: the old
-    /// file stays.
+    /// Writes the open messages and the recently closed ids to a new file, which replaces the old one. Returns false and
+    /// keeps the old file if that fails.
     pub fn compact<'a>(&mut self, open: impl Iterator<Item = &'a MessageRecord>) -> bool {
         let snapshot = Snapshot::of(self.anchor, &self.recently_closed, open);
         match self.file.replace(&snapshot.file) {
             Ok(()) => {
-                self.open_messages = snapshot.open_messages;
+                self.open_message_sizes = snapshot.open_message_sizes;
                 self.class_rules = snapshot.class_rules;
                 self.lacks_records = false;
                 true
@@ -59,10 +61,10 @@
     }
 }
 
-/// A compacted file, and what the log must know of it.
+/// The contents of a compacted file, and the state of the log that describes them.
 struct Snapshot {
     file: Vec<u8>,
-    open_messages: OpenMessages,
+    open_message_sizes: OpenMessageSizes,
     class_rules: HashMap<Rc<str>, Rc<[u8]>>,
 }
 
@@ -74,7 +76,7 @@
     ) -> Snapshot {
         let mut snapshot = Snapshot {
             file: MAGIC.to_vec(),
-            open_messages: OpenMessages::default(),
+            open_message_sizes: OpenMessageSizes::default(),
             class_rules: HashMap::new(),
         };
         if let Some(anchor) = anchor {
@@ -99,11 +101,11 @@
     fn write_message(&mut self, message: &MessageRecord) {
         self.write_rules_if_changed(message);
         self.write(&LogRecord::message(message));
-        self.open_messages.add_message(message);
-        for (number, attempt) in message.attempts.iter().enumerate() {
-            self.write(&LogRecord::attempt(message.number, number, attempt.sent_at));
+        self.open_message_sizes.add_message(message);
+        for (index, attempt) in message.attempts.iter().enumerate() {
+            self.write(&LogRecord::attempt(message.number, index, attempt.sent_at));
             if attempt.never_ran {
-                self.write(&LogRecord::never_ran(message.number, number));
+                self.write(&LogRecord::never_ran(message.number, index));
             }
         }
         if let Some(status) = message.final_status {
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Writes the rules of the message's class, unless they are the last ones written of it.
+    /// Writes the rules of the message's class, unless they are the ones last written for this class.
     fn write_rules_if_changed(&mut self, message: &MessageRecord) {
         let previous = self
             .class_rules
--- a/crates/wal/src/error.rs
+++ b/crates/wal/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of opening a log; failed appends are reported by the result of the append itself.
+//! Errors of opening a log. Failed appends are reported by the return value of the append instead.
 
 use std::io;
 use std::path::PathBuf;
@@ -7,36 +7,36 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum LogError {
-    /// The state folder does not exist or is no folder.
-    #[error("not a folder")]
+    /// The state folder does not exist or is not a folder.
+    #[error("the path is not a folder")]
     NotAFolder {
         /// The path that was given.
         folder: PathBuf,
     },
     /// The log file could not be read.
-    #[error("{source}")]
+    #[error("the log file cannot be read: {source}")]
     Read {
         /// The log file.
         path: PathBuf,
-        /// What the system reported.
+        /// The system's error.
         source: io::Error,
     },
     /// The log file could not be opened for writing.
-    #[error("{source}")]
+    #[error("the log file cannot be opened for writing: {source}")]
     Reopen {
         /// The log file.
         path: PathBuf,
-        /// What the system reported.
+        /// The system's error.
         source: io::Error,
     },
-    /// The log file's size is not the one that the previous process passed on.
-    #[error("the ledger is not as it was left")]
+    /// The log file's size differs from the one that the predecessor process passed on.
+    #[error("the log file has {found} bytes, but the predecessor process passed on {expected}")]
     SizeChanged {
         /// The log file.
         path: PathBuf,
-        /// Bytes that the previous process had written.
+        /// The size that the predecessor process passed on, in bytes.
         expected: u64,
-        /// Bytes found.
+        /// The size found, in bytes.
         found: u64,
     },
 }
--- a/crates/wal/src/inspection.rs
+++ b/crates/wal/src/inspection.rs
@@ -1,4 +1,4 @@
-//! A read-only look at a log, also while a sender writes to it.
+//! Read-only inspection of a log, which is possible while a sender writes to it.
 
 use std::io::ErrorKind;
 use std::path::Path;
@@ -10,14 +10,14 @@
 /// The contents of a log that was read without changing it.
 #[derive(Default)]
 pub struct LogInspection {
-    /// What a sender that starts from this log would recover.
+    /// The state that a sender starting from this log would recover.
     pub recovered: RecoveredState,
     /// Size of the file in bytes.
     pub size: u64,
 }
 
 impl LogInspection {
-    /// Reads the log in a state folder; one that was never written to is empty.
+    /// Reads the log in a state folder. A log file that does not exist counts as empty.
     ///
     /// # Errors
     /// [`LogError::NotAFolder`] if there is no such folder, [`LogError::Read`] if its log cannot be read.
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Bytes of the file that hold complete records.
+    /// Size in bytes of the part of the file that consists of complete records.
     pub fn valid_bytes(&self) -> u64 {
         self.recovered.valid_bytes
     }
--- a/crates/wal/src/lib.rs
+++ b/crates/wal/src/lib.rs
@@ -1,15 +1,16 @@
 //! The sender's write-ahead log.
 //!
-//! The log lasts in the sender's state folder and holds every accepted message, each delivery attempt before its first
-//! byte is sent, proofs that an attempt never ran, final statuses, and the ids of closed messages. After a restart,
-//! [`WriteAheadLog::open`] recovers from it what is still owed.
+//! The log file is kept in the sender's state folder. It records every accepted message, each delivery attempt before its
+//! first byte is sent, attempts that are proven never to have run, final statuses, and the ids of closed messages. After
+//! a restart, [`WriteAheadLog::open`] recovers the messages that still need a delivery or a status report.
 //!
-//! The log never loses a record whose write succeeded, and together with the file of a running compaction it stays
+//! The log never loses a record whose write succeeded. Together with the new file of a running compaction, it stays
 //! within the disk limit it was opened with. A log that is full or unwritable rejects new messages; it never stops
 //! the program.
 //!
-//! Only a process that dies can tear a record, and only the last one: recovery stops there and cuts the tail. A write
-//! survives SIGKILL once the kernel has taken it, so the file is never synced.
+//! A record is torn only if the process dies while writing it, so only the last record of a file can be torn: recovery
+//! stops there and cuts the tail off. A write survives SIGKILL once the kernel has accepted it, so the file is never
+//! synced.
 
 mod codec;
 mod compaction;
--- a/crates/wal/src/log_file.rs
+++ b/crates/wal/src/log_file.rs
@@ -1,4 +1,4 @@
-//! The log's file: appends within a limit, and replacement by a compacted file.
+//! The log file: appends up to a size limit, and replacement by a compacted file.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
@@ -8,30 +8,31 @@
 
 use crate::error::LogError;
 
-/// The log's name in the state folder.
+/// The log file's name in the state folder.
 const FILE_NAME: &str = "ledger";
-/// The extension of a compacted file that is not yet in its place.
+/// The extension of a compacted file until it is renamed to replace the log file.
 const REPLACEMENT_EXTENSION: &str = "new";
 
-/// The path of the log in a state folder.
+/// The path of the log file in a state folder.
 pub(crate) fn path_in(folder: &Path) -> PathBuf {
     folder.join(FILE_NAME)
 }
 
-/// The file that the log is written to, if there is one.
+/// The log file, which is not always open for writing.
 #[derive(Debug)]
 pub(crate) struct LogFile {
     path: PathBuf,
+    /// `None` while the file is not open for writing.
     file: Option<File>,
     /// Bytes of complete records.
     size: u64,
-    /// Every write fails as on a full disk, half of it written.
+    /// Makes every append fail after half of its bytes, as on a full disk.
     #[cfg(test)]
     pub(crate) writes_fail: bool,
 }
 
 impl LogFile {
-    /// The log of a folder, which is not open for writing.
+    /// The log file in a folder, not open for writing, with this many bytes of complete records.
     pub(crate) fn closed(folder: &Path, size: u64) -> LogFile {
         LogFile {
             path: path_in(folder),
@@ -42,7 +43,7 @@
         }
     }
 
-    /// The log as an earlier process has left it, to be appended to.
+    /// Opens the log file that an earlier process left, to append to it.
     pub(crate) fn reopen(folder: &Path, expected_size: u64) -> Result<LogFile, LogError> {
         let path = path_in(folder);
         let opened = OpenOptions::new()
@@ -75,12 +76,13 @@
         self.size
     }
 
-    pub(crate) fn set_size(&mut self, complete_records: u64) {
-        self.size = complete_records;
+    pub(crate) fn set_size(&mut self, size: u64) {
+        self.size = size;
     }
 
-    /// Appends complete records. On failure the file is cut back, as a later record must not follow a torn one.
-    /// Returns false if nothing was appended: no file, more than `limit` bytes, or a failed write.
+    /// Appends complete records. Returns false if nothing was appended, because no file is open for writing, the file
+    /// would grow beyond `limit` bytes, or the write failed. After a failed write the file is cut back to its old size,
+    /// as no record may follow a torn one.
     pub(crate) fn append(&mut self, records: &[u8], limit: f64) -> bool {
         let size = self.size + records.len() as u64;
         if size as f64 > limit {
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Cuts the file back to its complete records, or gives it up.
+    /// Cuts the file back to its complete records. If that fails, closes the file.
     fn undo_write(&mut self) {
         if let Some(file) = self.file.as_mut() {
             let undone = file
@@ -122,8 +124,8 @@
         }
     }
 
-    /// Reads what earlier processes have written into `bytes`; a file that does not exist is empty. On failure `bytes`
-    /// holds what could be read before it.
+    /// Reads the whole file into `bytes`. A file that does not exist counts as empty. On failure, `bytes` contains what
+    /// was read before the error.
     pub(crate) fn read_into(&self, bytes: &mut Vec<u8>) -> io::Result<()> {
         let read = File::open(&self.path).and_then(|mut file| file.read_to_end(bytes));
         match read {
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Writes a new file and puts it in the place of the old one, which stays as it is on failure.
+    /// Writes a new file and renames it to replace the old one. On failure, the old file is unchanged.
     pub(crate) fn replace(&mut self, contents: &[u8]) -> io::Result<()> {
         let replacement = self.replacement_path();
         let mut file = OpenOptions::new()
@@ -147,12 +149,12 @@
         Ok(())
     }
 
-    /// Removes what a replacement that failed or was cut short has left.
+    /// Removes the new file that a failed or interrupted replacement left behind, if any.
     pub(crate) fn remove_replacement(&self) {
         let _ = std::fs::remove_file(self.replacement_path());
     }
 
-    /// Opens the present file to append to it, cut to its complete records. Without success there is no file.
+    /// Cuts the existing file to its complete records and opens it for appending. If that fails, no file is open.
     pub(crate) fn continue_existing(&mut self) {
         let existing = OpenOptions::new()
             .write(true)
--- a/crates/wal/src/recently_closed.rs
+++ b/crates/wal/src/recently_closed.rs
@@ -1,14 +1,14 @@
-//! The ids of recently closed messages, by which a message that is handed in again is recognized.
+//! The ids of recently closed messages, by which a message that is submitted again is recognized.
 
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
 use crate::record::FinalStatus;
 
-/// Most ids that are remembered.
-const MAX_REMEMBERED: usize = 512;
+/// Maximum number of ids that are remembered.
+const MAX_IDS: usize = 512;
 
-/// Recently closed messages, and the final statuses of those that ended by a report.
+/// Recently closed messages, and the final statuses of those that ended with a status report.
 #[derive(Clone, Debug, Default)]
 pub struct RecentlyClosed {
     /// Oldest first.
@@ -17,27 +17,30 @@
 }
 
 impl RecentlyClosed {
-    /// What a predecessor has passed on. It does not pass final statuses; those of the log count.
-    pub(crate) fn passed(ids: VecDeque<Rc<str>>, logged: RecentlyClosed) -> RecentlyClosed {
+    /// The ids that a predecessor passed on. It passes no final statuses: these are taken from the log, `logged`.
+    pub(crate) fn from_predecessor(
+        ids: VecDeque<Rc<str>>,
+        logged: RecentlyClosed,
+    ) -> RecentlyClosed {
         let mut reported = logged.reported;
         reported.retain(|id, _| ids.contains(id));
         RecentlyClosed { ids, reported }
     }
 
-    /// Remembers the id of a message that is closed, and forgets the oldest one where there are too many.
+    /// Remembers the id of a closed message, and forgets the oldest id if there are more than [`MAX_IDS`].
     pub(crate) fn remember(&mut self, id: Rc<str>) {
         if self.reported.remove(&id).is_some() {
             self.ids.retain(|known| *known != id);
         }
         self.ids.push_back(id);
-        if self.ids.len() > MAX_REMEMBERED
+        if self.ids.len() > MAX_IDS
             && let Some(oldest) = self.ids.pop_front()
         {
             self.reported.remove(&oldest);
         }
     }
 
-    /// The message that was remembered last has ended by the report of a final status.
+    /// Marks the message that was remembered last as one that ended with the report of this final status.
     pub(crate) fn mark_reported(&mut self, status: FinalStatus) {
         if let Some(id) = self.ids.back() {
             self.reported.insert(id.clone(), status);
@@ -53,22 +56,22 @@
         self.ids.iter()
     }
 
-    /// How many ids there are.
+    /// The number of ids.
     pub fn len(&self) -> usize {
         self.ids.len()
     }
 
-    /// Whether there is no id.
+    /// Whether there are no ids.
     pub fn is_empty(&self) -> bool {
         self.ids.is_empty()
     }
 
-    /// Whether a message of this id was closed.
+    /// Whether a message with this id was closed recently.
     pub fn contains(&self, id: &Rc<str>) -> bool {
         self.ids.contains(id)
     }
 
-    /// The final status that was reported of a message; none if it was delivered, or if nothing is known.
+    /// The final status that was reported for a message. `None` if the message was delivered or is not known.
     pub fn reported_status(&self, id: &Rc<str>) -> Option<FinalStatus> {
         self.reported.get(id).copied()
     }
--- a/crates/wal/src/record.rs
+++ b/crates/wal/src/record.rs
@@ -1,19 +1,19 @@
-//! What the log records: the public types of messages and attempts, and the records as they are stored.
+//! The public types of logged messages and attempts, and the records as they are stored.
 
 use std::rc::Rc;
 
 use martenlatch_clock::{Anchor, Millis};
 use serde::{Deserialize, Serialize};
 
-/// Most recorded attempts of a message. A further attempt has no record, so it must not start.
+/// Maximum number of recorded attempts of a message. A further attempt could not be recorded, so it must not start.
 pub const MAX_ATTEMPTS: usize = 64;
 
-/// How a message that was not delivered ends.
+/// The final status of a message that was not delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FinalStatus {
     /// It will not be delivered.
     Undeliverable,
-    /// It was not delivered; the client may hand it in again, after this many milliseconds if any are given.
+    /// It was not delivered; the client may submit it again, after this many milliseconds if a number is given.
     Deferred(Option<u64>),
 }
 
@@ -26,26 +26,26 @@
     pub never_ran: bool,
 }
 
-/// What the log stores of an accepted message.
+/// An accepted message, as the log stores it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MessageRecord {
-    /// The message's number; no number is used twice, also across restarts.
+    /// The message's number. No number is used twice, not even after a restart.
     pub number: u64,
-    /// The id that the client gave it.
+    /// The id that the client chose.
     pub id: Rc<str>,
     /// The name of its message class.
     pub class: Rc<str>,
-    /// The partner that it goes to.
+    /// The number of the partner that it is for.
     pub destination: u64,
-    /// When its delivery must be over, in milliseconds of Unix time.
+    /// The deadline of its delivery, in milliseconds of Unix time.
     pub deadline: Millis,
     /// Its idempotency key, if it has one.
     pub idempotency_key: Option<Rc<str>>,
     /// The bytes to deliver.
     pub body: Rc<[u8]>,
-    /// Its attempts so far, in the order of their numbers.
+    /// Its attempts so far; an attempt's index is its number.
     pub attempts: Vec<AttemptRecord>,
-    /// Its final status, once decided; the message stays open until the platform has confirmed it.
+    /// Its final status, once decided. The message stays open until the platform has confirmed the status.
     pub final_status: Option<FinalStatus>,
     /// The rules of its class when it was accepted, in the caller's encoding; empty if none were recorded.
     pub class_rules: Rc<[u8]>,
@@ -63,35 +63,37 @@
     pub(crate) const REPORTED: u8 = b'S';
 }
 
-/// The message number in records that belong to no open message.
+/// The message number in records that do not belong to an open message.
 pub(crate) const NO_MESSAGE: u64 = 0;
 
-/// A stored record: the number of the message that it belongs to, and what it says.
+/// A stored record.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct LogRecord<'a> {
+    /// The number of the message that the record belongs to, or [`NO_MESSAGE`].
     pub(crate) number: u64,
     pub(crate) entry: Entry<'a>,
 }
 
-/// What a record says.
+/// The type of a record, with its fields.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Entry<'a> {
     /// The message was accepted.
     Message(MessageFields<'a>),
-    /// The rules of a class, which hold for the messages accepted after this record.
+    /// The rules of a class, which apply to the messages that are accepted after this record.
     ClassRules { class: &'a str, rules: &'a [u8] },
     /// An attempt is about to start.
-    Attempt { attempt: usize, sent: Millis },
+    Attempt { attempt: usize, sent_at: Millis },
     /// An attempt is proven never to have run.
     NeverRan { attempt: usize },
     /// The message's final status is decided.
     FinalStatus(FinalStatus),
-    /// Nothing more is owed. The id is empty if the message's acceptance was revoked.
+    /// The message needs no further delivery or status report. The id is empty if its acceptance was revoked.
     Closed { id: &'a str },
-    /// The message that the record before this one closes has ended by the report of this status. Programs that do not
-    /// know this record pass over it.
+    /// The message that the record before this one closes ended with the report of this status. Versions that do not
+    /// know this record type skip it.
     Reported(FinalStatus),
-    /// The clock of the process that writes from here on. Programs that do not know this record pass over it.
+    /// The clock of the process that writes the records after this one. Versions that do not know this record type skip
+    /// it.
     Anchor(Anchor),
     /// A record type of a later version.
     Unknown { tag: u8 },
@@ -104,7 +106,7 @@
     pub(crate) deadline: Millis,
     pub(crate) id: &'a str,
     pub(crate) class: &'a str,
-    pub(crate) key: Option<&'a str>,
+    pub(crate) idempotency_key: Option<&'a str>,
     pub(crate) body: &'a [u8],
 }
 
@@ -132,7 +134,7 @@
             deadline: message.deadline,
             id: &message.id,
             class: &message.class,
-            key: message.idempotency_key.as_deref(),
+            idempotency_key: message.idempotency_key.as_deref(),
             body: &message.body,
         };
         LogRecord {
@@ -148,10 +150,10 @@
         }
     }
 
-    pub(crate) fn attempt(number: u64, attempt: usize, sent: Millis) -> LogRecord<'a> {
+    pub(crate) fn attempt(number: u64, attempt: usize, sent_at: Millis) -> LogRecord<'a> {
         LogRecord {
             number,
-            entry: Entry::Attempt { attempt, sent },
+            entry: Entry::Attempt { attempt, sent_at },
         }
     }
 
--- a/crates/wal/src/recovery.rs
+++ b/crates/wal/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery: the state that the records of a log file add up to.
+//! Recovery: rebuilds the state that the records of a log file describe.
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -11,7 +11,7 @@
     AttemptRecord, Entry, FinalStatus, MAX_ATTEMPTS, MessageFields, MessageRecord, tag,
 };
 
-/// What earlier processes left in the log.
+/// The state that earlier processes left in the log.
 #[derive(Default)]
 pub struct RecoveredState {
     /// The messages that are not closed, by number.
@@ -22,16 +22,16 @@
     pub clock_history: ClockHistory,
     /// The next message number.
     pub next_number: u64,
-    /// Complete records that were read.
+    /// The number of complete records that were read.
     pub record_count: u64,
     /// The rules of each class, as last recorded.
     pub(crate) class_rules: HashMap<Rc<str>, Rc<[u8]>>,
-    /// Bytes of the file that hold complete records.
+    /// Size in bytes of the part of the file that consists of complete records.
     pub(crate) valid_bytes: u64,
 }
 
 impl RecoveredState {
-    /// Replays a log file up to its end or the first torn record. Nothing behind a torn record was ever confirmed.
+    /// Replays a log file up to its end or the first torn record. Nothing after a torn record was ever confirmed.
     pub(crate) fn replay(file: &[u8]) -> RecoveredState {
         let mut state = RecoveredState::default();
         let Some(mut payloads) = Payloads::new(file) else {
@@ -54,7 +54,7 @@
             return false;
         };
         let number = header.number;
-        // The number is taken, and a closed message closed, also where the rest of the record cannot be decoded.
+        // The number counts as used, and a closed message as closed, even if the rest of the record cannot be decoded.
         self.next_number = self.next_number.max(number.saturating_add(1));
         if header.tag == tag::CLOSED {
             self.open_messages.remove(&number);
@@ -72,10 +72,10 @@
             Entry::ClassRules { class, rules } => {
                 self.class_rules.insert(Rc::from(class), Rc::from(rules));
             }
-            Entry::Attempt { attempt, sent } => self.start_attempt(number, attempt, sent),
+            Entry::Attempt { attempt, sent_at } => self.start_attempt(number, attempt, sent_at),
             Entry::NeverRan { attempt } => self.mark_never_ran(number, attempt),
             Entry::FinalStatus(status) => self.set_final_status(number, status),
-            // The message itself was removed before its id was decoded.
+            // `replay_record` has removed the message, before this entry was decoded.
             Entry::Closed { id } => {
                 if !id.is_empty() {
                     self.recently_closed.remember(Rc::from(id));
@@ -99,7 +99,7 @@
             class: Rc::from(fields.class),
             destination: fields.destination,
             deadline: fields.deadline,
-            idempotency_key: fields.key.map(Rc::from),
+            idempotency_key: fields.idempotency_key.map(Rc::from),
             body: Rc::from(fields.body),
             attempts: Vec::new(),
             final_status: None,
@@ -108,8 +108,8 @@
         self.open_messages.insert(number, message);
     }
 
-    fn start_attempt(&mut self, number: u64, attempt: usize, sent: Millis) {
-        self.clock_history.latest_instant = self.clock_history.latest_instant.max(sent);
+    fn start_attempt(&mut self, number: u64, attempt: usize, sent_at: Millis) {
+        self.clock_history.latest_instant = self.clock_history.latest_instant.max(sent_at);
         let Some(message) = self.open_messages.get_mut(&number) else {
             return;
         };
@@ -117,17 +117,18 @@
             return;
         }
         let attempts = &mut message.attempts;
-        // An earlier attempt without a record was never sent: it may not start before its record is written.
+        // Lower-numbered attempts without a record were never sent: an attempt starts only after its record is written.
         if attempts.len() <= attempt {
             let unsent = AttemptRecord {
-                sent_at: sent,
+                sent_at,
                 never_ran: true,
             };
             attempts.resize(attempt + 1, unsent);
         }
-        // A compaction writes an attempt that has not started yet as one that never ran. Here it starts after all.
+        // A compaction writes an attempt that has not started yet as one that never ran. This record
+        // says that it has started since.
         attempts[attempt] = AttemptRecord {
-            sent_at: sent,
+            sent_at,
             never_ran: false,
         };
     }
--- a/crates/wal/src/space.rs
+++ b/crates/wal/src/space.rs
@@ -1,6 +1,6 @@
-//! How much of the disk the log may use, and how much of it the open messages need.
+//! The space that the log may use on disk, and the space that its open messages need.
 //!
-//! While the log is compacted, the old and the new file exist side by side: both together must fit.
+//! During a compaction the old and the new file exist side by side, and both together must fit.
 
 use std::collections::BTreeMap;
 
@@ -9,30 +9,30 @@
 
 /// Share of the disk limit that the old and the new file may use together.
 const USABLE_SHARE: f64 = 0.92;
-/// Share of the usable space that the log file may grow to.
+/// Share of the usable space up to which the log file may grow.
 const FILE_SHARE: f64 = 0.52;
 /// Share of the usable space that the records of open messages may need.
 const OPEN_MESSAGES_SHARE: f64 = 0.36;
-/// Share of the usable space that new messages leave to the records of attempts and final statuses, so that these do
-/// not fail for want of space.
+/// Share of the usable space that new messages leave free for the records of attempts and final statuses, so that these
+/// do not fail for lack of space.
 const RESERVED_SHARE: f64 = 0.06;
-/// A file below this share of the usable space is not worth a compaction.
+/// A file smaller than this share of the usable space is not worth a compaction.
 const SMALL_FILE_SHARE: f64 = 0.25;
-/// A file within this share of the usable space of its limit is nearly full.
+/// A file is nearly full if it is smaller than its limit by less than this share of the usable space.
 const NEARLY_FULL_MARGIN: f64 = 0.1;
-/// A file is compacted once it is this many times the size that it would be compacted to.
+/// A file is compacted once it is larger than this multiple of its estimated compacted size.
 const GROWTH_FACTOR: f64 = 2.0;
-/// As [`GROWTH_FACTOR`], for a file that is nearly full.
+/// Replaces [`GROWTH_FACTOR`] for a file that is nearly full.
 const NEARLY_FULL_GROWTH_FACTOR: f64 = 1.1;
 
-/// Bytes reckoned for an attempt: its record, and the one that it never ran.
+/// Estimated bytes for an attempt: its own record, and the record that it never ran.
 pub(crate) const ATTEMPT_BYTES: u64 = 60;
-/// Bytes reckoned for a message's final status.
+/// Estimated bytes for a message's final status.
 const FINAL_STATUS_BYTES: u64 = 40;
-/// Bytes reckoned for the id of a closed message.
+/// Estimated bytes for the id of a closed message.
 const CLOSED_ID_BYTES: f64 = 60.0;
 
-/// The limits that follow from a disk limit; all are in bytes.
+/// The limits, in bytes, that are derived from the log's disk limit.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Limits {
     usable: f64,
@@ -45,26 +45,26 @@
         }
     }
 
-    /// Largest size of the file.
-    pub(crate) fn file(self) -> f64 {
+    /// Maximum size of the file.
+    pub(crate) fn max_file_size(self) -> f64 {
         self.usable * FILE_SHARE
     }
 
-    /// Largest size of the file after a new message.
-    pub(crate) fn file_for_new_messages(self) -> f64 {
+    /// Maximum size of the file after a new message is appended.
+    pub(crate) fn max_file_size_for_new_messages(self) -> f64 {
         self.usable * (FILE_SHARE - RESERVED_SHARE)
     }
 
-    /// Most that the records of open messages may need.
-    pub(crate) fn open_messages(self) -> f64 {
+    /// Maximum number of bytes that the records of open messages may need.
+    pub(crate) fn max_open_message_bytes(self) -> f64 {
         self.usable * OPEN_MESSAGES_SHARE
     }
 
-    /// Whether a compaction would free enough of a file of this size to be worth it.
+    /// Whether compacting a file of this size would free enough space to be worth it.
     pub(crate) fn worth_compacting(
         self,
         size: u64,
-        open: &OpenMessages,
+        open: &OpenMessageSizes,
         closed_ids: usize,
     ) -> bool {
         let size = size as f64;
@@ -76,17 +76,17 @@
     }
 }
 
-/// Bytes that a compacted log would need for each open message.
+/// The number of bytes that each open message would need in a compacted file.
 #[derive(Debug, Default)]
-pub(crate) struct OpenMessages {
+pub(crate) struct OpenMessageSizes {
     bytes_by_number: BTreeMap<u64, u64>,
     total_bytes: u64,
 }
 
-impl OpenMessages {
-    /// Counts these messages, with their attempts and a final status for each.
-    pub(crate) fn count<'a>(messages: impl Iterator<Item = &'a MessageRecord>) -> OpenMessages {
-        let mut open = OpenMessages::default();
+impl OpenMessageSizes {
+    /// The sizes of these messages, each with its attempts and a final status.
+    pub(crate) fn count<'a>(messages: impl Iterator<Item = &'a MessageRecord>) -> OpenMessageSizes {
+        let mut open = OpenMessageSizes::default();
         for message in messages {
             open.add_message(message);
         }
--- a/crates/wal/src/tests.rs
+++ b/crates/wal/src/tests.rs
@@ -1,10 +1,12 @@
+//! Appending to the log, and the state that is recovered from it.
+
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::rc::Rc;
 
 use super::*;
 
-fn folder(name: &str) -> PathBuf {
+fn empty_folder(name: &str) -> PathBuf {
     let folder =
         std::env::temp_dir().join(format!("martenlatch-wal-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
@@ -12,7 +14,7 @@
     folder
 }
 
-fn message(number: u64, size: usize) -> MessageRecord {
+fn message(number: u64, body_size: usize) -> MessageRecord {
     MessageRecord {
         number,
         id: Rc::from(format!("id{number}")),
@@ -20,7 +22,7 @@
         destination: 7,
         deadline: 1_796_121_600_016.25,
         idempotency_key: Some(Rc::from("")),
-        body: Rc::from(vec![9; size]),
+        body: Rc::from(vec![9; body_size]),
         attempts: Vec::new(),
         final_status: None,
         class_rules: Rc::from([]),
@@ -28,8 +30,8 @@
 }
 
 #[test]
-fn accepted_messages_are_recovered_and_a_torn_tail_is_dropped() {
-    let folder = folder("torn");
+fn accepted_messages_are_recovered_without_a_torn_last_record() {
+    let folder = empty_folder("torn");
     let (mut wal, _) = WriteAheadLog::open(&folder, 3_000_000);
     for number in 0..3 {
         assert!(wal.append_message(&message(number, 200)));
@@ -42,13 +44,13 @@
     drop(wal);
     let complete = std::fs::read(folder.join("ledger")).unwrap();
     std::fs::write(folder.join("ledger"), &complete[..complete.len() - 3]).unwrap();
-    std::fs::write(folder.join("ledger.new"), b"cut short").unwrap();
+    std::fs::write(folder.join("ledger.new"), b"interrupted compaction").unwrap();
     for _ in 0..2 {
         let (_, recovered) = WriteAheadLog::open(&folder, 3_000_000);
         assert_eq!(
             recovered.open_messages.keys().copied().collect::<Vec<_>>(),
             [0, 2],
-            "the torn one was not confirmed"
+            "message 1 is closed, and the record of message 3 is torn"
         );
         let first = &recovered.open_messages[&0];
         let attempts = [
@@ -81,44 +83,44 @@
 }
 
 #[test]
-fn an_unreadable_log_is_left_alone_and_a_file_that_cannot_be_replaced_is_appended_to() {
-    let (unreadable, stuck) = (folder("unreadable"), folder("stuck"));
+fn an_unreadable_log_is_left_unchanged_and_a_file_that_cannot_be_replaced_is_appended_to() {
+    let (unreadable, uncompactable) = (empty_folder("unreadable"), empty_folder("uncompactable"));
     std::fs::create_dir(unreadable.join("ledger")).unwrap();
     let (mut wal, _) = WriteAheadLog::open(&unreadable, 3_000_000);
     assert!(!wal.append_message(&message(1, 10)) && !wal.needs_compaction(1e15));
     assert!(unreadable.join("ledger").is_dir());
     assert!(
-        WriteAheadLog::open(&stuck, 3_000_000)
+        WriteAheadLog::open(&uncompactable, 3_000_000)
             .0
             .append_message(&message(1, 10))
     );
-    // A folder in the place of the compacted file stands for a disk that has no space for it.
-    std::fs::create_dir(stuck.join("ledger.new")).unwrap();
-    let (mut wal, recovered) = WriteAheadLog::open(&stuck, 3_000_000);
+    // A folder at the path of the compacted file makes the compaction fail, as a full disk would.
+    std::fs::create_dir(uncompactable.join("ledger.new")).unwrap();
+    let (mut wal, recovered) = WriteAheadLog::open(&uncompactable, 3_000_000);
     assert!(recovered.open_messages.contains_key(&1) && wal.append_attempt(1, 0, 7.0));
-    let (_, recovered) = WriteAheadLog::open(&stuck, 3_000_000);
+    let (_, recovered) = WriteAheadLog::open(&uncompactable, 3_000_000);
     assert_eq!(recovered.open_messages[&1].attempts.len(), 1);
 }
 
 #[test]
-fn a_log_of_another_version_is_left_as_it_is_and_rejects_messages() {
-    // A later release may have open messages in the log when an earlier one is started on its folder.
-    let folder = folder("version");
-    let later = b"mlatch2\nwhatever it holds".to_vec();
-    std::fs::write(folder.join("ledger"), &later).unwrap();
+fn a_log_of_another_version_is_left_unchanged_and_rejects_messages() {
+    // A later version may have left open messages in the log when an earlier version is started in its folder.
+    let folder = empty_folder("version");
+    let later_version = b"mlatch2\nany content".to_vec();
+    std::fs::write(folder.join("ledger"), &later_version).unwrap();
     let (mut wal, recovered) = WriteAheadLog::open(&folder, 3_000_000);
     assert!(
         recovered.open_messages.is_empty()
             && !wal.append_message(&message(1, 10))
             && !wal.needs_compaction(1e15)
     );
-    assert_eq!(std::fs::read(folder.join("ledger")).unwrap(), later);
+    assert_eq!(std::fs::read(folder.join("ledger")).unwrap(), later_version);
 }
 
 #[test]
-fn the_disk_limit_holds_during_compaction_and_a_full_log_rejects_messages() {
-    let (folder, disk) = (folder("full"), 1_000_000);
-    let (mut wal, _) = WriteAheadLog::open(&folder, disk);
+fn compactions_stay_within_the_disk_limit_and_a_full_log_rejects_messages() {
+    let (folder, disk_limit) = (empty_folder("full"), 1_000_000);
+    let (mut wal, _) = WriteAheadLog::open(&folder, disk_limit);
     let mut open = BTreeMap::new();
     let mut rejected = 0;
     for number in 0..400 {
@@ -133,29 +135,29 @@
             wal.append_closed(number, &closed.id);
         }
         if wal.needs_compaction(0.0) {
-            let old = wal.file.size();
+            let old_size = wal.file.size();
             assert!(wal.compact(open.values()));
             assert!(
-                old + wal.file.size() < disk,
-                "{old} and {}",
+                old_size + wal.file.size() < disk_limit,
+                "{old_size} and {}",
                 wal.file.size()
             );
         }
     }
-    assert!(rejected > 0, "the limit was never met");
+    assert!(rejected > 0, "the limit was never reached");
     assert!(
         wal.append_attempt(*open.keys().next().unwrap(), 0, 1.0),
         "an accepted message can still be sent"
     );
-    let (_, recovered) = WriteAheadLog::open(&folder, disk);
+    let (_, recovered) = WriteAheadLog::open(&folder, disk_limit);
     assert_eq!(recovered.open_messages.len(), open.len());
 }
 
 #[test]
-fn an_attempt_that_starts_after_a_compaction_may_have_run() {
-    // A compaction writes an attempt that has not started yet as one that never ran. Taken for such a one after it has
-    // started, it would be repeated, with a second effect.
-    let folder = folder("begins");
+fn an_attempt_that_starts_after_a_compaction_counts_as_one_that_may_have_run() {
+    // A compaction writes an attempt that has not started yet as one that never ran. If the attempt still counted as such
+    // after its start, it would be repeated and could take effect twice.
+    let folder = empty_folder("starts-after-compaction");
     let (mut wal, _) = WriteAheadLog::open(&folder, 3_000_000);
     let attempts = vec![AttemptRecord {
         sent_at: 5.0,
@@ -182,7 +184,7 @@
             .open_messages[&0]
             .attempts,
         message.attempts,
-        "it has not started"
+        "the attempt has not started"
     );
     assert!(wal.append_attempt(0, 0, 6.0));
     let started = [AttemptRecord {
@@ -201,7 +203,7 @@
 
 #[test]
 fn the_class_rules_at_admission_are_recovered_after_the_class_was_redefined() {
-    let folder = folder("rules");
+    let folder = empty_folder("rules");
     let with_rules = |number: u64, rules: &[u8]| MessageRecord {
         class_rules: Rc::from(rules),
         ..message(number, 100)
@@ -214,7 +216,7 @@
         let (mut wal, _) = WriteAheadLog::open(&folder, 3_000_000);
         assert!(batch.iter().all(|message| wal.append_message(message)));
     }
-    // Also after compactions, which write all of them anew.
+    // Each opening compacts the log: the rules are recovered from the compacted file too.
     for _ in 0..2 {
         let (_, recovered) = WriteAheadLog::open(&folder, 3_000_000);
         assert_eq!(
@@ -225,9 +227,10 @@
 }
 
 #[test]
-fn every_recorded_attempt_is_recovered_and_one_beyond_the_limit_must_not_start() {
-    // The settings may allow more attempts than the log records; one without a record could be repeated after it ran.
-    let folder = folder("many");
+fn every_recorded_attempt_is_recovered_and_an_attempt_beyond_the_limit_is_refused() {
+    // The settings may allow more attempts than the log records. After a restart, an attempt without a record would count
+    // as one that never ran, and could be repeated.
+    let folder = empty_folder("many-attempts");
     let (mut wal, _) = WriteAheadLog::open(&folder, 3_000_000);
     assert!(wal.append_message(&message(0, 10)));
     let started = (0..2 * MAX_ATTEMPTS)
@@ -251,9 +254,9 @@
 }
 
 #[test]
-fn a_record_that_could_not_be_written_is_made_good_once_the_disk_takes_it() {
-    // Otherwise the next process would send what is closed, or decide anew what has a final status.
-    let folder = folder("sick");
+fn a_compaction_writes_the_records_that_could_not_be_appended() {
+    // Otherwise the next process would send closed messages again, and would decide final statuses a second time.
+    let folder = empty_folder("failing-writes");
     let (mut wal, _) = WriteAheadLog::open(&folder, 3_000_000);
     let mut ended = message(2, 10);
     assert!(wal.append_message(&message(1, 10)) && wal.append_message(&ended));
@@ -262,10 +265,13 @@
     ended.final_status = Some(FinalStatus::Undeliverable);
     wal.append_final_status(2, FinalStatus::Undeliverable);
     wal.file.writes_fail = false;
-    assert!(wal.append_message(&message(3, 10)), "the log goes on");
+    assert!(
+        wal.append_message(&message(3, 10)),
+        "the log accepts messages again"
+    );
     assert!(
         wal.needs_compaction(5_000.0),
-        "which writes what is missing"
+        "a compaction writes the missing records"
     );
     assert!(wal.compact([&ended, &message(3, 10)].into_iter()));
     assert!(!wal.needs_compaction(6_000.0));
@@ -282,23 +288,25 @@
     );
 }
 
-/// Guards against a final status that is forgotten with its message: handed in again, its end would be owed by nobody.
+/// Guards against a final status that is forgotten when its message is closed: if the message were submitted again, its
+/// status would never be reported.
 #[test]
-fn the_reported_status_of_a_closed_message_outlasts_restarts_compactions_and_takeovers() {
-    const DISK: u64 = 3_000_000;
-    let folder = folder("reported");
+fn the_reported_status_of_a_closed_message_survives_restarts_compactions_and_takeovers() {
+    const DISK_LIMIT: u64 = 3_000_000;
+    let folder = empty_folder("reported");
     let (reported, delivered): (Rc<str>, Rc<str>) = (Rc::from("reported"), Rc::from("delivered"));
     let status = FinalStatus::Deferred(Some(700));
-    let (mut wal, _) = WriteAheadLog::open(&folder, DISK);
+    let (mut wal, _) = WriteAheadLog::open(&folder, DISK_LIMIT);
     wal.append_closed_by_report(1, &reported, status);
     wal.append_closed(2, &delivered);
     let position = wal.position();
-    let passed = WriteAheadLog::restore(&folder, DISK, position, std::iter::empty()).unwrap();
+    let taken_over =
+        WriteAheadLog::restore(&folder, DISK_LIMIT, position, std::iter::empty()).unwrap();
     drop(wal);
-    // The first restart reads the records, and compacts them; the second one reads the compacted file.
-    let (restarted, _) = WriteAheadLog::open(&folder, DISK);
-    let (compacted, _) = WriteAheadLog::open(&folder, DISK);
-    for wal in [passed, restarted, compacted] {
+    // The first restart reads the appended records and compacts the log; the second one reads the compacted file.
+    let (restarted, _) = WriteAheadLog::open(&folder, DISK_LIMIT);
+    let (compacted, _) = WriteAheadLog::open(&folder, DISK_LIMIT);
+    for wal in [taken_over, restarted, compacted] {
         assert_eq!(wal.recently_closed.reported_status(&reported), Some(status));
         assert_eq!(wal.recently_closed.reported_status(&delivered), None);
         assert!(wal.recently_closed.contains(&delivered));
