--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,35 +1,35 @@
-//! Decodes response bodies piece by piece, as they come in.
+//! Decodes response bodies incrementally, as their bytes arrive.
 //!
-//! Like the heads, bodies come from peers that are not trusted: nothing here panics on them.
+//! Bodies, like heads, come from untrusted peers: nothing here panics on them.
 
 use crate::buffer_pool::MAX_HEAD_BYTES;
 use crate::error::MalformedResponse;
 
-/// The line end behind the data of a chunk (`\r\n`), in bytes.
-const CHUNK_LINE_END: usize = 2;
+/// The length of the line end (`\r\n`) that follows the data of a chunk.
+const CHUNK_LINE_END_BYTES: usize = 2;
 
-/// How the end of a response body is found, and how much of it is still to come.
+/// How the end of a response body is found, and how much of the body has not been decoded yet.
 ///
 /// This type is part of the state that is passed to a successor process: the order of variants and fields is fixed.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Body {
-    /// The bytes left of a body of known length.
+    /// A body of known length, of which this many bytes have not been decoded yet.
     ContentLength(usize),
     /// Chunked transfer coding.
     Chunked {
-        /// Bytes left of the present chunk with its line end; 0 while a size line is due.
+        /// Bytes of the current chunk, with its line end, that have not been decoded yet. 0 if a size line comes next.
         remaining: usize,
-        /// The last chunk (of size 0) has begun: only the trailer is still to come.
+        /// Whether the last chunk (of size 0) has begun, so that only the trailer is left.
         last: bool,
     },
-    /// The body ends with the connection.
+    /// The body ends when the connection is closed.
     UntilClose,
 }
 
-/// How far one call of [`Body::decode`] has come.
+/// The result of one call of [`Body::decode`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BodyProgress {
-    /// Bytes of the input that were used.
+    /// Number of input bytes that were decoded.
     pub consumed: usize,
     /// Whether the body is complete.
     pub complete: bool,
@@ -46,13 +46,13 @@
         mut output: impl FnMut(&[u8]),
     ) -> Result<BodyProgress, MalformedResponse> {
         match self {
-            Body::ContentLength(left) => {
-                let consumed = (*left).min(input.len());
+            Body::ContentLength(remaining) => {
+                let consumed = (*remaining).min(input.len());
                 output(&input[..consumed]);
-                *left -= consumed;
+                *remaining -= consumed;
                 Ok(BodyProgress {
                     consumed,
-                    complete: *left == 0,
+                    complete: *remaining == 0,
                 })
             }
             Body::UntilClose => {
@@ -66,8 +66,8 @@
         }
     }
 
-    /// [`Body::decode`] with a plain result: the bytes consumed and whether the body is complete, or `None` if it is
-    /// malformed.
+    /// Like [`Body::decode`], with a simpler result: the number of bytes consumed and whether the body is complete, or
+    /// `None` if the body is malformed.
     pub fn try_decode(&mut self, input: &[u8], output: impl FnMut(&[u8])) -> Option<(usize, bool)> {
         let progress = self.decode(input, output).ok()?;
         Some((progress.consumed, progress.complete))
@@ -86,7 +86,7 @@
         let rest = &input[consumed..];
         if *remaining > 0 {
             let count = (*remaining).min(rest.len());
-            let data = count.min(remaining.saturating_sub(CHUNK_LINE_END));
+            let data = count.min(remaining.saturating_sub(CHUNK_LINE_END_BYTES));
             output(&rest[..data]);
             *remaining -= count;
             consumed += count;
@@ -109,26 +109,27 @@
     Ok(BodyProgress { consumed, complete })
 }
 
-/// The line before a chunk.
+/// The line before a chunk's data.
 struct ChunkSizeLine {
-    /// Length of the line with its end, in bytes.
+    /// Length of the line including its line end, in bytes.
     length: usize,
     /// Size of the chunk's data, in bytes.
     chunk_size: u64,
 }
 
 impl ChunkSizeLine {
-    /// Bytes of the chunk with its line end; the last chunk has neither.
+    /// Bytes of the chunk's data and its line end; the last chunk has neither.
     fn bytes_to_read(&self) -> Result<usize, MalformedResponse> {
         if self.chunk_size == 0 {
             return Ok(0);
         }
         let size = usize::try_from(self.chunk_size).map_err(|_| MalformedResponse)?;
-        size.checked_add(CHUNK_LINE_END).ok_or(MalformedResponse)
+        size.checked_add(CHUNK_LINE_END_BYTES)
+            .ok_or(MalformedResponse)
     }
 }
 
-/// `None` while the line is incomplete.
+/// Parses the size line at the front of `input`; `None` while the line is incomplete.
 fn parse_chunk_size(input: &[u8]) -> Result<Option<ChunkSizeLine>, MalformedResponse> {
     match httparse::parse_chunk_size(input) {
         Ok(httparse::Status::Complete((length, chunk_size))) => {
--- a/crates/http/src/buffer_pool.rs
+++ b/crates/http/src/buffer_pool.rs
@@ -1,31 +1,31 @@
 //! A bounded pool of equally sized byte buffers.
 //!
 //! The bound caps the memory that peers can make the process use, whatever they send. A buffer returns to the pool
-//! when it is dropped and is lent again without being zeroed; [`Buffer::bytes`] only shows what its present owner
-//! has put in, so no connection sees the bytes of another.
+//! when it is dropped and is lent again without being zeroed; [`Buffer::bytes`] only shows the bytes that its current
+//! owner appended, so no connection sees the bytes of another.
 
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Longest head of a request or response, in bytes.
+/// Maximum length of the head of a request or response.
 pub const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Longest body of a request or response, in bytes.
+/// Maximum length of the body of a request or response.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Size of each buffer in bytes: room for one message of the greatest size.
+/// Size of each buffer in bytes, which fits one request or response of maximum length.
 pub const BUFFER_SIZE: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES;
 
 #[derive(Default)]
 struct PoolState {
     free: Vec<Box<[u8]>>,
     /// Number of buffers that are lent out.
-    lent: usize,
-    /// Most buffers that may be lent out at a time.
+    lent_count: usize,
+    /// Maximum number of buffers that may be lent out at a time.
     capacity: usize,
 }
 
 impl PoolState {
     fn is_exhausted(&self) -> bool {
-        self.lent >= self.capacity
+        self.lent_count >= self.capacity
     }
 }
 
@@ -53,7 +53,7 @@
         if state.is_exhausted() {
             return None;
         }
-        state.lent += 1;
+        state.lent_count += 1;
         let data = state
             .free
             .pop()
@@ -72,7 +72,7 @@
     data: Box<[u8]>,
     /// Offset of the first byte that has not been consumed.
     start: usize,
-    /// Offset behind the last byte that has been appended.
+    /// Offset after the last byte that has been appended.
     end: usize,
     pool: BufferPool,
 }
@@ -88,8 +88,8 @@
         self.start == self.end
     }
 
-    /// The free space behind the content, which is moved to the front first. Write into it, then call
-    /// [`Buffer::advance`].
+    /// Moves the content to the front of the buffer and returns the free space after it. Write into that space, then
+    /// call [`Buffer::advance`].
     pub fn spare_capacity(&mut self) -> &mut [u8] {
         if self.start > 0 {
             self.data.copy_within(self.start..self.end, 0);
@@ -128,7 +128,7 @@
 impl Drop for Buffer {
     fn drop(&mut self) {
         let mut state = self.pool.0.borrow_mut();
-        state.lent -= 1;
+        state.lent_count -= 1;
         state.free.push(std::mem::take(&mut self.data));
     }
 }
--- a/crates/http/src/codec.rs
+++ b/crates/http/src/codec.rs
@@ -1,7 +1,7 @@
 //! Parses requests and the heads of responses, and encodes responses.
 //!
-//! All input comes from peers that are not trusted: nothing here panics on it, and nothing grows beyond the limits
-//! of [`crate::buffer_pool`].
+//! All input comes from untrusted peers: nothing here panics on it, and nothing grows beyond the limits of
+//! [`crate::buffer_pool`].
 
 use std::rc::Rc;
 
@@ -9,7 +9,7 @@
 use crate::buffer_pool::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
 use crate::error::MalformedResponse;
 
-/// Most header lines in one message.
+/// Maximum number of header lines in a request or response.
 const MAX_HEADERS: usize = 64;
 
 const BAD_REQUEST: u16 = 400;
@@ -23,11 +23,11 @@
     pub method: String,
     /// The request target.
     pub path: String,
-    /// Names in lower case.
+    /// The headers, with their names in lower case.
     headers: Vec<(String, Vec<u8>)>,
-    /// The content.
+    /// The content of the body.
     pub body: Rc<[u8]>,
-    /// Whether the client expects the connection to end after the response.
+    /// Whether the client expects the connection to be closed after the response.
     pub closes_connection: bool,
     /// Length of head and body in the input, in bytes.
     pub consumed: usize,
@@ -152,8 +152,8 @@
         .any(|item| item.trim().eq_ignore_ascii_case(token))
 }
 
-/// Whether a message lets its connection persist: HTTP/1.0 has to ask for that, later versions have to ask for the
-/// opposite.
+/// Whether a request or response lets its connection persist. In HTTP/1.0 it has to ask for that; in later versions it
+/// has to ask for the opposite.
 fn keeps_alive(is_http_1_0: bool, headers: &[httparse::Header]) -> bool {
     !list_contains(headers, "connection", "close")
         && (!is_http_1_0 || list_contains(headers, "connection", "keep-alive"))
@@ -167,9 +167,9 @@
     pub body: Body,
     /// Whether the connection may carry another request.
     pub keep_alive: bool,
-    /// Malformed framing: the declared lengths contradict each other, cannot be read, or exceed [`MAX_BODY_BYTES`].
+    /// Whether the framing is malformed: the declared lengths contradict each other, cannot be read, or exceed [`MAX_BODY_BYTES`].
     pub malformed_framing: bool,
-    /// Names in lower case.
+    /// The headers, with their names in lower case.
     headers: Vec<(String, String)>,
     /// Length of the head in the input, in bytes.
     pub consumed: usize,
@@ -209,7 +209,7 @@
             remaining: 0,
             last: false,
         },
-        // The status is valid even if the length is too large: only the connection is given up then.
+        // The status is valid even if the length is too large: only the connection cannot be reused then.
         Ok(Some(length)) => Body::ContentLength(length),
         _ => Body::UntilClose,
     };
@@ -252,8 +252,8 @@
         .is_some_and(|reason| reason.first().is_none_or(|byte| *byte == b' '))
 }
 
-/// Encodes a response without a body. `extra` holds further header lines, each with its line end.
-pub fn encode_response(status: u16, extra: &str, close: bool) -> Vec<u8> {
+/// Encodes a response without a body. `extra_headers` contains further header lines, each with its line end.
+pub fn encode_response(status: u16, extra_headers: &str, close: bool) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
         202 => "Accepted",
@@ -266,6 +266,9 @@
         HEADER_FIELDS_TOO_LARGE => "Request Header Fields Too Large",
         _ => "Service Unavailable",
     };
-    let close = if close { "Connection: close\r\n" } else { "" };
-    format!("HTTP/1.1 {status} {reason}\r\nContent-Length: 0\r\n{extra}{close}\r\n").into_bytes()
+    let connection_header = if close { "Connection: close\r\n" } else { "" };
+    format!(
+        "HTTP/1.1 {status} {reason}\r\nContent-Length: 0\r\n{extra_headers}{connection_header}\r\n"
+    )
+    .into_bytes()
 }
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -1,7 +1,7 @@
 //! Non-blocking TCP connections with pooled read and write buffers, registered in an event loop.
 //!
-//! A [`Connection`] never blocks. It borrows its buffers from a [`BufferPool`] and holds them only while there is
-//! something in them, so an idle connection costs no buffer.
+//! A [`Connection`] never blocks. It takes its buffers from a [`BufferPool`] and keeps them only while they contain
+//! bytes, so an idle connection needs no buffer.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -16,11 +16,11 @@
 use crate::socket_trace::{self, SocketEvent};
 use crate::system_errors::is_connect_in_progress;
 
-/// What the event loop collects between two rounds.
+/// The events that the event loop collects between two rounds.
 pub struct ReadyEvents<K> {
     /// The keys of the sockets that became readable or writable.
     pub keys: Vec<K>,
-    /// Signals that the process has received.
+    /// The signals that the process has received.
     pub signals: Vec<calloop::signals::Signal>,
 }
 
@@ -36,11 +36,11 @@
 /// A handle to an event loop that identifies its sockets by keys of type `K`.
 pub type EventLoopHandle<K> = LoopHandle<'static, ReadyEvents<K>>;
 
-/// Registers a socket for reading and writing, edge-triggered: its owner has to read and write until the socket would
-/// block.
+/// Registers a socket for reading and writing. Events are edge-triggered: the owner has to read and write until the socket
+/// would block.
 ///
 /// # Errors
-/// The system's error if the socket cannot be watched.
+/// The system's error if the socket cannot be registered.
 pub fn register<F: AsFd + 'static, K: Copy + 'static>(
     handle: &EventLoopHandle<K>,
     socket: F,
@@ -57,7 +57,7 @@
 
 /// The state of a connection that is passed to a successor process together with its descriptor.
 ///
-/// The order and the types of the fields are part of the stored form.
+/// The order and the types of the fields are part of its encoded form.
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct ConnectionSnapshot {
     input: Vec<u8>,
@@ -78,21 +78,21 @@
     pub input: Option<Buffer>,
     /// Bytes that were queued and not yet written; `None` if there are none.
     output: Option<Buffer>,
-    /// Number of bytes written so far. While it is 0, the connection may not even be established.
+    /// Number of bytes written so far. While it is 0, the connection may not be established yet.
     pub written: u64,
-    /// The peer has shut down its sending side.
+    /// Whether the peer has shut down its sending side.
     pub eof: bool,
-    /// The connection has failed.
+    /// Whether the connection has failed.
     pub broken: bool,
-    /// While set, queued bytes are not written.
+    /// While this is true, queued bytes are not written.
     pub corked: bool,
 }
 
 impl<K: Copy + 'static> Connection<K> {
-    /// Takes over a stream and registers it in the event loop under `key`.
+    /// Makes a stream non-blocking and registers it in the event loop under `key`.
     ///
     /// # Errors
-    /// The system's error if the socket cannot be configured or watched.
+    /// The system's error if the socket cannot be configured or registered.
     pub fn new(
         stream: TcpStream,
         handle: &EventLoopHandle<K>,
@@ -118,7 +118,7 @@
         })
     }
 
-    /// The state to pass to a successor process along with the descriptor.
+    /// The state to pass to a successor process, together with the descriptor.
     pub fn snapshot(&self) -> ConnectionSnapshot {
         let output = self.output.as_ref().map_or(&[][..], Buffer::bytes);
         ConnectionSnapshot {
@@ -131,10 +131,10 @@
         }
     }
 
-    /// Restores a connection that a predecessor process has passed on.
+    /// Restores a connection that a predecessor process passed on.
     ///
     /// # Errors
-    /// As [`Connection::new`], and if the pool has no buffer left for the bytes of the snapshot.
+    /// As [`Connection::new`], and if the pool has no free buffer for the bytes of the snapshot.
     pub fn restore(
         stream: TcpStream,
         snapshot: &ConnectionSnapshot,
@@ -152,7 +152,7 @@
         Ok(connection)
     }
 
-    /// Starts to connect to an address. Whether that succeeds shows in the first write.
+    /// Starts to connect to an address. The first write shows whether that succeeds.
     ///
     /// # Errors
     /// The system's error if the attempt fails at once, for example for lack of descriptors
@@ -187,7 +187,7 @@
         self.stream.peer_addr().is_ok()
     }
 
-    /// Writes as many queued bytes as the socket takes. Returns whether all of them are written.
+    /// Writes as many queued bytes as the socket accepts. Returns whether all of them are written.
     pub fn flush(&mut self) -> bool {
         if self.corked {
             return false;
@@ -211,8 +211,8 @@
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return false,
-                // The connection was never established or was reset. A peer may have sent a response before the reset:
-                // it is read first.
+                // The connection was never established or was reset. The peer may have sent a response before the reset,
+                // which is read before the connection is marked as broken.
                 Err(error) => {
                     socket_trace::record(&self.stream, SocketEvent::Failed(&error));
                     self.receive();
@@ -229,7 +229,7 @@
     }
 
     /// Reads until the socket would block or the buffer is full. Returns whether there may be more to read, which is
-    /// also the case if no buffer was free: the bytes wait in the kernel, and flow control slows the peer down.
+    /// also the case if no buffer is free: the bytes then stay in the kernel, and flow control slows the peer down.
     pub fn receive(&mut self) -> bool {
         while !self.eof && !self.broken {
             if self.input.is_none() {
@@ -254,7 +254,7 @@
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
-                // Some systems answer a read like this while a connection is being established: it has not failed.
+                // On some systems a read fails like this while the connection is being established, which is no failure.
                 Err(error) if error.kind() == ErrorKind::NotConnected && self.written == 0 => break,
                 Err(error) => {
                     socket_trace::record(&self.stream, SocketEvent::Failed(&error));
@@ -285,8 +285,8 @@
         self.input.as_ref().map_or(&[], Buffer::bytes)
     }
 
-    /// Whether the peer has reset the connection. After a write, this tells a peer that had closed the connection
-    /// before from one that has only shut down its sending side.
+    /// Whether the connection has failed, for example because the peer reset it. After a write, this distinguishes a peer
+    /// that had closed the connection from one that has only shut down its sending side.
     pub fn peer_reset(&mut self) -> bool {
         let has_failed = match self.stream.take_error() {
             Ok(pending) => pending.is_some(),
@@ -296,12 +296,12 @@
         self.broken
     }
 
-    /// Makes the connection end with a reset when it is dropped, even if bytes are still on their way.
+    /// Makes the connection end with a reset when it is dropped, even if written bytes are still in transit.
     pub fn abort_on_drop(&self) {
         let _ = SockRef::from(&*self.stream).set_linger(Some(std::time::Duration::ZERO));
     }
 
-    /// Tells the peer that nothing more will be sent.
+    /// Shuts down the sending side, which tells the peer that nothing more will be sent.
     pub fn shutdown_write(&self) {
         socket_trace::record(&self.stream, SocketEvent::ShutDown);
         let _ = self.stream.shutdown(std::net::Shutdown::Write);
@@ -321,7 +321,7 @@
     }
 }
 
-/// A buffer that holds `bytes`, or `None` if there are none.
+/// A buffer that contains `bytes`, or `None` if there are none.
 fn buffer_with(bytes: &[u8], pool: &BufferPool) -> std::io::Result<Option<Buffer>> {
     if bytes.is_empty() {
         return Ok(None);
@@ -331,7 +331,9 @@
     {
         return Ok(Some(buffer));
     }
-    Err(std::io::Error::other("no buffer is left"))
+    Err(std::io::Error::other(
+        "no buffer is free for the bytes of a connection",
+    ))
 }
 
 #[cfg(test)]
--- a/crates/http/src/connection/tests.rs
+++ b/crates/http/src/connection/tests.rs
@@ -1,13 +1,13 @@
-//! Connections on loopback sockets: reading before the connection is up, and reading after a reset.
+//! Connections on loopback sockets: reading before the connection is established, and reading after a reset.
 
 use super::*;
 
 #[test]
-fn a_connection_that_is_read_before_it_is_up_is_not_given_up() {
+fn a_read_before_the_connection_is_established_does_not_mark_it_broken() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let events = calloop::EventLoop::<ReadyEvents<u8>>::try_new().unwrap();
-    // An unconnected socket answers a read as some systems answer it while a connection is being established.
+    // A read of an unconnected socket fails as it does on some systems while a connection is being established.
     let socket = Socket::new(
         Domain::for_address(address),
         Type::STREAM,
@@ -38,8 +38,9 @@
 }
 
 #[test]
-fn bytes_that_a_peer_sent_before_its_reset_are_read_though_a_write_meets_the_reset_first() {
-    // A response, such as a rejection with Retry-After, may stand before a reset that a write meets first.
+fn bytes_sent_before_a_reset_are_read_even_if_a_write_meets_the_reset_first() {
+    // A peer may send a response, such as a rejection with Retry-After, and then reset the connection. The response must
+    // not be lost if a write is the first call that fails because of the reset.
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let events = calloop::EventLoop::<ReadyEvents<u8>>::try_new().unwrap();
     let address = listener.local_addr().unwrap();
@@ -48,7 +49,7 @@
     let (mut peer, _) = listener.accept().unwrap();
     peer.write_all(b"no").unwrap();
     assert!(connection.queue(b"ask") && connection.flush());
-    // Closing a socket that holds unread bytes resets the connection.
+    // Closing a socket with unread bytes resets the connection.
     peer.peek(&mut [0; 3]).unwrap();
     drop(peer);
     assert!((0..200_000).any(|_| {
--- a/crates/http/src/socket_trace.rs
+++ b/crates/http/src/socket_trace.rs
@@ -1,7 +1,7 @@
-//! The trace of sockets: what crosses each of them, at the log level TRACE.
+//! Traces the events and bytes of every socket at the log level TRACE.
 //!
-//! A trace answers what a connection carried and who ended it. While the level is off it costs one comparison for each
-//! call on a socket.
+//! A trace shows what a connection carried and which side ended it. While the level is disabled, tracing costs one
+//! comparison for each call on a socket.
 
 use std::io::Error;
 use std::net::TcpStream;
@@ -9,25 +9,25 @@
 
 use tracing::{Level, enabled, trace};
 
-/// How many bytes of a read or a write are shown. Those of a request reach to its id.
-const SHOWN_BYTES: usize = 96;
+/// Maximum number of bytes that are shown of a read or a write. For a request, this includes its id.
+const MAX_SHOWN_BYTES: usize = 96;
 
-/// What happened on a socket.
+/// An event on a socket.
 #[derive(Debug)]
 pub(crate) enum SocketEvent<'a> {
-    /// It is watched from here on: a peer has connected, or a connection to one is being established.
+    /// The socket was registered: a peer has connected, or a connection to a peer is being established.
     Opened,
     /// These bytes were read.
     Read(&'a [u8]),
     /// These bytes were written.
     Written(&'a [u8]),
-    /// The peer has ended its sending.
+    /// The peer has shut down its sending side.
     End,
-    /// A read or a write has failed: the connection was reset, or was never established.
+    /// A read or a write failed: the connection was reset, or was never established.
     Failed(&'a Error),
-    /// The sending side is shut down.
+    /// This process shuts down its sending side.
     ShutDown,
-    /// The socket is closed. Where bytes of the peer are unread, this resets the connection.
+    /// This process closes the socket. If bytes from the peer are still unread, this resets the connection.
     Closed,
 }
 
@@ -65,7 +65,7 @@
         return;
     }
     let bytes = event.bytes();
-    let shown = &bytes[..bytes.len().min(SHOWN_BYTES)];
+    let shown = &bytes[..bytes.len().min(MAX_SHOWN_BYTES)];
     trace!(
         event = event.name(),
         socket = stream.as_raw_fd(),
