--- a/crates/clock/src/clock_history.rs
+++ b/crates/clock/src/clock_history.rs
@@ -1,8 +1,8 @@
-//! The system's clocks, and what an earlier process wrote of them.
+//! Readings of the system's clocks, and the clock state that earlier processes recorded.
 //!
-//! The wall clock may be stepped at any time, by seconds or by hours. The clock that counts from the machine's boot runs
-//! on: on the same boot its difference is the time that has passed. After a reboot only the wall clock is left, which
-//! proves nothing.
+//! The wall clock may be stepped at any time, by seconds or by hours. The clock that counts from the machine's boot is
+//! not affected by that: within one boot, the difference of two readings is the time that has passed. After a reboot only
+//! the wall clock is left, which does not prove how much time has passed.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -10,7 +10,7 @@
 
 use crate::Millis;
 
-/// Where Linux gives the id of the present boot.
+/// The file in which Linux provides the id of the current boot.
 const BOOT_ID_FILE: &str = "/proc/sys/kernel/random/boot_id";
 const MILLIS_PER_SECOND: f64 = 1e3;
 const NANOS_PER_MILLI: f64 = 1e6;
@@ -20,7 +20,7 @@
 pub struct BootId(pub u128);
 
 impl BootId {
-    /// The id of the present boot; none where the system does not tell.
+    /// The id of the current boot. `None` if the system does not provide it.
     pub fn current() -> Option<BootId> {
         let text = std::fs::read_to_string(BOOT_ID_FILE).ok()?;
         let digits: String = text.trim().split('-').collect();
@@ -28,12 +28,12 @@
     }
 }
 
-/// What the system's clocks say at one instant.
+/// The system's clocks at one instant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClockReading {
-    /// The present boot; none where the system does not tell.
+    /// The current boot. `None` if the system does not provide its id.
     pub boot: Option<BootId>,
-    /// Time since that boot, in milliseconds; suspended time counts.
+    /// Time since that boot, in milliseconds, including the time for which the system was suspended.
     pub since_boot: Millis,
     /// The wall clock, in milliseconds of Unix time.
     pub wall: Millis,
@@ -56,38 +56,38 @@
     }
 }
 
-/// What a process writes down of its clock, so that the next process can go on with it.
+/// The record of a process's clock, from which the next process continues.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Anchor {
-    /// The boot.
+    /// The boot during which the process ran.
     pub boot: BootId,
-    /// Time since that boot, in milliseconds...
+    /// The time since that boot at which the process's clock showed `clock`, in milliseconds.
     pub since_boot: Millis,
-    /// ...when the process's clock stood at this instant.
+    /// The instant of the process's clock at `since_boot`.
     pub clock: Millis,
 }
 
-/// What earlier processes left of their clock.
+/// The clock state that earlier processes recorded.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ClockHistory {
-    /// The anchor of the latest of them; none if none wrote any.
+    /// The latest anchor. `None` if no process recorded one.
     pub anchor: Option<Anchor>,
-    /// The latest instant that any of them wrote; 0 if there is none.
+    /// The latest instant that any of them recorded, or 0 if none did.
     pub latest_instant: Millis,
 }
 
-/// Where a clock starts.
+/// The instant at which a clock starts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClockStart {
     /// The instant at which it starts.
     pub instant: Millis,
-    /// Its instants are as far from those of earlier processes as the time that has passed. Otherwise nothing is known
-    /// of that time but that it was not negative.
+    /// Whether the difference between an instant of this clock and one of an earlier process is the time that has passed.
+    /// Otherwise it is only known that this time was not negative.
     pub is_continuous: bool,
 }
 
 impl ClockHistory {
-    /// Where the clock of the next process starts.
+    /// The start of the next process's clock.
     pub fn continue_with(&self, reading: &ClockReading) -> ClockStart {
         let same_boot = self.anchor.filter(|anchor| {
             Some(anchor.boot) == reading.boot && reading.since_boot >= anchor.since_boot
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,7 +1,7 @@
 //! The sender's clock, and the conversion between its milliseconds and the decision module's nanoseconds.
 //!
-//! Time is Unix time that never goes back. The first process of a state folder reads the wall clock once; from there on
-//! the clock goes by the time that has passed, also over restarts ([`ClockHistory`]): setting the wall clock changes
+//! Time is Unix time that never goes back. The first process of a state folder reads the wall clock once. From then on the
+//! clock advances by the time that has passed, even across restarts ([`ClockHistory`]): setting the wall clock changes
 //! nothing. No other part of the sender asks the system for the time.
 
 mod clock_history;
@@ -12,15 +12,15 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// An instant (since the Unix epoch) or a duration of the decision module, in nanoseconds.
+/// An instant (since the Unix epoch) or a duration in the decision module, in nanoseconds.
 pub type Nanos = u64;
 
 /// An instant or a duration in milliseconds. Instants count from the Unix epoch, so that those in the write-ahead log
-/// keep their meaning after the process has ended.
+/// are still meaningful after the process has ended.
 pub type Millis = f64;
 
 /// How far a clock that is not continuous may be ahead of the instant at which a predecessor process stopped and still
-/// be trusted. Beyond it, the wall clock has been set forward meanwhile.
+/// be trusted. If it is further ahead, the wall clock has been set forward in the meantime.
 const MAX_REPLACEMENT_GAP: Millis = 1_000.0;
 
 const MILLIS_PER_SECOND: f64 = 1e3;
@@ -31,7 +31,7 @@
 pub struct Clock(Rc<Source>);
 
 enum Source {
-    /// An instant at the start, advanced by the monotonic clock.
+    /// The instant of the start, advanced by the monotonic clock.
     System {
         start: ClockStart,
         started: Instant,
@@ -43,26 +43,31 @@
 }
 
 impl Clock {
-    /// The clock of a process that has none before it.
+    /// The clock of the first process of a state folder.
     pub fn system() -> Clock {
         Clock::continuing(&ClockHistory::default())
     }
 
-    /// The clock of a process that comes after others.
+    /// The clock of a process that continues the clock of earlier ones.
     pub fn continuing(history: &ClockHistory) -> Clock {
         let reading = ClockReading::read();
         Clock::running_from(history.continue_with(&reading), &reading)
     }
 
-    /// The clock of a process that takes over from one whose clock stood at `at`. Never before `at`. A clock that is not
-    /// continuous counts only if it is close behind `at`; otherwise `at` itself does.
-    pub fn taking_over(&self, at: Millis) -> Clock {
+    /// The clock of a process that takes over from one whose clock has reached `predecessor_now`. It never starts before
+    /// `predecessor_now`. If this clock is not continuous, it is used only while it is ahead of `predecessor_now` by less
+    /// than `MAX_REPLACEMENT_GAP`; otherwise the new clock starts at `predecessor_now`.
+    pub fn taking_over(&self, predecessor_now: Millis) -> Clock {
         let reading = ClockReading::read();
         let now = self.now();
-        let is_plausible = (at..at + MAX_REPLACEMENT_GAP).contains(&now);
-        let trusted = self.is_continuous() || is_plausible;
+        let is_plausible = (predecessor_now..predecessor_now + MAX_REPLACEMENT_GAP).contains(&now);
+        let is_trusted = self.is_continuous() || is_plausible;
         let start = ClockStart {
-            instant: if trusted { now.max(at) } else { at },
+            instant: if is_trusted {
+                now.max(predecessor_now)
+            } else {
+                predecessor_now
+            },
             is_continuous: true,
         };
         Clock::running_from(start, &reading)
@@ -77,7 +82,8 @@
         }))
     }
 
-    /// Whether spans between instants of earlier processes and of this one are the time that has passed.
+    /// Whether the difference between an instant of an earlier process and one of this process is the time that has
+    /// passed.
     pub fn is_continuous(&self) -> bool {
         match &*self.0 {
             Source::System { start, .. } => start.is_continuous,
@@ -85,8 +91,8 @@
         }
     }
 
-    /// What the next process needs to go on with this clock; none where the system does not tell its boots apart, and
-    /// for clocks of tests.
+    /// The anchor that the next process needs to continue this clock. `None` if the system does not identify its boots,
+    /// and for clocks of tests.
     pub fn anchor(&self) -> Option<Anchor> {
         match &*self.0 {
             Source::System {
@@ -103,19 +109,19 @@
         }
     }
 
-    /// A clock for tests that stands still until [`Clock::set`].
+    /// A clock for tests, whose time changes only with [`Clock::set`].
     pub fn manual(now: Millis) -> Clock {
         Clock(Rc::new(Source::Manual(Cell::new(now))))
     }
 
-    /// Moves a clock made by [`Clock::manual`]; does nothing to others.
+    /// Sets the time of a clock made by [`Clock::manual`]; has no effect on other clocks.
     pub fn set(&self, now: Millis) {
         if let Source::Manual(time) = &*self.0 {
             time.set(now);
         }
     }
 
-    /// The present instant.
+    /// The current instant.
     pub fn now(&self) -> Millis {
         match &*self.0 {
             Source::System { start, started, .. } => {
