--- a/crates/settings/build.rs
+++ b/crates/settings/build.rs
@@ -1,17 +1,20 @@
-//! Compiles the schemas in `proto/` to Rust types and to a set of descriptors, with no outside compiler.
+//! Compiles the schemas in `proto/` to Rust types and to a descriptor set, without an external protobuf compiler.
 
 use std::path::PathBuf;
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
-    let protos = PathBuf::from(std::env::var("CARGO_MANIFEST_DIR")?).join("../../proto");
-    println!("cargo::rerun-if-changed={}", protos.display());
+    let proto_folder = PathBuf::from(std::env::var("CARGO_MANIFEST_DIR")?).join("../../proto");
+    println!("cargo::rerun-if-changed={}", proto_folder.display());
     let out = PathBuf::from(std::env::var("OUT_DIR")?);
-    let set = protox::compile(["settings.proto", "experiment.proto"], [&protos])?;
-    std::fs::write(out.join("descriptors.bin"), prost_build_message(&set))?;
-    prost_build::Config::new().compile_fds(set)?;
+    let descriptors = protox::compile(["settings.proto", "experiment.proto"], [&proto_folder])?;
+    std::fs::write(
+        out.join("descriptors.bin"),
+        encode_descriptors(&descriptors),
+    )?;
+    prost_build::Config::new().compile_fds(descriptors)?;
     Ok(())
 }
 
-fn prost_build_message(set: &impl protox::prost::Message) -> Vec<u8> {
-    set.encode_to_vec()
+fn encode_descriptors(descriptors: &impl protox::prost::Message) -> Vec<u8> {
+    descriptors.encode_to_vec()
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -2,15 +2,15 @@
 //!
 //! - [`platform`]: the platform's settings, a JSON object.
 //! - [`program`]: the sender's own settings file, in the protobuf text format.
-//! - [`text`]: a reader for any file in the protobuf text format that is described by the schemas in `proto/`.
+//! - [`text`]: a reader for files in the protobuf text format whose messages the schemas in `proto/` define.
 //!
-//! The crate parses text that it is given and checks it; it opens no files.
+//! The crate parses and checks text that its callers pass; it opens no files.
 
 pub mod platform;
 pub mod program;
 pub mod text;
 
-/// The messages that are generated from the schemas in `proto/`, where they and their fields are documented.
+/// The types that are generated from the schemas in `proto/`, where the messages and their fields are documented.
 pub mod schema {
     /// The sender's own settings, `proto/settings.proto`.
     pub mod settings {
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -6,10 +6,10 @@
 };
 use serde_json::Value;
 
-/// The time between two turns of the decision module if the settings give none, in nanoseconds.
-const DEFAULT_TURN_INTERVAL: u64 = 1_000_000;
+/// The time between two turns of the decision module if the settings give none.
+const DEFAULT_TURN_INTERVAL_NANOS: u64 = 1_000_000;
 
-/// The settings of the decision module, and the names by which the platform calls what they number.
+/// The settings of the decision module, and the platform's names for the zones, kinds and classes that they number.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
     /// The settings of the decision module.
@@ -20,7 +20,7 @@
     pub kinds: Vec<String>,
     /// The names of the classes of message, by number.
     pub classes: Vec<String>,
-    /// Whether changes of the endpoint list have to be polled or watched; otherwise they are pushed.
+    /// Whether changes of the endpoint list have to be polled or watched. Otherwise the platform pushes them.
     pub polls_endpoint_list: bool,
 }
 
@@ -33,7 +33,7 @@
     /// A required setting is missing.
     #[error("setting {0} is missing")]
     Missing(String),
-    /// A setting has a value of another type, or one that is not known.
+    /// A setting has a value of the wrong type, or an unknown value.
     #[error("setting {setting} should be {expected}")]
     Invalid {
         /// The path of the setting.
@@ -52,7 +52,7 @@
 /// One JSON object of the settings.
 struct SettingsObject<'a> {
     value: &'a Value,
-    /// The path of the object in messages, with a dot at its end; empty for the settings as a whole.
+    /// The path of the object in error messages, which ends with a dot; empty for the settings as a whole.
     path: &'static str,
 }
 
@@ -85,7 +85,7 @@
     fn integer(&self, key: &str) -> Result<u64, PlatformError> {
         self.required(key)?
             .as_u64()
-            .ok_or_else(|| self.invalid(key, "a whole number, not negative"))
+            .ok_or_else(|| self.invalid(key, "a non-negative integer"))
     }
 
     fn integer_or(&self, key: &str, default: u64) -> Result<u64, PlatformError> {
@@ -95,8 +95,8 @@
         }
     }
 
-    /// An integer, or the largest number of 32 bits if it is larger.
-    fn integer_of_32_bits(&self, key: &str) -> Result<u32, PlatformError> {
+    /// An integer, or `u32::MAX` if it is larger.
+    fn saturating_u32(&self, key: &str) -> Result<u32, PlatformError> {
         let integer = self.integer(key)?;
         Ok(u32::try_from(integer).unwrap_or(u32::MAX))
     }
@@ -150,7 +150,7 @@
     }
 }
 
-/// The objects that the settings consist of.
+/// The JSON objects that the settings consist of.
 struct Sections<'a> {
     root: SettingsObject<'a>,
     family: SettingsObject<'a>,
@@ -165,7 +165,7 @@
             value: json,
             path: "",
         };
-        // Without deductions their defaults hold.
+        // Without this object, the default of each deduction applies.
         let deductions = root
             .object("Deductions", "Deductions.")
             .unwrap_or(SettingsObject {
@@ -182,8 +182,8 @@
     }
 }
 
-/// What the settings list by name.
-struct Lists {
+/// The zones, kinds and classes that the settings list by name.
+struct NamedLists {
     zones: Vec<String>,
     /// The sender's own zone.
     zone: ZoneId,
@@ -192,8 +192,8 @@
     classes: Vec<MessageClass>,
 }
 
-impl Lists {
-    fn read(root: &SettingsObject) -> Result<Lists, PlatformError> {
+impl NamedLists {
+    fn read(root: &SettingsObject) -> Result<NamedLists, PlatformError> {
         let zones = root.names("Areas")?;
         let kinds = root.names("Kinds")?;
         let zone = read_zone(root, &zones)?;
@@ -207,7 +207,7 @@
             class_names.push(class.text_or("Name", "")?.to_string());
             classes.push(read_class(&class)?);
         }
-        Ok(Lists {
+        Ok(NamedLists {
             zones,
             zone,
             kinds,
@@ -217,7 +217,7 @@
     }
 }
 
-/// Reads the settings from their JSON text. Keys that are not known are skipped.
+/// Reads the settings from their JSON text. Unknown keys are ignored.
 ///
 /// # Errors
 /// If the text is not JSON, a setting is missing or has an invalid value, or the decision module cannot work with the
@@ -225,7 +225,7 @@
 pub fn read(text: &str) -> Result<PlatformSettings, PlatformError> {
     let json: Value = serde_json::from_str(text).map_err(PlatformError::NotJson)?;
     let sections = Sections::of(&json)?;
-    let lists = Lists::read(&sections.root)?;
+    let lists = NamedLists::read(&sections.root)?;
     let settings = read_settings(&sections, &lists)?;
     settings.check().map_err(PlatformError::Unusable)?;
     let polls_endpoint_list = sections.root.text_or("RegistryMode", "push")? == "ask";
@@ -238,7 +238,7 @@
     })
 }
 
-fn read_settings(sections: &Sections, lists: &Lists) -> Result<Settings, PlatformError> {
+fn read_settings(sections: &Sections, lists: &NamedLists) -> Result<Settings, PlatformError> {
     let Sections {
         root,
         family,
@@ -249,7 +249,7 @@
     let per_endpoint = family.list("OwnLimits")?;
     let zone_prices = family.list("Toll")?;
     Ok(Settings {
-        senders: root.integer_of_32_bits("Balancers")?,
+        senders: root.saturating_u32("Balancers")?,
         zone: lists.zone,
         zone_prices: read_zone_prices(zone_prices, lists.zones.len()),
         kinds: read_kinds(per_endpoint, lists.kinds.len()),
@@ -258,7 +258,7 @@
         weight_meaning: read_weight_meaning(root)?,
         max_in_flight: family.integer("CallsOut")? as usize,
         max_held: limits.integer("OpenCap")? as usize,
-        max_attempts: limits.integer_of_32_bits("AttemptsCap")?,
+        max_attempts: limits.saturating_u32("AttemptsCap")?,
         may_cancel: limits.flag("Cancel")?,
         may_hedge: limits.flag("SecondCopies")?,
         max_retry_after: read_max_retry_after(limits)?,
@@ -266,7 +266,7 @@
         key_quiet_period: guarantees.integer_or("KeyQuiet", 0)?,
         connect_timeout: limits.integer("ConnectTimeout")?,
         idle_timeout: limits.integer_or("ConnIdle", u64::MAX)?,
-        turn_interval: root.integer_or("Tick", DEFAULT_TURN_INTERVAL)?,
+        turn_interval: root.integer_or("Tick", DEFAULT_TURN_INTERVAL_NANOS)?,
         cross_zone_price: deductions.number_or("CrossZone", 0.0)?,
         handshake_price: deductions.number_or("Handshake", 0.0)?,
     })
@@ -281,15 +281,15 @@
         .ok_or_else(|| PlatformError::UnknownZone(name.to_string()))
 }
 
-fn read_zone_prices(prices: &[Value], zones: usize) -> Vec<f64> {
-    (0..zones)
+fn read_zone_prices(prices: &[Value], zone_count: usize) -> Vec<f64> {
+    (0..zone_count)
         .map(|zone| prices.get(zone).and_then(Value::as_f64).unwrap_or(0.0))
         .collect()
 }
 
-fn read_kinds(per_endpoint: &[Value], kinds: usize) -> Vec<DestinationKind> {
+fn read_kinds(per_endpoint: &[Value], kind_count: usize) -> Vec<DestinationKind> {
     let flag = |kind: usize| per_endpoint.get(kind).and_then(Value::as_bool);
-    (0..kinds)
+    (0..kind_count)
         .map(|kind| DestinationKind {
             per_endpoint: flag(kind).unwrap_or(false),
         })
@@ -312,9 +312,9 @@
 }
 
 fn read_max_retry_after(limits: &SettingsObject) -> Result<Option<u64>, PlatformError> {
-    let honoured = limits.flag("RetryAfter")?;
+    let is_honoured = limits.flag("RetryAfter")?;
     let max = limits.integer_or("MaxRetryAfter", 0)?;
-    Ok(honoured.then_some(max))
+    Ok(is_honoured.then_some(max))
 }
 
 fn read_recovery(guarantees: &SettingsObject) -> Result<RecoveryRamp, PlatformError> {
@@ -328,7 +328,7 @@
 
 fn read_class(class: &SettingsObject) -> Result<MessageClass, PlatformError> {
     if class.flag("Stream")? {
-        return Err(class.invalid("Stream", "false: answers are whole"));
+        return Err(class.invalid("Stream", "false, as responses are not streamed"));
     }
     let idempotency = read_idempotency(class)?;
     Ok(MessageClass {
--- a/crates/settings/src/program.rs
+++ b/crates/settings/src/program.rs
@@ -1,4 +1,4 @@
-//! The sender's own settings: a file in the protobuf text format, described by `proto/settings.proto`. Absent fields
+//! The sender's own settings: a file in the protobuf text format, whose schema is `proto/settings.proto`. Absent fields
 //! have defaults; numbers are checked against bounds.
 
 #[cfg(test)]
@@ -10,13 +10,13 @@
 use crate::schema::settings::{self as schema, Settings, log};
 use crate::text::{self, FieldError, ParsedFile};
 
-/// The full name of the file's message.
+/// The full name of the message that the file contains.
 const MESSAGE: &str = "martenlatch.settings.Settings";
-/// Most seeds.
+/// Maximum number of seeds.
 const MAX_SEEDS: usize = 64;
 const MILLIS_PER_SECOND: f64 = 1e3;
 
-/// A field with a number: its default and its bounds, which are included.
+/// A numeric field with its default and its inclusive bounds.
 struct NumberField {
     /// The path of the field.
     path: &'static str,
@@ -44,7 +44,7 @@
 
 const LINES_PER_SECOND: NumberField =
     NumberField::new("log.lines_per_second", 100.0, 1.0, 10_000.0);
-/// A client has to get an error or a close within 3 s of connecting, which bounds the time for its request.
+/// A client has to receive an error or a close within 3 s of connecting, which limits the time for its request.
 const REQUEST_MS: NumberField = NumberField::new("clients.request_ms", 2_400.0, 100.0, 2_900.0);
 const IDLE_MS: NumberField = NumberField::new("clients.idle_ms", 6_000.0, 500.0, 3_600_000.0);
 const LEARN_MS: NumberField = NumberField::new("peers.learn_ms", 500.0, 0.0, 10_000.0);
@@ -53,57 +53,57 @@
 const PERIOD_MS: NumberField = NumberField::new("peers.period_ms", 500.0, 50.0, 60_000.0);
 const SUSPECT_PERIODS: NumberField = NumberField::new("peers.suspect_periods", 5.0, 1.0, 100.0);
 
-/// The format and the bounds of the log.
+/// The format, the level and the rate limit of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogSettings {
     /// Whether lines are JSON objects instead of `key=value` pairs.
     pub json: bool,
     /// The least severe level that is logged.
     pub level: log::Level,
-    /// Most lines a second.
+    /// Maximum number of lines per second.
     pub lines_per_second: u32,
 }
 
 /// The timeouts for clients, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClientTimeouts {
-    /// For a whole request. The time for the first one starts with its connection.
+    /// For a whole request. For the first request, the time starts when the client connects.
     pub request_ms: f64,
-    /// Between two requests.
+    /// For the pause between two requests.
     pub idle_ms: f64,
 }
 
-/// How this sender meets its peers, the other senders. Times are in milliseconds.
+/// How this sender communicates with its peers, the other senders. Times are in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerSettings {
-    /// The address for datagrams and connections.
+    /// The address on which this sender receives datagrams and connections.
     pub listen: SocketAddr,
-    /// The addresses of senders that usually run; this one's may be among them.
+    /// The addresses of senders that are usually running, which may include this one.
     pub seeds: Vec<SocketAddr>,
     /// The file with the secret that all members share.
     pub secret_file: PathBuf,
-    /// How long a starting sender waits for the knowledge of its seeds at most.
+    /// Maximum time that a starting sender waits for the knowledge of its seeds.
     pub learn_ms: f64,
-    /// The time in which gossip loses half of its weight.
+    /// The time in which knowledge from gossip loses half of its weight.
     pub half_life_ms: f64,
-    /// Longest wait that is believed when it comes by gossip.
+    /// Maximum wait before the next request to a destination that is accepted from gossip; longer ones are shortened to it.
     pub longest_wait_ms: f64,
     /// Whether this sender's own observations are saved in the state folder.
     pub keep: bool,
     /// The period of the membership protocol, in which one member is pinged.
     pub period_ms: f64,
-    /// Periods that a suspect has for a refutation.
+    /// The number of periods in which a suspected member can refute the suspicion.
     pub suspect_periods: f64,
 }
 
 /// The sender's own settings, checked.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProgramSettings {
-    /// The format and the bounds of the log.
+    /// The format, the level and the rate limit of the log.
     pub log: LogSettings,
     /// The timeouts for clients.
     pub clients: ClientTimeouts,
-    /// How this sender meets its peers; none if senders share nothing.
+    /// How this sender communicates with its peers. `None` if senders share nothing.
     pub peers: Option<PeerSettings>,
 }
 
@@ -124,23 +124,23 @@
     }
 }
 
-/// Reads the text of a settings file; `file` is its name in faults.
+/// Reads the text of a settings file; `file` is its name in errors.
 ///
 /// # Errors
-/// The first fault of form or bounds.
+/// The first error of syntax or bounds.
 pub fn read(file: &str, text: &str) -> Result<ProgramSettings, FieldError> {
     let file = text::read::<Settings>(file, text, MESSAGE)?;
-    let mut program = ProgramSettings::default();
+    let mut settings = ProgramSettings::default();
     if let Some(log) = &file.message.log {
-        program.log = read_log(&file, log)?;
+        settings.log = read_log(&file, log)?;
     }
     if let Some(clients) = &file.message.clients {
-        program.clients = read_clients(&file, clients)?;
+        settings.clients = read_clients(&file, clients)?;
     }
     if let Some(peers) = &file.message.peers {
-        program.peers = Some(read_peers(&file, peers)?);
+        settings.peers = Some(read_peers(&file, peers)?);
     }
-    Ok(program)
+    Ok(settings)
 }
 
 fn read_log(file: &ParsedFile<Settings>, log: &schema::Log) -> Result<LogSettings, FieldError> {
@@ -171,11 +171,11 @@
     peers: &schema::Peers,
 ) -> Result<PeerSettings, FieldError> {
     if peers.secret_file.is_empty() {
-        let reason = "a file is wanted that all members share";
+        let reason = "the path of a file that all members share is required";
         return Err(file.field_error("peers.secret_file", reason));
     }
     if peers.seed.len() > MAX_SEEDS {
-        return Err(file.field_error("peers.seed", format!("more than {MAX_SEEDS}")));
+        return Err(file.field_error("peers.seed", format!("more than {MAX_SEEDS} seeds")));
     }
     Ok(PeerSettings {
         listen: read_address(file, "peers.listen", &peers.listen)?,
--- a/crates/settings/src/program/tests.rs
+++ b/crates/settings/src/program/tests.rs
@@ -1,16 +1,16 @@
-//! Tests of the sender's own settings: defaults, bounds and faults.
+//! Defaults, bounds and errors of the sender's own settings.
 
 use super::*;
 
 #[test]
-fn peers_are_off_unless_configured_and_their_fields_are_checked() {
-    let some = |more: &str| {
+fn the_fields_of_configured_peers_have_defaults_and_are_checked() {
+    let read_with = |more: &str| {
         read(
             "f",
             &format!("peers {{\n listen: \"127.0.0.1:7300\"\n secret_file: \"s\"\n {more}\n}}"),
         )
     };
-    let peers = some("seed: \"127.0.0.1:7301\" learn_ms: 200")
+    let peers = read_with("seed: \"127.0.0.1:7301\" learn_ms: 200")
         .unwrap()
         .peers
         .unwrap();
@@ -18,32 +18,32 @@
         (peers.seeds.len(), peers.learn_ms, peers.half_life_ms),
         (1, 200.0, 20_000.0)
     );
-    let fault = |text: Result<ProgramSettings, FieldError>| text.unwrap_err().to_string();
-    let odd = fault(some("seed: \"127.0.0.1:7301\" seed: \"here\""));
+    let error_of = |result: Result<ProgramSettings, FieldError>| result.unwrap_err().to_string();
+    let invalid_address = error_of(read_with("seed: \"127.0.0.1:7301\" seed: \"here\""));
     assert_eq!(
-        odd,
+        invalid_address,
         "f:4: peers.seed[1]: \"here\" is not an address with a port"
     );
     assert_eq!(
-        fault(some("learn_ms: -1")),
+        error_of(read_with("learn_ms: -1")),
         "f:4: peers.learn_ms: -1 is not within 0 and 10000"
     );
-    let none = fault(read("f", "peers { listen: \"127.0.0.1:1\" }"));
+    let without_secret_file = error_of(read("f", "peers { listen: \"127.0.0.1:1\" }"));
     assert_eq!(
-        none,
-        "f:1: peers.secret_file: a file is wanted that all members share"
+        without_secret_file,
+        "f:1: peers.secret_file: the path of a file that all members share is required"
     );
-    assert!(fault(read("f", "peers { secret_file: \"s\" }")).contains("peers.listen"));
+    assert!(error_of(read("f", "peers { secret_file: \"s\" }")).contains("peers.listen"));
 }
 
 #[test]
-fn the_shipped_file_gives_the_defaults_and_bounds_are_checked() {
+fn the_shipped_file_contains_the_defaults_and_bounds_are_checked() {
     let shipped = include_str!("../../../../deploy/settings.textproto");
     assert_eq!(read("shipped", shipped), Ok(ProgramSettings::default()));
     assert_eq!(read("empty", ""), Ok(ProgramSettings::default()));
-    let fault = read("f", "clients { request_ms: nan }").unwrap_err();
+    let error = read("f", "clients { request_ms: nan }").unwrap_err();
     assert_eq!(
-        fault.to_string(),
+        error.to_string(),
         "f:1: clients.request_ms: NaN is not within 100 and 2900"
     );
 }
--- a/crates/settings/src/text/field_positions.rs
+++ b/crates/settings/src/text/field_positions.rs
@@ -1,19 +1,19 @@
-//! Finds where each field of a text in the protobuf text format begins. The parser itself reports positions only for
+//! Finds the position of each field in a text in the protobuf text format. The parser itself reports positions only for
 //! its own errors.
 
 use std::collections::BTreeMap;
 
-/// Where one field begins.
+/// The position at which a field begins.
 #[derive(Debug)]
 pub(super) struct FieldPosition {
-    /// The field's path, each part with its index among the fields of that name: `failure[1].part[0]`.
+    /// The field's path, in which each part has its index among the fields of that name: `failure[1].part[0]`.
     pub(super) path: String,
     /// The offset of the field's name in the text, in bytes.
     pub(super) offset: usize,
 }
 
-/// The positions of all fields in their order. At text that cannot be parsed the list may end or go astray; the parser
-/// reports that fault.
+/// The positions of all fields in their order. If the text cannot be parsed, the list may be incomplete or wrong after the
+/// error; the parser reports that error.
 pub(super) fn field_positions(text: &str) -> Vec<FieldPosition> {
     let mut scanner = Scanner::new(text);
     while let Some(byte) = text.as_bytes().get(scanner.offset) {
@@ -23,11 +23,11 @@
     scanner.positions
 }
 
-/// A message whose end was not found yet.
+/// A message whose end has not been reached yet.
 struct OpenMessage<'a> {
     /// Empty for the message of the whole text.
     path: String,
-    /// How many fields of each name it has so far.
+    /// The number of fields found so far, by name.
     counts: BTreeMap<&'a str, usize>,
 }
 
@@ -43,9 +43,9 @@
 struct Scanner<'a> {
     text: &'a str,
     offset: usize,
-    /// The message of the whole text, and those within each other at the offset.
-    open: Vec<OpenMessage<'a>>,
-    /// The path of the latest field.
+    /// The messages that contain the offset, from the message of the whole text to the innermost one.
+    open_messages: Vec<OpenMessage<'a>>,
+    /// The path of the field found last.
     latest_path: String,
     /// Whether the next word is the value of a field.
     expects_value: bool,
@@ -57,7 +57,7 @@
         Scanner {
             text,
             offset: 0,
-            open: vec![OpenMessage::new(String::new())],
+            open_messages: vec![OpenMessage::new(String::new())],
             latest_path: String::new(),
             expects_value: false,
             positions: Vec::new(),
@@ -65,10 +65,10 @@
     }
 
     /// Skips the token at the offset, which begins with this byte.
-    fn skip_token(&mut self, first: u8) {
-        match first {
+    fn skip_token(&mut self, first_byte: u8) {
+        match first_byte {
             b'#' => self.skip_until(|c| c == '\n'),
-            b'"' | b'\'' => self.skip_string(first),
+            b'"' | b'\'' => self.skip_string(first_byte),
             b'{' | b'<' => self.open_message(),
             b'}' | b'>' => self.close_message(),
             b':' => {
@@ -76,8 +76,8 @@
                 self.expects_value = true;
             }
             b'[' => self.skip_until(|c| c == ']'),
-            _ if first.is_ascii_alphabetic() || first == b'_' => self.skip_word(),
-            _ if first.is_ascii_digit() || first == b'-' || first == b'.' => {
+            _ if first_byte.is_ascii_alphabetic() || first_byte == b'_' => self.skip_word(),
+            _ if first_byte.is_ascii_digit() || first_byte == b'-' || first_byte == b'.' => {
                 self.skip_until(|c| !c.is_alphanumeric() && !".-+".contains(c));
                 self.expects_value = false;
             }
@@ -85,10 +85,10 @@
         }
     }
 
-    /// Skips to the next character for which `end` is true, or to the end of the text.
-    fn skip_until(&mut self, end: impl Fn(char) -> bool) {
+    /// Skips to the next character for which `is_end` is true, or to the end of the text.
+    fn skip_until(&mut self, is_end: impl Fn(char) -> bool) {
         let rest = &self.text[self.offset..];
-        self.offset += rest.find(end).unwrap_or(rest.len());
+        self.offset += rest.find(is_end).unwrap_or(rest.len());
     }
 
     fn skip_string(&mut self, quote: u8) {
@@ -97,22 +97,23 @@
         while let Some(byte) = bytes.get(self.offset)
             && *byte != quote
         {
-            let escape = *byte == b'\\';
-            self.offset += if escape { 2 } else { 1 };
+            let is_escape = *byte == b'\\';
+            self.offset += if is_escape { 2 } else { 1 };
         }
         self.offset += 1;
         self.expects_value = false;
     }
 
     fn open_message(&mut self) {
-        self.open.push(OpenMessage::new(self.latest_path.clone()));
+        self.open_messages
+            .push(OpenMessage::new(self.latest_path.clone()));
         self.offset += 1;
         self.expects_value = false;
     }
 
     fn close_message(&mut self) {
-        if self.open.len() > 1 {
-            self.open.pop();
+        if self.open_messages.len() > 1 {
+            self.open_messages.pop();
         }
         self.offset += 1;
     }
@@ -128,7 +129,7 @@
     }
 
     fn record_field(&mut self, name: &'a str, offset: usize) {
-        let Some(parent) = self.open.last_mut() else {
+        let Some(parent) = self.open_messages.last_mut() else {
             return;
         };
         let count = parent.counts.entry(name).or_insert(0);
@@ -141,7 +142,7 @@
         });
     }
 
-    /// Moves to the start of a character if the offset is within one.
+    /// Moves the offset to the start of the next character if it is inside one.
     fn skip_to_character(&mut self) {
         while self.offset < self.text.len() && !self.text.is_char_boundary(self.offset) {
             self.offset += 1;
--- a/crates/settings/src/text/mod.rs
+++ b/crates/settings/src/text/mod.rs
@@ -1,5 +1,5 @@
-//! Reads files in the protobuf text format. A file is taken as a whole or not at all; a fault names the file, line and
-//! field, and for an unknown name the nearest known one.
+//! Reads files in the protobuf text format. A file is accepted as a whole or rejected. An error names the file, the line
+//! and the field, and for an unknown name the nearest known one.
 
 mod field_positions;
 mod parse_errors;
@@ -16,17 +16,17 @@
     DescriptorPool::decode(&bytes[..]).expect("the build script encoded these descriptors")
 });
 
-/// What is wrong with a file. `Display` is one line of text.
+/// An error in a file. `Display` is one line of text.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}:{line}: {}{reason}", field_prefix(field))]
 pub struct FieldError {
-    /// The file's name, as it was given.
+    /// The file's name, as the caller gave it.
     pub file: String,
     /// The line in the file, from 1.
     pub line: usize,
-    /// The field, by its path from the top; empty if the fault is before the first field.
+    /// The path of the field from the top level; empty if the error is before the first field.
     pub field: String,
-    /// What is wrong, and what is expected.
+    /// The reason, and the values that are expected.
     pub reason: String,
 }
 
@@ -38,10 +38,10 @@
     }
 }
 
-/// A message that was read, with the positions of its fields for checks that follow.
+/// A file that was read, with the positions of its fields for the errors of later checks.
 #[derive(Debug)]
 pub struct ParsedFile<T> {
-    /// The message.
+    /// The message that the file contains.
     pub message: T,
     file: String,
     text: String,
@@ -49,8 +49,8 @@
 }
 
 impl<T> ParsedFile<T> {
-    /// A fault of a field, given by its path (`clients.idle_ms`, `failure[1].part`). The fault of an absent field is
-    /// placed at the nearest parent in the file.
+    /// An error of the field with this path (`clients.idle_ms`, `failure[1].part`). If the field is absent, the error is
+    /// placed at its nearest parent in the file.
     pub fn field_error(&self, field: &str, reason: impl Into<String>) -> FieldError {
         FieldError {
             file: self.file.clone(),
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Where a field, or its nearest parent in the file, begins.
+    /// The offset at which a field, or its nearest parent in the file, begins.
     fn offset_of(&self, field: &str) -> usize {
         let mut path = with_all_indices(field);
         loop {
@@ -74,21 +74,21 @@
         }
     }
 
-    /// Checks that a field's value lies within bounds, which are included.
+    /// Checks that a field's value is within inclusive bounds.
     ///
     /// # Errors
-    /// A fault that names the field and the bounds.
+    /// An error that names the field and the bounds.
     pub fn check_bounds(
         &self,
         field: &str,
         value: f64,
-        least: f64,
-        most: f64,
+        min: f64,
+        max: f64,
     ) -> Result<f64, FieldError> {
-        if (least..=most).contains(&value) {
+        if (min..=max).contains(&value) {
             return Ok(value);
         }
-        Err(self.field_error(field, format!("{value} is not within {least} and {most}")))
+        Err(self.field_error(field, format!("{value} is not within {min} and {max}")))
     }
 }
 
@@ -105,7 +105,7 @@
     parts.join(".")
 }
 
-/// Removes the indices that are 0 from a path, as a person would write it.
+/// Removes the indices that are 0 from a path, as a user would write it.
 fn without_first_indices(path: &str) -> String {
     path.replace("[0]", "")
 }
@@ -116,20 +116,20 @@
     1 + before.filter(|byte| *byte == b'\n').count()
 }
 
-/// Reads the text of a file as a message of the schemas, given by its full name (`martenlatch.settings.Settings`).
+/// Reads the text of a file as the message of the schemas that has this full name (`martenlatch.settings.Settings`).
 ///
 /// # Errors
-/// The first fault of the text.
+/// The first error in the text.
 ///
 /// # Panics
 /// If the schemas have no message of that name, or it is not the message `T`.
 pub fn read<T: prost::Message + Default>(
     file: &str,
     text: &str,
-    name: &str,
+    message_name: &str,
 ) -> Result<ParsedFile<T>, FieldError> {
     let descriptor = SCHEMAS
-        .get_message_by_name(name)
+        .get_message_by_name(message_name)
         .expect("the caller names a message of the schemas");
     let positions = field_positions(text);
     let dynamic = DynamicMessage::parse_text_format(descriptor.clone(), text)
--- a/crates/settings/src/text/parse_errors.rs
+++ b/crates/settings/src/text/parse_errors.rs
@@ -1,4 +1,4 @@
-//! Turns an error of the protobuf text parser into a fault that names the field, and suggests a known name for an
+//! Converts an error of the protobuf text parser to one that names the field, and that suggests a known name for an
 //! unknown one.
 
 use miette::Diagnostic;
@@ -8,7 +8,7 @@
 use super::field_positions::FieldPosition;
 use super::{FieldError, line_at, without_first_indices};
 
-/// The fault that the parser found in a text.
+/// Converts the error that the parser found in a text.
 pub(super) fn field_error(
     file: &str,
     text: &str,
@@ -23,7 +23,7 @@
         .find(|position| position.offset <= offset)
         .map_or("", |position| position.path.as_str());
     let rest = &text[offset.min(text.len())..];
-    let reason = unknown_name(descriptor, path, rest).unwrap_or_else(|| error.to_string());
+    let reason = unknown_name_reason(descriptor, path, rest).unwrap_or_else(|| error.to_string());
     FieldError {
         file: file.into(),
         line: line_at(text, offset),
@@ -32,9 +32,9 @@
     }
 }
 
-/// The reason if the fault is a field or an enum value that the schema does not have. `path` is that of the field at the
-/// fault, `rest` the text from the fault on.
-fn unknown_name(descriptor: &MessageDescriptor, path: &str, rest: &str) -> Option<String> {
+/// The reason, if the error is a field or an enum value that the schema does not define. `path` is the path of the field
+/// at the error, and `rest` is the text from the error on.
+fn unknown_name_reason(descriptor: &MessageDescriptor, path: &str, rest: &str) -> Option<String> {
     let word = first_word(rest);
     if word.is_empty() {
         return None;
@@ -43,7 +43,7 @@
     let mut message = descriptor.clone();
     while let Some(name) = names.next() {
         let Some(field) = message.get_field_by_name(name) else {
-            return Some(unknown_field(word, &message));
+            return Some(unknown_field_reason(word, &message));
         };
         match field.kind() {
             Kind::Message(inner) if names.peek().is_some() => message = inner,
@@ -57,7 +57,7 @@
     None
 }
 
-/// The name in a part of a path: `part` of `part[1]`.
+/// The name in a part of a path: `part` for `part[1]`.
 fn without_index(part: &str) -> &str {
     part.split('[').next().unwrap_or(part)
 }
@@ -67,7 +67,7 @@
     &text[..end.unwrap_or(text.len())]
 }
 
-fn unknown_field(word: &str, message: &MessageDescriptor) -> String {
+fn unknown_field_reason(word: &str, message: &MessageDescriptor) -> String {
     let known = message.fields().map(|field| field.name().to_string());
     let nearest = known.min_by_key(|name| strsim::damerau_levenshtein(word, name));
     match nearest {
--- a/crates/settings/src/text/tests.rs
+++ b/crates/settings/src/text/tests.rs
@@ -1,16 +1,16 @@
-//! Tests of the faults that the text reader reports.
+//! The errors that the text reader reports.
 
 use super::*;
 use crate::schema::settings::Settings;
 
-fn fault_of(text: &str) -> String {
+fn error_of(text: &str) -> String {
     read::<Settings>("f", text, "martenlatch.settings.Settings")
         .unwrap_err()
         .to_string()
 }
 
 #[test]
-fn faults_name_file_line_field_and_the_nearest_known_name() {
+fn errors_name_file_line_field_and_the_nearest_known_name() {
     let cases = [
         (
             "log {\n  levle: INFO\n}",
@@ -39,26 +39,26 @@
         ),
         ("log: \u{e9}", "f:1: log: "),
     ];
-    for (text, want) in cases {
-        let got = fault_of(text);
-        assert!(got.starts_with(want), "{text:?} gave {got}");
+    for (text, expected) in cases {
+        let error = error_of(text);
+        assert!(error.starts_with(expected), "{text:?} gave {error}");
     }
 }
 
 #[test]
-fn faults_of_later_checks_are_placed_too() {
+fn errors_of_later_checks_name_the_line_of_the_field() {
     let text = "log { }\nclients {\n  request_ms: 5\n}";
-    let read = read::<Settings>("f", text, "martenlatch.settings.Settings").unwrap();
-    let fault = read
+    let file = read::<Settings>("f", text, "martenlatch.settings.Settings").unwrap();
+    let error = file
         .check_bounds("clients.request_ms", 5.0, 100.0, 2900.0)
         .unwrap_err();
     assert_eq!(
-        fault.to_string(),
+        error.to_string(),
         "f:3: clients.request_ms: 5 is not within 100 and 2900"
     );
     assert_eq!(
-        read.field_error("clients.idle_ms", "absent").line,
+        file.field_error("clients.idle_ms", "absent").line,
         2,
-        "at its parent"
+        "an absent field's error is at its parent"
     );
 }
