--- a/crates/clock/src/clock_history.rs
+++ b/crates/clock/src/clock_history.rs
@@ -1,8 +1,8 @@
 //! Readings of the system's clocks, and the clock state that earlier processes recorded.
 //!
 //! The wall clock may be stepped at any time, by seconds or by hours. The clock that counts from the machine's boot is
-//! not affected by that: within one boot, the difference of two readings is the time that has passed. After a reboot only
-//! the wall clock is left, which does not prove how much time has passed.
+//! not affected by that: within one boot, the difference of two readings is the time that has passed. After a reboot
+//! only the wall clock is left, which does not prove how much time has passed.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -81,8 +81,8 @@
 pub struct ClockStart {
     /// The instant at which it starts.
     pub instant: Millis,
-    /// Whether the difference between an instant of this clock and one of an earlier process is the time that has passed.
-    /// Otherwise it is only known that this time was not negative.
+    /// Whether the difference between an instant of this clock and one of an earlier process is the time that has
+    /// passed. Otherwise it is only known that this time was not negative.
     pub is_continuous: bool,
 }
 
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,8 +1,8 @@
 //! The sender's clock, and the conversion between its milliseconds and the decision module's nanoseconds.
 //!
-//! Time is Unix time that never goes back. The first process of a state folder reads the wall clock once. From then on the
-//! clock advances by the time that has passed, even across restarts ([`ClockHistory`]): setting the wall clock changes
-//! nothing. No other part of the sender asks the system for the time.
+//! Time is Unix time that never goes back. The first process of a state folder reads the wall clock once. From then on
+//! the clock advances by the time that has passed, even across restarts ([`ClockHistory`]): setting the wall clock
+//! changes nothing. No other part of the sender asks the system for the time.
 
 mod clock_history;
 
@@ -54,9 +54,9 @@
         Clock::running_from(history.continue_with(&reading), &reading)
     }
 
-    /// The clock of a process that takes over from one whose clock has reached `predecessor_now`. It never starts before
-    /// `predecessor_now`. If this clock is not continuous, it is used only while it is ahead of `predecessor_now` by less
-    /// than `MAX_REPLACEMENT_GAP`; otherwise the new clock starts at `predecessor_now`.
+    /// The clock of a process that takes over from one whose clock has reached `predecessor_now`. It never starts
+    /// before `predecessor_now`. If this clock is not continuous, it is used only while it is ahead of
+    /// `predecessor_now` by less than `MAX_REPLACEMENT_GAP`; otherwise the new clock starts at `predecessor_now`.
     pub fn taking_over(&self, predecessor_now: Millis) -> Clock {
         let reading = ClockReading::read();
         let now = self.now();
--- a/crates/http/src/codec.rs
+++ b/crates/http/src/codec.rs
@@ -167,7 +167,8 @@
     pub body: Body,
     /// Whether the connection may carry another request.
     pub keep_alive: bool,
-    /// Whether the framing is malformed: the declared lengths contradict each other, cannot be read, or exceed [`MAX_BODY_BYTES`].
+    /// Whether the framing is malformed: the declared lengths contradict each other, cannot be read, or exceed
+    /// [`MAX_BODY_BYTES`].
     pub malformed_framing: bool,
     /// The headers, with their names in lower case.
     headers: Vec<(String, String)>,
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -36,8 +36,8 @@
 /// A handle to an event loop that identifies its sockets by keys of type `K`.
 pub type EventLoopHandle<K> = LoopHandle<'static, ReadyEvents<K>>;
 
-/// Registers a socket for reading and writing. Events are edge-triggered: the owner has to read and write until the socket
-/// would block.
+/// Registers a socket for reading and writing. Events are edge-triggered: the owner has to read and write until the
+/// socket would block.
 ///
 /// # Errors
 /// The system's error if the socket cannot be registered.
@@ -211,8 +211,8 @@
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return false,
-                // The connection was never established or was reset. The peer may have sent a response before the reset,
-                // which is read before the connection is marked as broken.
+                // The connection was never established or was reset. The peer may have sent a response before the
+                // reset, which is read before the connection is marked as broken.
                 Err(error) => {
                     socket_trace::record(&self.stream, SocketEvent::Failed(&error));
                     self.receive();
@@ -254,7 +254,8 @@
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
-                // On some systems a read fails like this while the connection is being established, which is no failure.
+                // On some systems a read fails like this while the connection is being established, which is no
+                // failure.
                 Err(error) if error.kind() == ErrorKind::NotConnected && self.written == 0 => break,
                 Err(error) => {
                     socket_trace::record(&self.stream, SocketEvent::Failed(&error));
@@ -285,8 +286,8 @@
         self.input.as_ref().map_or(&[], Buffer::bytes)
     }
 
-    /// Whether the connection has failed, for example because the peer reset it. After a write, this distinguishes a peer
-    /// that had closed the connection from one that has only shut down its sending side.
+    /// Whether the connection has failed, for example because the peer reset it. After a write, this distinguishes a
+    /// peer that had closed the connection from one that has only shut down its sending side.
     pub fn peer_reset(&mut self) -> bool {
         let has_failed = match self.stream.take_error() {
             Ok(pending) => pending.is_some(),
--- a/crates/http/src/connection/tests.rs
+++ b/crates/http/src/connection/tests.rs
@@ -39,8 +39,8 @@
 
 #[test]
 fn bytes_sent_before_a_reset_are_read_even_if_a_write_meets_the_reset_first() {
-    // A peer may send a response, such as a rejection with Retry-After, and then reset the connection. The response must
-    // not be lost if a write is the first call that fails because of the reset.
+    // A peer may send a response, such as a rejection with Retry-After, and then reset the connection. The response
+    // must not be lost if a write is the first call that fails because of the reset.
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let events = calloop::EventLoop::<ReadyEvents<u8>>::try_new().unwrap();
     let address = listener.local_addr().unwrap();
--- a/crates/http/src/system_errors.rs
+++ b/crates/http/src/system_errors.rs
@@ -34,8 +34,8 @@
 /// A connection is being established.
 const EINPROGRESS: i32 = 115;
 
-/// Whether an error means that this process or system lacks descriptors, memory, buffers or local ports. Such a shortage
-/// is temporary, and says nothing about the peer.
+/// Whether an error means that this process or system lacks descriptors, memory, buffers or local ports. Such a
+/// shortage is temporary, and says nothing about the peer.
 pub fn is_local_shortage(error: &Error) -> bool {
     let lacks_port = error.kind() == ErrorKind::AddrNotAvailable;
     lacks_port
@@ -45,8 +45,9 @@
         )
 }
 
-/// Whether an error of `accept` concerns only the connection that would have been accepted. That connection is lost, and
-/// the next one may be accepted at once. accept(2) reports the pending network errors of a new connection like this.
+/// Whether an error of `accept` concerns only the connection that would have been accepted. That connection is lost,
+/// and the next one may be accepted at once. accept(2) reports the pending network errors of a new connection like
+/// this.
 pub fn concerns_one_connection(error: &Error) -> bool {
     matches!(
         error.kind(),
@@ -67,8 +68,8 @@
     )
 }
 
-/// Whether a connection is still being established after `connect` returned this error. After an interruption by a signal,
-/// it continues to be established in the background.
+/// Whether a connection is still being established after `connect` returned this error. After an interruption by a
+/// signal, it continues to be established in the background.
 pub(crate) fn is_connect_in_progress(error: &Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
         || error.raw_os_error() == Some(EINPROGRESS)
--- a/crates/settings/src/program.rs
+++ b/crates/settings/src/program.rs
@@ -86,7 +86,8 @@
     pub learn_ms: f64,
     /// The time in which knowledge from gossip loses half of its weight.
     pub half_life_ms: f64,
-    /// Maximum wait before the next request to a destination that is accepted from gossip; longer ones are shortened to it.
+    /// Maximum wait before the next request to a destination that is accepted from gossip; longer ones are shortened to
+    /// it.
     pub longest_wait_ms: f64,
     /// Whether this sender's own observations are saved in the state folder.
     pub keep: bool,
--- a/crates/settings/src/text/field_positions.rs
+++ b/crates/settings/src/text/field_positions.rs
@@ -12,8 +12,8 @@
     pub(super) offset: usize,
 }
 
-/// The positions of all fields in their order. If the text cannot be parsed, the list may be incomplete or wrong after the
-/// error; the parser reports that error.
+/// The positions of all fields in their order. If the text cannot be parsed, the list may be incomplete or wrong after
+/// the error; the parser reports that error.
 pub(super) fn field_positions(text: &str) -> Vec<FieldPosition> {
     let mut scanner = Scanner::new(text);
     while let Some(byte) = text.as_bytes().get(scanner.offset) {
--- a/crates/settings/src/text/mod.rs
+++ b/crates/settings/src/text/mod.rs
@@ -1,5 +1,5 @@
-//! Reads files in the protobuf text format. A file is accepted as a whole or rejected. An error names the file, the line
-//! and the field, and for an unknown name the nearest known one.
+//! Reads files in the protobuf text format. A file is accepted as a whole or rejected. An error names the file, the
+//! line and the field, and for an unknown name the nearest known one.
 
 mod field_positions;
 mod parse_errors;
@@ -49,8 +49,8 @@
 }
 
 impl<T> ParsedFile<T> {
-    /// An error of the field with this path (`clients.idle_ms`, `failure[1].part`). If the field is absent, the error is
-    /// placed at its nearest parent in the file.
+    /// An error of the field with this path (`clients.idle_ms`, `failure[1].part`). If the field is absent, the error
+    /// is placed at its nearest parent in the file.
     pub fn field_error(&self, field: &str, reason: impl Into<String>) -> FieldError {
         FieldError {
             file: self.file.clone(),
--- a/crates/settings/src/text/parse_errors.rs
+++ b/crates/settings/src/text/parse_errors.rs
@@ -32,8 +32,8 @@
     }
 }
 
-/// The reason, if the error is a field or an enum value that the schema does not define. `path` is the path of the field
-/// at the error, and `rest` is the text from the error on.
+/// The reason, if the error is a field or an enum value that the schema does not define. `path` is the path of the
+/// field at the error, and `rest` is the text from the error on.
 fn unknown_name_reason(descriptor: &MessageDescriptor, path: &str, rest: &str) -> Option<String> {
     let word = first_word(rest);
     if word.is_empty() {
--- a/crates/wal/src/codec.rs
+++ b/crates/wal/src/codec.rs
@@ -1,7 +1,7 @@
 //! The binary form of the log file.
 //!
-//! A file is [`MAGIC`] followed by frames. A frame is the payload's length (`u32`), the payload's CRC-32 (`u32`) and the
-//! payload. A payload is a tag byte, a message number (`u64`) and the fields of the record type that the tag names.
+//! A file is [`MAGIC`] followed by frames. A frame is the payload's length (`u32`), the payload's CRC-32 (`u32`) and
+//! the payload. A payload is a tag byte, a message number (`u64`) and the fields of the record type that the tag names.
 //! Integers are little-endian, instants are the bits of an `f64`, and strings are preceded by their length as a `u32`.
 
 use martenlatch_clock::{Anchor, BootId, Millis};
--- a/crates/wal/src/compaction.rs
+++ b/crates/wal/src/compaction.rs
@@ -14,8 +14,8 @@
 
 /// Delay between a failed compaction and the next one.
 const FAILURE_BACKOFF: Millis = 1_000.0;
-/// The same delay if the file lacks records that could not be appended. It is shorter because only a compaction can write
-/// them, and pending deliveries and status reports depend on them.
+/// The same delay if the file lacks records that could not be appended. It is shorter because only a compaction can
+/// write them, and pending deliveries and status reports depend on them.
 const MISSING_RECORDS_BACKOFF: Millis = 100.0;
 
 impl WriteAheadLog {
@@ -41,8 +41,8 @@
         self.write_backoff_until = now + backoff;
     }
 
-    /// Writes the open messages and the recently closed ids to a new file, which replaces the old one. Returns false and
-    /// keeps the old file if that fails.
+    /// Writes the open messages and the recently closed ids to a new file, which replaces the old one. Returns false
+    /// and keeps the old file if that fails.
     pub fn compact<'a>(&mut self, open: impl Iterator<Item = &'a MessageRecord>) -> bool {
         let snapshot = Snapshot::of(self.anchor, &self.recently_closed, open);
         match self.file.replace(&snapshot.file) {
--- a/crates/wal/src/lib.rs
+++ b/crates/wal/src/lib.rs
@@ -1,8 +1,8 @@
 //! The sender's write-ahead log.
 //!
-//! The log file is kept in the sender's state folder. It records every accepted message, each delivery attempt before its
-//! first byte is sent, attempts that are proven never to have run, final statuses, and the ids of closed messages. After
-//! a restart, [`WriteAheadLog::open`] recovers the messages that still need a delivery or a status report.
+//! The log file is kept in the sender's state folder. It records every accepted message, each delivery attempt before
+//! its first byte is sent, attempts that are proven never to have run, final statuses, and the ids of closed messages.
+//! After a restart, [`WriteAheadLog::open`] recovers the messages that still need a delivery or a status report.
 //!
 //! The log never loses a record whose write succeeded. Together with the new file of a running compaction, it stays
 //! within the disk limit it was opened with. A log that is full or unwritable rejects new messages; it never stops
--- a/crates/wal/src/tests.rs
+++ b/crates/wal/src/tests.rs
@@ -155,8 +155,8 @@
 
 #[test]
 fn an_attempt_that_starts_after_a_compaction_counts_as_one_that_may_have_run() {
-    // A compaction writes an attempt that has not started yet as one that never ran. If the attempt still counted as such
-    // after its start, it would be repeated and could take effect twice.
+    // A compaction writes an attempt that has not started yet as one that never ran. If the attempt still counted as
+    // such after its start, it would be repeated and could take effect twice.
     let folder = empty_folder("starts-after-compaction");
     let (mut wal, _) = WriteAheadLog::open(&folder, 3_000_000);
     let attempts = vec![AttemptRecord {
@@ -228,8 +228,8 @@
 
 #[test]
 fn every_recorded_attempt_is_recovered_and_an_attempt_beyond_the_limit_is_refused() {
-    // The settings may allow more attempts than the log records. After a restart, an attempt without a record would count
-    // as one that never ran, and could be repeated.
+    // The settings may allow more attempts than the log records. After a restart, an attempt without a record would
+    // count as one that never ran, and could be repeated.
     let folder = empty_folder("many-attempts");
     let (mut wal, _) = WriteAheadLog::open(&folder, 3_000_000);
     assert!(wal.append_message(&message(0, 10)));
--- a/crates/wal/src/write_ahead_log.rs
+++ b/crates/wal/src/write_ahead_log.rs
@@ -27,7 +27,8 @@
     pub(crate) open_message_sizes: OpenMessageSizes,
     /// The ids of recently closed messages.
     pub recently_closed: RecentlyClosed,
-    /// The rules of each class that the file contains last. Messages appended after them are recovered with these rules.
+    /// The rules of each class that the file contains last. Messages appended after them are recovered with these
+    /// rules.
     pub(crate) class_rules: HashMap<Rc<str>, Rc<[u8]>>,
     /// The clock of the process that recorded one last. The next compaction writes it.
     pub(crate) anchor: Option<Anchor>,
@@ -82,8 +83,8 @@
         if torn_bytes > 0 {
             warn!(bytes = torn_bytes, "write-ahead log tail cut");
         }
-        // The compacted file has neither the torn tail nor the closed messages. If it cannot be written, for example for
-        // lack of space, the old file stays in use.
+        // The compacted file has neither the torn tail nor the closed messages. If it cannot be written, for example
+        // for lack of space, the old file stays in use.
         if !log.compact(recovered.open_messages.values()) && recovered.valid_bytes > 0 {
             log.file.continue_existing();
         }
@@ -173,7 +174,8 @@
         }
     }
 
-    /// Sets the clock of a process that has taken the log over. The first compaction records it; nothing is written now.
+    /// Sets the clock of a process that has taken the log over. The first compaction records it; nothing is written
+    /// now.
     pub fn set_anchor(&mut self, anchor: Option<Anchor>) {
         self.anchor = anchor;
     }
@@ -219,8 +221,8 @@
         self.append_required(&LogRecord::never_ran(number, attempt));
     }
 
-    /// Records a message's final status. While [`WriteAheadLog::is_complete`] is false, the record may be missing: if the
-    /// process died, the message would be recovered without a final status.
+    /// Records a message's final status. While [`WriteAheadLog::is_complete`] is false, the record may be missing: if
+    /// the process died, the message would be recovered without a final status.
     pub fn append_final_status(&mut self, number: u64, status: FinalStatus) {
         self.append_required(&LogRecord::final_status(number, status));
     }
@@ -232,16 +234,16 @@
         self.recently_closed.remember(id.clone());
     }
 
-    /// Like [`WriteAheadLog::append_closed`], for a message that ended with the report of its final status. The status is
-    /// remembered with the id.
+    /// Like [`WriteAheadLog::append_closed`], for a message that ended with the report of its final status. The status
+    /// is remembered with the id.
     pub fn append_closed_by_report(&mut self, number: u64, id: &Rc<str>, status: FinalStatus) {
         self.append_closed(number, id);
         self.append_required(&LogRecord::reported(number, status));
         self.recently_closed.mark_reported(status);
     }
 
-    /// Records a message that has already ended and whose final status must be reported again. If this returns false, the
-    /// message must not be answered as accepted.
+    /// Records a message that has already ended and whose final status must be reported again. If this returns false,
+    /// the message must not be answered as accepted.
     pub fn append_message_with_final_status(
         &mut self,
         message: &MessageRecord,
