--- a/crates/clock/src/clock_history.rs
+++ b/crates/clock/src/clock_history.rs
@@ -76,7 +76,7 @@
     pub latest_instant: Millis,
 }
 
-/// The instant at which a clock starts.
+/// The start of a clock, and how its instants relate to those of earlier processes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClockStart {
     /// The instant at which it starts.
@@ -87,7 +87,7 @@
 }
 
 impl ClockHistory {
-    /// The start of the next process's clock.
+    /// The start of the next process's clock, from the system's clocks at that time.
     pub fn continue_with(&self, reading: &ClockReading) -> ClockStart {
         let same_boot = self.anchor.filter(|anchor| {
             Some(anchor.boot) == reading.boot && reading.since_boot >= anchor.since_boot
--- a/crates/http/src/buffer_pool.rs
+++ b/crates/http/src/buffer_pool.rs
@@ -11,7 +11,7 @@
 pub const MAX_HEAD_BYTES: usize = 8 * 1024;
 /// Maximum length of the body of a request or response.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Size of each buffer in bytes, which fits one request or response of maximum length.
+/// Size of each buffer in bytes: enough for one request or response of maximum length.
 pub const BUFFER_SIZE: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES;
 
 #[derive(Default)]
--- a/crates/http/src/codec.rs
+++ b/crates/http/src/codec.rs
@@ -210,7 +210,7 @@
             remaining: 0,
             last: false,
         },
-        // The status is valid even if the length is too large: only the connection cannot be reused then.
+        // The status is valid even if the length is too large, which only keeps the connection from being reused.
         Ok(Some(length)) => Body::ContentLength(length),
         _ => Body::UntilClose,
     };
--- a/crates/settings/src/program.rs
+++ b/crates/settings/src/program.rs
@@ -11,7 +11,7 @@
 use crate::text::{self, FieldError, ParsedFile};
 
 /// The full name of the message that the file contains.
-const MESSAGE: &str = "martenlatch.settings.Settings";
+const MESSAGE_NAME: &str = "martenlatch.settings.Settings";
 /// Maximum number of seeds.
 const MAX_SEEDS: usize = 64;
 const MILLIS_PER_SECOND: f64 = 1e3;
@@ -86,8 +86,7 @@
     pub learn_ms: f64,
     /// The time in which knowledge from gossip loses half of its weight.
     pub half_life_ms: f64,
-    /// Maximum wait before the next request to a destination that is accepted from gossip; longer ones are shortened to
-    /// it.
+    /// Maximum wait before the next request to a destination. Longer waits that gossip reports are shortened to it.
     pub longest_wait_ms: f64,
     /// Whether this sender's own observations are saved in the state folder.
     pub keep: bool,
@@ -130,7 +129,7 @@
 /// # Errors
 /// The first error of syntax or bounds.
 pub fn read(file: &str, text: &str) -> Result<ProgramSettings, FieldError> {
-    let file = text::read::<Settings>(file, text, MESSAGE)?;
+    let file = text::read::<Settings>(file, text, MESSAGE_NAME)?;
     let mut settings = ProgramSettings::default();
     if let Some(log) = &file.message.log {
         settings.log = read_log(&file, log)?;
--- a/crates/settings/src/text/mod.rs
+++ b/crates/settings/src/text/mod.rs
@@ -26,7 +26,7 @@
     pub line: usize,
     /// The path of the field from the top level; empty if the error is before the first field.
     pub field: String,
-    /// The reason, and the values that are expected.
+    /// Why the file is rejected there, and which values are expected.
     pub reason: String,
 }
 
@@ -92,7 +92,7 @@
     }
 }
 
-/// Adds the index to each part of a path that has none: `a.b[1]` becomes `a[0].b[1]`.
+/// Adds the index `[0]` to each part of a path that has none: `a.b[1]` becomes `a[0].b[1]`.
 fn with_all_indices(path: &str) -> String {
     let with_index = |part: &str| {
         if part.ends_with(']') {
--- a/crates/wal/src/compaction.rs
+++ b/crates/wal/src/compaction.rs
@@ -28,7 +28,7 @@
             self.recently_closed.len(),
         );
         (frees_space || !self.file.is_open() || self.lacks_records)
-            && now >= self.write_backoff_until
+            && now >= self.compaction_backoff_until
     }
 
     /// Starts the backoff after a failed compaction; `now` is in milliseconds of Unix time.
@@ -38,7 +38,7 @@
         } else {
             FAILURE_BACKOFF
         };
-        self.write_backoff_until = now + backoff;
+        self.compaction_backoff_until = now + backoff;
     }
 
     /// Writes the open messages and the recently closed ids to a new file, which replaces the old one. Returns false
@@ -61,7 +61,7 @@
     }
 }
 
-/// The contents of a compacted file, and the state of the log that describes them.
+/// The contents of a compacted file, and the state of the log that corresponds to them.
 struct Snapshot {
     file: Vec<u8>,
     open_message_sizes: OpenMessageSizes,
--- a/crates/wal/src/recovery.rs
+++ b/crates/wal/src/recovery.rs
@@ -125,8 +125,8 @@
             };
             attempts.resize(attempt + 1, unsent);
         }
-        // A compaction writes an attempt that has not started yet as one that never ran. This record
-        // says that it has started since.
+        // A compaction writes an attempt that has not started yet as one that never ran. This record says that it has
+        // started since.
         attempts[attempt] = AttemptRecord {
             sent_at,
             never_ran: false,
--- a/crates/wal/src/space.rs
+++ b/crates/wal/src/space.rs
@@ -64,11 +64,11 @@
     pub(crate) fn worth_compacting(
         self,
         size: u64,
-        open: &OpenMessageSizes,
-        closed_ids: usize,
+        open_messages: &OpenMessageSizes,
+        closed_id_count: usize,
     ) -> bool {
         let size = size as f64;
-        let compacted = open.total_bytes as f64 + closed_ids as f64 * CLOSED_ID_BYTES;
+        let compacted = open_messages.total_bytes as f64 + closed_id_count as f64 * CLOSED_ID_BYTES;
         let grown = size > (self.usable * SMALL_FILE_SHARE).max(GROWTH_FACTOR * compacted);
         let nearly_full = size > self.usable * (FILE_SHARE - NEARLY_FULL_MARGIN)
             && size > NEARLY_FULL_GROWTH_FACTOR * compacted;
--- a/crates/wal/src/write_ahead_log.rs
+++ b/crates/wal/src/write_ahead_log.rs
@@ -30,10 +30,10 @@
     /// The rules of each class that the file contains last. Messages appended after them are recovered with these
     /// rules.
     pub(crate) class_rules: HashMap<Rc<str>, Rc<[u8]>>,
-    /// The clock of the process that recorded one last. The next compaction writes it.
+    /// The clock that the next compaction writes: this process's own, or otherwise the one recorded last.
     pub(crate) anchor: Option<Anchor>,
     /// The instant before which no compaction is attempted.
-    pub(crate) write_backoff_until: Millis,
+    pub(crate) compaction_backoff_until: Millis,
     /// Whether a record that a later process needs could not be written. Only a compaction, which writes the current
     /// state, corrects that.
     pub(crate) lacks_records: bool,
@@ -46,7 +46,7 @@
 pub struct LogPosition {
     size: u64,
     recently_closed: VecDeque<Rc<str>>,
-    write_backoff_until: Millis,
+    compaction_backoff_until: Millis,
     /// Whether the file is open for writing.
     has_file: bool,
 }
@@ -54,8 +54,8 @@
 impl WriteAheadLog {
     /// Opens the log in a state folder, recovers the state that earlier processes left, and compacts the log.
     ///
-    /// The log uses at most `disk_limit` bytes. If the file cannot be read or was written by another version, this is
-    /// reported on the program's log, the file is left unchanged, and the returned log rejects every record.
+    /// The log uses at most `disk_limit` bytes. If the file cannot be read or was written by another version, an error
+    /// is reported as a log line, the file is left unchanged, and the returned log rejects every record.
     pub fn open(folder: &Path, disk_limit: u64) -> (WriteAheadLog, RecoveredState) {
         let file = LogFile::closed(folder, 0);
         // An interrupted compaction leaves its new file behind; the log itself is still complete.
@@ -75,7 +75,7 @@
         if let Some(error) = unreadable {
             error!(?error, "write-ahead log unreadable");
             // An unreadable file is never overwritten, so no message can be accepted.
-            log.write_backoff_until = f64::INFINITY;
+            log.compaction_backoff_until = f64::INFINITY;
             log.failed_to_read = error != ErrorKind::InvalidData;
             return (log, recovered);
         }
@@ -101,7 +101,7 @@
             recently_closed: recovered.recently_closed.clone(),
             class_rules: recovered.class_rules.clone(),
             anchor: recovered.clock_history.anchor,
-            write_backoff_until: 0.0,
+            compaction_backoff_until: 0.0,
             lacks_records: false,
             failed_to_read: false,
         }
@@ -117,12 +117,12 @@
         !self.lacks_records
     }
 
-    /// The position of this process, which must not write to the log once a successor continues from there.
+    /// The position of this process, which must not write to the log once a successor continues from it.
     pub fn position(&self) -> LogPosition {
         LogPosition {
             size: self.file.size(),
             recently_closed: self.recently_closed.ids().clone(),
-            write_backoff_until: self.write_backoff_until,
+            compaction_backoff_until: self.compaction_backoff_until,
             has_file: self.file.is_open(),
         }
     }
@@ -143,7 +143,8 @@
         } else {
             LogFile::closed(folder, position.size)
         };
-        // The log is read only to learn how messages ended; if it cannot be read, that is not known.
+        // The log is read only to learn how recently closed messages ended. If it cannot be read, their final statuses
+        // are not known.
         let mut bytes = Vec::new();
         let logged = match file.read_into(&mut bytes) {
             Ok(()) => RecoveredState::replay(&bytes).recently_closed,
@@ -157,7 +158,7 @@
             // The rules of each class are recorded again before its next message.
             class_rules: HashMap::new(),
             anchor: None,
-            write_backoff_until: position.write_backoff_until,
+            compaction_backoff_until: position.compaction_backoff_until,
             // The position does not say whether the predecessor failed to write records, so the first compaction writes
             // the whole state.
             lacks_records: true,
@@ -227,7 +228,7 @@
         self.append_required(&LogRecord::final_status(number, status));
     }
 
-    /// Records that a message is closed, which needs no further delivery or status report. Its id is remembered as a
+    /// Records that a message is closed: it needs no further delivery or status report. Its id is remembered as a
     /// recently closed one.
     pub fn append_closed(&mut self, number: u64, id: &Rc<str>) {
         self.close(number, id);
