--- a/crates/http/src/codec.rs
+++ b/crates/http/src/codec.rs
@@ -1,15 +1,15 @@
 //! Parses requests and the heads of responses, and encodes responses.
 //!
-//! All input comes from peers that are not trusted: nothing here panics on it, and nothing grows beyond the limits
-//! of [`crate::buffer_pool`].
+//! All input comes from untrusted peers: nothing here panics on it, and nothing grows beyond the limits of
+//! [`crate::buffer_pool`].
 
 use std::rc::Rc;
 
 use crate::body::Body;
-use crate::buffer_pool::{BODY, HEAD};
-use crate::error::Malformed;
+use crate::buffer_pool::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
+use crate::error::MalformedResponse;
 
-/// Most header lines in one message.
+/// Maximum number of header lines in a request or response.
 const MAX_HEADERS: usize = 64;
 
 const BAD_REQUEST: u16 = 400;
@@ -23,11 +23,11 @@
     pub method: String,
     /// The request target.
     pub path: String,
-    /// Names in lower case.
+    /// The headers, with their names in lower case.
     headers: Vec<(String, Vec<u8>)>,
-    /// The content.
+    /// The content of the body.
     pub body: Rc<[u8]>,
-    /// Whether the client expects the connection to end after the response.
+    /// Whether the client expects the connection to be closed after the response.
     pub closes_connection: bool,
     /// Length of head and body in the input, in bytes.
     pub consumed: usize,
@@ -49,7 +49,7 @@
 }
 
 /// The result of [`parse_request`].
-pub enum Parsed {
+pub enum ParsedRequest {
     /// The request is incomplete; true if the client waits for `100 Continue` before it sends the body.
     Partial(bool),
     /// The request is malformed or too large: the status to answer with before the connection is closed.
@@ -59,26 +59,28 @@
 }
 
 /// Parses one request at the front of `input`.
-pub fn parse_request(input: &[u8]) -> Parsed {
+pub fn parse_request(input: &[u8]) -> ParsedRequest {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let body_start = match head.parse(input) {
-        Ok(httparse::Status::Complete(length)) if length <= HEAD => length,
-        Ok(httparse::Status::Partial) if input.len() < HEAD => return Parsed::Partial(false),
+        Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD_BYTES => length,
+        Ok(httparse::Status::Partial) if input.len() < MAX_HEAD_BYTES => {
+            return ParsedRequest::Partial(false);
+        }
         Ok(_) | Err(httparse::Error::TooManyHeaders) => {
-            return Parsed::Invalid(HEADER_FIELDS_TOO_LARGE);
+            return ParsedRequest::Invalid(HEADER_FIELDS_TOO_LARGE);
         }
-        Err(_) => return Parsed::Invalid(BAD_REQUEST),
+        Err(_) => return ParsedRequest::Invalid(BAD_REQUEST),
     };
     let body_length = match request_body_length(&head) {
         Ok(length) => length,
-        Err(status) => return Parsed::Invalid(status),
+        Err(status) => return ParsedRequest::Invalid(status),
     };
     if input.len() - body_start < body_length {
-        return Parsed::Partial(list_contains(head.headers, "expect", "100-continue"));
+        return ParsedRequest::Partial(list_contains(head.headers, "expect", "100-continue"));
     }
     let consumed = body_start + body_length;
-    Parsed::Complete(Request {
+    ParsedRequest::Complete(Request {
         method: head.method.unwrap_or("").into(),
         path: head.path.unwrap_or("").into(),
         headers: head
@@ -110,7 +112,7 @@
         Ok(None) if may_omit_length => 0,
         _ => return Err(BAD_REQUEST),
     };
-    if length > BODY {
+    if length > MAX_BODY_BYTES {
         return Err(CONTENT_TOO_LARGE);
     }
     Ok(length)
@@ -150,8 +152,8 @@
         .any(|item| item.trim().eq_ignore_ascii_case(token))
 }
 
-/// Whether a message lets its connection persist: HTTP/1.0 has to ask for that, later versions have to ask for the
-/// opposite.
+/// Whether a request or response lets its connection persist. In HTTP/1.0 it has to ask for that; in later versions it
+/// has to ask for the opposite.
 fn keeps_alive(is_http_1_0: bool, headers: &[httparse::Header]) -> bool {
     !list_contains(headers, "connection", "close")
         && (!is_http_1_0 || list_contains(headers, "connection", "keep-alive"))
@@ -165,9 +167,10 @@
     pub body: Body,
     /// Whether the connection may carry another request.
     pub keep_alive: bool,
-    /// Malformed framing: the declared lengths contradict each other, cannot be read, or exceed [`BODY`].
-    pub malformed: bool,
-    /// Names in lower case.
+    /// Whether the framing is malformed: the declared lengths contradict each other, cannot be read, or exceed
+    /// [`MAX_BODY_BYTES`].
+    pub malformed_framing: bool,
+    /// The headers, with their names in lower case.
     headers: Vec<(String, String)>,
     /// Length of the head in the input, in bytes.
     pub consumed: usize,
@@ -186,19 +189,19 @@
 /// Parses the head of a response at the front of `input`; `None` while it is incomplete.
 ///
 /// # Errors
-/// [`Malformed`] if the input is not the head of an HTTP/1 response or is longer than [`HEAD`].
-pub fn parse_response(input: &[u8]) -> Result<Option<Response>, Malformed> {
+/// [`MalformedResponse`] if the input is not the head of an HTTP/1 response or is longer than [`MAX_HEAD_BYTES`].
+pub fn parse_response(input: &[u8]) -> Result<Option<Response>, MalformedResponse> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
     let consumed = match head.parse(input) {
-        Ok(httparse::Status::Complete(length)) if length <= HEAD => length,
-        Ok(httparse::Status::Partial) if input.len() < HEAD => return Ok(None),
-        _ => return Err(Malformed),
+        Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD_BYTES => length,
+        Ok(httparse::Status::Partial) if input.len() < MAX_HEAD_BYTES => return Ok(None),
+        _ => return Err(MalformedResponse),
     };
-    let status = head.code.ok_or(Malformed)?;
+    let status = head.code.ok_or(MalformedResponse)?;
     let declared_length = content_length(head.headers);
     let malformed_framing = match declared_length {
-        Ok(length) => length.is_some_and(|length| length > BODY),
+        Ok(length) => length.is_some_and(|length| length > MAX_BODY_BYTES),
         Err(InvalidLength) => true,
     };
     let body = match declared_length {
@@ -207,7 +210,7 @@
             remaining: 0,
             last: false,
         },
-        // The status is valid even if the length is too large: only the connection is given up then.
+        // The status is valid even if the length is too large, which only keeps the connection from being reused.
         Ok(Some(length)) => Body::ContentLength(length),
         _ => Body::UntilClose,
     };
@@ -226,7 +229,7 @@
         status,
         body,
         keep_alive,
-        malformed: malformed_framing,
+        malformed_framing,
         headers,
         consumed,
     }))
@@ -250,8 +253,8 @@
         .is_some_and(|reason| reason.first().is_none_or(|byte| *byte == b' '))
 }
 
-/// Encodes a response without a body. `extra` holds further header lines, each with its line end.
-pub fn encode_response(status: u16, extra: &str, close: bool) -> Vec<u8> {
+/// Encodes a response without a body. `extra_headers` contains further header lines, each with its line end.
+pub fn encode_response(status: u16, extra_headers: &str, close: bool) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
         202 => "Accepted",
@@ -264,6 +267,9 @@
         HEADER_FIELDS_TOO_LARGE => "Request Header Fields Too Large",
         _ => "Service Unavailable",
     };
-    let close = if close { "Connection: close\r\n" } else { "" };
-    format!("HTTP/1.1 {status} {reason}\r\nContent-Length: 0\r\n{extra}{close}\r\n").into_bytes()
+    let connection_header = if close { "Connection: close\r\n" } else { "" };
+    format!(
+        "HTTP/1.1 {status} {reason}\r\nContent-Length: 0\r\n{extra_headers}{connection_header}\r\n"
+    )
+    .into_bytes()
 }
--- a/crates/sender/src/config.rs
+++ b/crates/sender/src/config.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 
 use martenlatch_settings::platform::{self, PlatformSettings};
-use martenlatch_settings::program::{Clients, Peers, Program};
+use martenlatch_settings::program::{ClientTimeouts, PeerSettings, ProgramSettings};
 use serde_json::Value;
 
 /// The environment variable that names the configuration file.
@@ -52,9 +52,9 @@
     /// The platform's settings.
     pub platform_settings: PlatformSettings,
     /// The timeouts for clients, from the program's own settings.
-    pub clients: Clients,
+    pub clients: ClientTimeouts,
     /// The settings for peers, from the program's own settings; `None` if this sender has no peers.
-    pub peers: Option<Peers>,
+    pub peers: Option<PeerSettings>,
 }
 
 /// Why the platform's configuration cannot be used. `Display` formats one line that names the field or variable.
@@ -147,7 +147,7 @@
             memory_limit: read_megabytes(&json, "memory_mb", MIN_MEMORY_MEGABYTES)?,
             known_endpoints,
             platform_settings,
-            clients: Program::default().clients,
+            clients: ProgramSettings::default().clients,
             peers: None,
         })
     }
--- a/crates/sender/src/discovery/watch.rs
+++ b/crates/sender/src/discovery/watch.rs
@@ -113,7 +113,7 @@
         };
         let framer = &mut self.framer;
         let (consumed, ended) = body
-            .feed(self.connection.bytes(), |bytes| framer.push(bytes, objects))
+            .try_decode(self.connection.bytes(), |bytes| framer.push(bytes, objects))
             .ok_or(WatchError::MalformedResponse)?;
         self.connection.consume(consumed);
         if self.framer.pending_bytes() > MAX_OBJECT_BYTES {
@@ -138,7 +138,7 @@
                 Ok(())
             }
             Ok(Some(_)) => Err(WatchError::UnexpectedStatus),
-            Err(http::Malformed) => Err(WatchError::MalformedResponse),
+            Err(http::MalformedResponse) => Err(WatchError::MalformedResponse),
         }
     }
 }
--- a/crates/sender/src/egress/response.rs
+++ b/crates/sender/src/egress/response.rs
@@ -1,7 +1,7 @@
 //! Parsing the responses of endpoints, and their consequences for the attempt and the connection.
 
 use martenlatch_clock::{Nanos, nanos};
-use martenlatch_http::buffer_pool::BODY;
+use martenlatch_http::buffer_pool::MAX_BODY_BYTES;
 use martenlatch_http::{self as http, Body};
 use martenlatch_policy::interface::Outcome;
 
@@ -40,7 +40,7 @@
         Ok(None) if connection.is_closed() => ResponseProgress::Ended(EndCause::ConnectionLost),
         Ok(None) => ResponseProgress::Pending,
         // The endpoint is up and has run the request, so this is not handled as a lost connection.
-        Err(http::Malformed) => ResponseProgress::Ended(EndCause::MalformedResponse),
+        Err(http::MalformedResponse) => ResponseProgress::Ended(EndCause::MalformedResponse),
     }
 }
 
@@ -76,17 +76,17 @@
 /// rejected and may be repeated: after a malformed one, the request may have run.
 fn body_state(response: &http::Response, connection: &EndpointConnection) -> BodyState {
     let received = &connection.socket.bytes()[response.consumed..];
-    if response.malformed {
+    if response.malformed_framing {
         return BodyState::Malformed;
     }
-    match response.body.clone().feed(received, |_| {}) {
+    match response.body.clone().try_decode(received, |_| {}) {
         None => BodyState::Malformed,
         Some((_, true)) => BodyState::Complete,
         Some((_, false)) if connection.is_closed() => match response.body {
             Body::UntilClose => BodyState::Complete,
             _ => BodyState::Malformed,
         },
-        Some((_, false)) if received.len() >= BODY => BodyState::Malformed,
+        Some((_, false)) if received.len() >= MAX_BODY_BYTES => BodyState::Malformed,
         Some((_, false)) => BodyState::Incomplete,
     }
 }
@@ -151,7 +151,7 @@
     let received = connection.socket.bytes();
     let progress = match connection.remaining_response.as_mut() {
         Some(RemainingResponse::Head | RemainingResponse::Body(Body::UntilClose)) => None,
-        Some(RemainingResponse::Body(body)) => body.feed(received, |_| {}),
+        Some(RemainingResponse::Body(body)) => body.try_decode(received, |_| {}),
         None => received.is_empty().then_some((0, true)),
     };
     match progress {
@@ -173,7 +173,7 @@
     let body = match http::parse_response(connection.socket.bytes()) {
         Ok(Some(response)) => {
             connection.socket.consume(response.consumed);
-            if response.keep_alive && !response.malformed {
+            if response.keep_alive && !response.malformed_framing {
                 response.body
             } else {
                 Body::UntilClose
--- a/crates/sender/src/log_recovery/tests.rs
+++ b/crates/sender/src/log_recovery/tests.rs
@@ -23,11 +23,11 @@
         class: Rc::from("debit"),
         destination: 7,
         deadline: 1e12,
-        key: None,
+        idempotency_key: None,
         body: Rc::from(&b"x"[..]),
         attempts: Vec::new(),
         final_status: None,
-        rules: Rc::from([]),
+        class_rules: Rc::from([]),
     };
     assert!(log.append_message(&message));
     drop(log);
@@ -50,7 +50,7 @@
     let state = folder_with_unreadable_log("unreadable-open");
     let restoring = restore_log_soon(state.clone());
     let (log, recovered) = open(&state, DISK_LIMIT);
-    assert!(recovered.open.contains_key(&1) && !log.failed_to_read());
+    assert!(recovered.open_messages.contains_key(&1) && !log.failed_to_read());
     restoring.join().unwrap();
 }
 
@@ -60,6 +60,6 @@
 fn a_start_waits_for_the_clock_of_earlier_processes() {
     let state = folder_with_unreadable_log("unreadable-clock");
     let restoring = restore_log_soon(state.clone());
-    assert!(inspect(&state).recovered.open.contains_key(&1));
+    assert!(inspect(&state).recovered.open_messages.contains_key(&1));
     restoring.join().unwrap();
 }
--- a/crates/sender/src/pipeline/admission.rs
+++ b/crates/sender/src/pipeline/admission.rs
@@ -97,7 +97,7 @@
         let class = message.class;
         let mut record = self.new_record(message, store.next_number);
         record.final_status = Some(status);
-        if store.wal.append_ended(&record, status) {
+        if store.wal.append_message_with_final_status(&record, status) {
             store.next_number += 1;
             return AdmissionDecision::EndedDuplicate(EndedMessage::Reported(record));
         }
@@ -139,11 +139,11 @@
             class: class.name.clone(),
             destination: message.destination,
             deadline: message.deadline,
-            key: message.idempotency_key,
+            idempotency_key: message.idempotency_key,
             body: message.body,
             attempts: Vec::new(),
             final_status: None,
-            rules: class.encoded_rules.clone(),
+            class_rules: class.encoded_rules.clone(),
         }
     }
 
@@ -196,7 +196,9 @@
 
     /// The event that tells the decision module of a resumed message, or `None` if its class is unknown.
     fn resumed_event(&self, record: &MessageRecord) -> Option<Event> {
-        let class = self.class_rules.index_of(&record.class, &record.rules)?;
+        let class = self
+            .class_rules
+            .index_of(&record.class, &record.class_rules)?;
         let first_run = record.attempts.iter().find(|attempt| !attempt.never_ran);
         Some(Event::MessageResumed {
             id: MessageId(record.number),
@@ -204,7 +206,7 @@
             class: ClassId(class),
             deadline: nanos(record.deadline),
             attempts: record.attempts.len() as u32,
-            ran: first_run.map(|attempt| nanos(attempt.sent)),
+            ran: first_run.map(|attempt| nanos(attempt.sent_at)),
         })
     }
 }
--- a/crates/sender/src/pipeline/builder.rs
+++ b/crates/sender/src/pipeline/builder.rs
@@ -140,8 +140,8 @@
         mut class_rules: ClassRules,
     ) -> Result<DriverParts, SenderError> {
         let (wal, recovered) = log_recovery::open(&config.state_folder, config.disk_limit);
-        for record in recovered.open.values() {
-            class_rules.add_recovered(&record.class, &record.rules, &mut settings);
+        for record in recovered.open_messages.values() {
+            class_rules.add_recovered(&record.class, &record.class_rules, &mut settings);
         }
         let policy = Policy::new(settings.clone(), config.seed).map_err(SenderError::Settings)?;
         Ok(DriverParts {
@@ -151,7 +151,7 @@
             policy,
             wal,
             next_number: recovered.next_number,
-            recovered: recovered.open,
+            recovered: recovered.open_messages,
             inherited_state: None,
         })
     }
@@ -317,7 +317,7 @@
 /// not continuous, so no idempotency window is proven to be still open.
 fn forget_attempt_times(record: &mut MessageRecord) {
     for attempt in &mut record.attempts {
-        attempt.sent = LONG_AGO;
+        attempt.sent_at = LONG_AGO;
     }
 }
 
--- a/crates/sender/src/pipeline/crash_recovery_tests/resumption.rs
+++ b/crates/sender/src/pipeline/crash_recovery_tests/resumption.rs
@@ -17,7 +17,7 @@
     for message in messages {
         assert!(wal.append_message(&message));
         for (index, attempt) in message.attempts.iter().enumerate() {
-            assert!(wal.append_attempt(message.number, index, attempt.sent));
+            assert!(wal.append_attempt(message.number, index, attempt.sent_at));
         }
     }
     state
@@ -30,11 +30,11 @@
         class: Rc::from(class),
         destination: 7,
         deadline: START + MESSAGE_TIMEOUT,
-        key: Some(Rc::from("k")),
+        idempotency_key: Some(Rc::from("k")),
         body: Rc::from(&b"x"[..]),
         attempts,
         final_status: None,
-        rules: Rc::from(rules),
+        class_rules: Rc::from(rules),
     }
 }
 
@@ -61,14 +61,14 @@
     };
     let rules = postcard::to_allocvec(&class).unwrap();
     let attempts = attempted.then_some(AttemptRecord {
-        sent: START - 500.0,
+        sent_at: START - 500.0,
         never_ran: false,
     });
     let state = folder_with(
         &format!("promised-{name}-{attempted}"),
         [message(3, name, attempts.into_iter().collect(), &rules)].into_iter(),
     );
-    let (mut peers, clock) = (ScriptedPeers::new(Script::Serves), Clock::at(START));
+    let (mut peers, clock) = (ScriptedPeers::new(Script::Serves), Clock::manual(START));
     let (mut driver, _events) = start(&state, MAX_HELD, &peers, true, &clock);
     for _ in 0..600 {
         step(&mut driver, &mut peers, &clock);
@@ -95,7 +95,7 @@
         &format!("listed-{listed}"),
         [message(3, "debit", Vec::new(), &[])].into_iter(),
     );
-    let (mut peers, clock) = (ScriptedPeers::new(Script::Serves), Clock::at(START));
+    let (mut peers, clock) = (ScriptedPeers::new(Script::Serves), Clock::manual(START));
     let (mut driver, _events) = start(&state, MAX_HELD, &peers, listed, &clock);
     for _ in 0..40 {
         step(&mut driver, &mut peers, &clock);
@@ -132,7 +132,7 @@
         "full",
         (0..FULL as u64).map(|number| message(number, "debit", Vec::new(), &[])),
     );
-    let (mut peers, clock) = (ScriptedPeers::new(Script::Serves), Clock::at(START));
+    let (mut peers, clock) = (ScriptedPeers::new(Script::Serves), Clock::manual(START));
     let (mut driver, _events) = start(&state, FULL, &peers, true, &clock);
     let mut clients = Vec::new();
     for round in 0..400 {
--- a/crates/sender/src/pipeline/ingress/sweep.rs
+++ b/crates/sender/src/pipeline/ingress/sweep.rs
@@ -1,7 +1,7 @@
 //! Closes the connections of clients that have exceeded their time, and those of all clients at shutdown.
 
 use martenlatch_clock::Millis;
-use martenlatch_settings::program::Clients;
+use martenlatch_settings::program::ClientTimeouts;
 
 use super::closing::CloseReason;
 use super::{Client, Ingress};
@@ -28,7 +28,7 @@
     TimeOutRequest,
 }
 
-fn sweep_verdict(client: &Client, timeouts: Clients, now: Millis) -> SweepVerdict {
+fn sweep_verdict(client: &Client, timeouts: ClientTimeouts, now: Millis) -> SweepVerdict {
     let age = now - client.phase_started;
     if client.closing {
         let limit = if client.connection.is_flushed() {
--- a/crates/sender/src/pipeline/send_gate.rs
+++ b/crates/sender/src/pipeline/send_gate.rs
@@ -119,12 +119,12 @@
             deadline: record.deadline + ROUNDING_TOLERANCE,
             non_idempotent: self
                 .class_rules
-                .is_non_idempotent(&record.class, &record.rules),
-            first_possible_run: first_run.map(|attempt| attempt.sent),
+                .is_non_idempotent(&record.class, &record.class_rules),
+            first_possible_run: first_run.map(|attempt| attempt.sent_at),
             // The window is decoded only for a repeat, the only request that needs it.
             idempotency_window: first_run.and_then(|_| {
                 self.class_rules
-                    .idempotency_window(&record.class, &record.rules)
+                    .idempotency_window(&record.class, &record.class_rules)
             }),
             endpoint_available: self.directory.accepts_requests(endpoint),
             retry_after_until: self
--- a/crates/sender/src/pipeline/tests/mod.rs
+++ b/crates/sender/src/pipeline/tests/mod.rs
@@ -47,7 +47,7 @@
     let known = format!(
         r#"{{"targets":[{{"uid":"s","endpoint":"{endpoint}","az":"a","model":"k","pod_group":7,"state":"in_service"}}]}}"#
     );
-    let clock = Clock::at(START);
+    let clock = Clock::manual(START);
     let (driver, events) = start_driver(&state, SETTINGS, &known, endpoint, &clock);
     (driver, clock, events)
 }
@@ -63,11 +63,11 @@
         class: Rc::from("debit"),
         destination: 7,
         deadline: START + left,
-        key: None,
+        idempotency_key: None,
         body: Rc::from(&b"x"[..]),
         attempts: Vec::new(),
         final_status: None,
-        rules: Rc::from([]),
+        class_rules: Rc::from([]),
     }
 }
 
--- a/crates/sender/src/startup.rs
+++ b/crates/sender/src/startup.rs
@@ -10,7 +10,7 @@
 use martenlatch_clock::{Clock, Millis};
 use martenlatch_handover::{Lock, ReceivedState};
 use martenlatch_http::is_local_shortage;
-use martenlatch_settings::program::Peers as PeerSettings;
+use martenlatch_settings::program::PeerSettings;
 use socket2::{Domain, Protocol, Socket, Type};
 use tracing::{info, warn};
 
@@ -281,7 +281,7 @@
 /// handled when it is opened.
 fn continue_clock(state_folder: &Path) -> Clock {
     let log = log_recovery::inspect(state_folder);
-    let clock = Clock::after(&log.recovered.clock);
+    let clock = Clock::continuing(&log.recovered.clock_history);
     if !clock.is_continuous() {
         warn!("the time since the last process ended is unknown");
     }
--- a/crates/settings/src/text/mod.rs
+++ b/crates/settings/src/text/mod.rs
@@ -1,5 +1,5 @@
-//! Reads files in the protobuf text format. A file is taken as a whole or not at all; a fault names the file, line and
-//! field, and for an unknown name the nearest known one.
+//! Reads files in the protobuf text format. A file is accepted as a whole or rejected. An error names the file, the
+//! line and the field, and for an unknown name the nearest known one.
 
 mod field_positions;
 mod parse_errors;
@@ -16,17 +16,17 @@
     DescriptorPool::decode(&bytes[..]).expect("the build script encoded these descriptors")
 });
 
-/// What is wrong with a file. `Display` is one line of text.
+/// An error in a file. `Display` is one line of text.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}:{line}: {}{reason}", field_prefix(field))]
-pub struct Fault {
-    /// The file's name, as it was given.
+pub struct FieldError {
+    /// The file's name, as the caller gave it.
     pub file: String,
     /// The line in the file, from 1.
     pub line: usize,
-    /// The field, by its path from the top; empty if the fault is before the first field.
+    /// The path of the field from the top level; empty if the error is before the first field.
     pub field: String,
-    /// What is wrong, and what is expected.
+    /// Why the file is rejected there, and which values are expected.
     pub reason: String,
 }
 
@@ -38,21 +38,21 @@
     }
 }
 
-/// A message that was read, with the positions of its fields for checks that follow.
+/// A file that was read, with the positions of its fields for the errors of later checks.
 #[derive(Debug)]
-pub struct Read<T> {
-    /// The message.
+pub struct ParsedFile<T> {
+    /// The message that the file contains.
     pub message: T,
     file: String,
     text: String,
     positions: Vec<FieldPosition>,
 }
 
-impl<T> Read<T> {
-    /// A fault of a field, given by its path (`clients.idle_ms`, `failure[1].part`). The fault of an absent field is
-    /// placed at the nearest parent in the file.
-    pub fn fault(&self, field: &str, reason: impl Into<String>) -> Fault {
-        Fault {
+impl<T> ParsedFile<T> {
+    /// An error of the field with this path (`clients.idle_ms`, `failure[1].part`). If the field is absent, the error
+    /// is placed at its nearest parent in the file.
+    pub fn field_error(&self, field: &str, reason: impl Into<String>) -> FieldError {
+        FieldError {
             file: self.file.clone(),
             line: line_at(&self.text, self.offset_of(field)),
             field: field.into(),
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Where a field, or its nearest parent in the file, begins.
+    /// The offset at which a field, or its nearest parent in the file, begins.
     fn offset_of(&self, field: &str) -> usize {
         let mut path = with_all_indices(field);
         loop {
@@ -74,19 +74,25 @@
         }
     }
 
-    /// Checks that a field's value lies within bounds, which are included.
+    /// Checks that a field's value is within inclusive bounds.
     ///
     /// # Errors
-    /// A fault that names the field and the bounds.
-    pub fn within(&self, field: &str, value: f64, least: f64, most: f64) -> Result<f64, Fault> {
-        if (least..=most).contains(&value) {
+    /// An error that names the field and the bounds.
+    pub fn check_bounds(
+        &self,
+        field: &str,
+        value: f64,
+        min: f64,
+        max: f64,
+    ) -> Result<f64, FieldError> {
+        if (min..=max).contains(&value) {
             return Ok(value);
         }
-        Err(self.fault(field, format!("{value} is not within {least} and {most}")))
+        Err(self.field_error(field, format!("{value} is not within {min} and {max}")))
     }
 }
 
-/// Adds the index to each part of a path that has none: `a.b[1]` becomes `a[0].b[1]`.
+/// Adds the index `[0]` to each part of a path that has none: `a.b[1]` becomes `a[0].b[1]`.
 fn with_all_indices(path: &str) -> String {
     let with_index = |part: &str| {
         if part.ends_with(']') {
@@ -99,7 +105,7 @@
     parts.join(".")
 }
 
-/// Removes the indices that are 0 from a path, as a person would write it.
+/// Removes the indices that are 0 from a path, as a user would write it.
 fn without_first_indices(path: &str) -> String {
     path.replace("[0]", "")
 }
@@ -110,28 +116,28 @@
     1 + before.filter(|byte| *byte == b'\n').count()
 }
 
-/// Reads the text of a file as a message of the schemas, given by its full name (`martenlatch.settings.Settings`).
+/// Reads the text of a file as the message of the schemas that has this full name (`martenlatch.settings.Settings`).
 ///
 /// # Errors
-/// The first fault of the text.
+/// The first error in the text.
 ///
 /// # Panics
 /// If the schemas have no message of that name, or it is not the message `T`.
 pub fn read<T: prost::Message + Default>(
     file: &str,
     text: &str,
-    name: &str,
-) -> Result<Read<T>, Fault> {
+    message_name: &str,
+) -> Result<ParsedFile<T>, FieldError> {
     let descriptor = SCHEMAS
-        .get_message_by_name(name)
+        .get_message_by_name(message_name)
         .expect("the caller names a message of the schemas");
     let positions = field_positions(text);
     let dynamic = DynamicMessage::parse_text_format(descriptor.clone(), text)
-        .map_err(|error| parse_errors::fault(file, text, &descriptor, &positions, &error))?;
+        .map_err(|error| parse_errors::field_error(file, text, &descriptor, &positions, &error))?;
     let message = dynamic
         .transcode_to()
         .expect("the type and the descriptor are generated from one schema");
-    Ok(Read {
+    Ok(ParsedFile {
         message,
         file: file.into(),
         text: text.into(),
--- a/crates/wal/src/recovery.rs
+++ b/crates/wal/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery: the state that the records of a log file add up to.
+//! Recovery: rebuilds the state that the records of a log file describe.
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -11,27 +11,27 @@
     AttemptRecord, Entry, FinalStatus, MAX_ATTEMPTS, MessageFields, MessageRecord, tag,
 };
 
-/// What earlier processes left in the log.
+/// The state that earlier processes left in the log.
 #[derive(Default)]
 pub struct RecoveredState {
     /// The messages that are not closed, by number.
-    pub open: BTreeMap<u64, MessageRecord>,
+    pub open_messages: BTreeMap<u64, MessageRecord>,
     /// The ids of recently closed messages.
     pub recently_closed: RecentlyClosed,
     /// The clock of earlier processes.
-    pub clock: ClockHistory,
+    pub clock_history: ClockHistory,
     /// The next message number.
     pub next_number: u64,
-    /// Complete records that were read.
-    pub records: u64,
+    /// The number of complete records that were read.
+    pub record_count: u64,
     /// The rules of each class, as last recorded.
     pub(crate) class_rules: HashMap<Rc<str>, Rc<[u8]>>,
-    /// Bytes of the file that hold complete records.
+    /// Size in bytes of the part of the file that consists of complete records.
     pub(crate) valid_bytes: u64,
 }
 
 impl RecoveredState {
-    /// Replays a log file up to its end or the first torn record. Nothing behind a torn record was ever confirmed.
+    /// Replays a log file up to its end or the first torn record. Nothing after a torn record was ever confirmed.
     pub(crate) fn replay(file: &[u8]) -> RecoveredState {
         let mut state = RecoveredState::default();
         let Some(mut payloads) = Payloads::new(file) else {
@@ -42,7 +42,7 @@
             if !state.replay_record(payload) {
                 break;
             }
-            state.records += 1;
+            state.record_count += 1;
             state.valid_bytes = payloads.offset();
         }
         state
@@ -54,10 +54,10 @@
             return false;
         };
         let number = header.number;
-        // The number is taken, and a closed message closed, also where the rest of the record cannot be decoded.
+        // The number counts as used, and a closed message as closed, even if the rest of the record cannot be decoded.
         self.next_number = self.next_number.max(number.saturating_add(1));
         if header.tag == tag::CLOSED {
-            self.open.remove(&number);
+            self.open_messages.remove(&number);
         }
         let Some(entry) = header.decode_entry() else {
             return false;
@@ -72,10 +72,10 @@
             Entry::ClassRules { class, rules } => {
                 self.class_rules.insert(Rc::from(class), Rc::from(rules));
             }
-            Entry::Attempt { attempt, sent } => self.start_attempt(number, attempt, sent),
+            Entry::Attempt { attempt, sent_at } => self.start_attempt(number, attempt, sent_at),
             Entry::NeverRan { attempt } => self.mark_never_ran(number, attempt),
             Entry::FinalStatus(status) => self.set_final_status(number, status),
-            // The message itself was removed before its id was decoded.
+            // `replay_record` has removed the message, before this entry was decoded.
             Entry::Closed { id } => {
                 if !id.is_empty() {
                     self.recently_closed.remember(Rc::from(id));
@@ -83,8 +83,9 @@
             }
             Entry::Reported(status) => self.recently_closed.mark_reported(status),
             Entry::Anchor(anchor) => {
-                self.clock.anchor = Some(anchor);
-                self.clock.latest = self.clock.latest.max(anchor.clock);
+                self.clock_history.anchor = Some(anchor);
+                self.clock_history.latest_instant =
+                    self.clock_history.latest_instant.max(anchor.clock);
             }
             Entry::Unknown { .. } => {}
         }
@@ -98,48 +99,49 @@
             class: Rc::from(fields.class),
             destination: fields.destination,
             deadline: fields.deadline,
-            key: fields.key.map(Rc::from),
+            idempotency_key: fields.idempotency_key.map(Rc::from),
             body: Rc::from(fields.body),
             attempts: Vec::new(),
             final_status: None,
-            rules: rules.cloned().unwrap_or_default(),
+            class_rules: rules.cloned().unwrap_or_default(),
         };
-        self.open.insert(number, message);
+        self.open_messages.insert(number, message);
     }
 
-    fn start_attempt(&mut self, number: u64, attempt: usize, sent: Millis) {
-        self.clock.latest = self.clock.latest.max(sent);
-        let Some(message) = self.open.get_mut(&number) else {
+    fn start_attempt(&mut self, number: u64, attempt: usize, sent_at: Millis) {
+        self.clock_history.latest_instant = self.clock_history.latest_instant.max(sent_at);
+        let Some(message) = self.open_messages.get_mut(&number) else {
             return;
         };
         if attempt >= MAX_ATTEMPTS {
             return;
         }
         let attempts = &mut message.attempts;
-        // An earlier attempt without a record was never sent: it may not start before its record is written.
+        // Lower-numbered attempts without a record were never sent: an attempt starts only after its record is written.
         if attempts.len() <= attempt {
             let unsent = AttemptRecord {
-                sent,
+                sent_at,
                 never_ran: true,
             };
             attempts.resize(attempt + 1, unsent);
         }
-        // A compaction writes an attempt that has not started yet as one that never ran. Here it starts after all.
+        // A compaction writes an attempt that has not started yet as one that never ran. This record says that it has
+        // started since.
         attempts[attempt] = AttemptRecord {
-            sent,
+            sent_at,
             never_ran: false,
         };
     }
 
     fn mark_never_ran(&mut self, number: u64, attempt: usize) {
-        let message = self.open.get_mut(&number);
+        let message = self.open_messages.get_mut(&number);
         if let Some(record) = message.and_then(|message| message.attempts.get_mut(attempt)) {
             record.never_ran = true;
         }
     }
 
     fn set_final_status(&mut self, number: u64, status: FinalStatus) {
-        if let Some(message) = self.open.get_mut(&number) {
+        if let Some(message) = self.open_messages.get_mut(&number) {
             message.final_status = Some(status);
         }
     }
