--- a/crates/sender/src/pipeline/crash_recovery_tests/scripted_peers.rs
+++ b/crates/sender/src/pipeline/crash_recovery_tests/scripted_peers.rs
@@ -1,21 +1,21 @@
-//! The endpoint and the platform, played by the test.
+//! A scripted endpoint and a scripted platform.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
 use crate::pipeline::test_support::listener;
 
-/// What the endpoint does with requests.
+/// How the endpoint treats requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum Script {
-    /// Answers all.
-    Serves,
-    /// Answers none.
-    Hangs,
-    /// Rejects the first, and answers the others.
-    Refuses,
-    /// Closes the first connection behind the request's last byte, and answers the others.
-    Resets,
+pub(super) enum EndpointScript {
+    /// Answers all requests.
+    AnswersAll,
+    /// Answers no request.
+    AnswersNone,
+    /// Rejects the first request with 503, and answers the others.
+    RejectsFirst,
+    /// Closes the connection of the first request after its last byte, and answers the others.
+    ClosesFirst,
 }
 
 struct Connection {
@@ -23,22 +23,22 @@
     received: Vec<u8>,
 }
 
-/// The peers, and what they have seen.
+/// The two peers, and what they have received.
 pub(super) struct ScriptedPeers {
     endpoint: TcpListener,
     platform: TcpListener,
     connections: Vec<Connection>,
-    pub(super) script: Script,
-    /// For each complete request to the endpoint: whether it may have run.
+    pub(super) script: EndpointScript,
+    /// The complete requests to the endpoint: true for each that may have run.
     pub(super) requests: Vec<bool>,
-    /// The lines of the status reports.
+    /// The lines of the status reports that the platform has received.
     pub(super) reports: Vec<String>,
-    /// How often the endpoint list was watched.
-    pub(super) watches: usize,
+    /// The number of requests to watch the endpoint list.
+    pub(super) watch_requests: usize,
 }
 
 impl ScriptedPeers {
-    pub(super) fn new(script: Script) -> ScriptedPeers {
+    pub(super) fn new(script: EndpointScript) -> ScriptedPeers {
         ScriptedPeers {
             endpoint: listener(),
             platform: listener(),
@@ -46,7 +46,7 @@
             script,
             requests: Vec::new(),
             reports: Vec::new(),
-            watches: 0,
+            watch_requests: 0,
         }
     }
 
@@ -54,7 +54,7 @@
         self.platform.local_addr().unwrap()
     }
 
-    /// The endpoint as discovery lists it.
+    /// The endpoint's entry in the endpoint list.
     pub(super) fn target(&self) -> String {
         let address = self.endpoint.local_addr().unwrap();
         format!(
@@ -68,12 +68,12 @@
     }
 
     /// Writes to the first connection.
-    pub(super) fn write_to_first(&mut self, text: &str) {
+    pub(super) fn write_to_first_connection(&mut self, text: &str) {
         let stream = &mut self.connections[0].stream;
         stream.write_all(text.as_bytes()).unwrap();
     }
 
-    /// Reads all that has arrived, and answers it.
+    /// Accepts connections, reads everything that has arrived, and answers complete requests.
     pub(super) fn answer_all(&mut self) {
         for listener in [&self.endpoint, &self.platform] {
             while let Ok((stream, _)) = listener.accept() {
@@ -90,7 +90,7 @@
         self.connections.extend(connections);
     }
 
-    /// Answers a request if it is complete. False ends the connection.
+    /// Answers a request if it is complete. Returns false if the connection is to be closed.
     fn answer_connection(&mut self, connection: &mut Connection) -> bool {
         let text = String::from_utf8_lossy(&connection.received).into_owned();
         let Some((head, body)) = text.split_once("\r\n\r\n") else {
@@ -104,7 +104,7 @@
         }
         connection.received.clear();
         if head.starts_with("GET /v1/servers") {
-            self.watches += 1;
+            self.watch_requests += 1;
             return true;
         }
         if head.starts_with("POST /reports") {
@@ -118,25 +118,29 @@
         self.answer_message(connection)
     }
 
-    /// Answers a message by the script. False ends the connection.
+    /// Answers a message as the script says. Returns false if the connection is to be closed.
     fn answer_message(&mut self, connection: &mut Connection) -> bool {
-        let script = if self.requests.is_empty() || self.script == Script::Hangs {
+        let script = if self.requests.is_empty() || self.script == EndpointScript::AnswersNone {
             self.script
         } else {
-            Script::Serves
+            EndpointScript::AnswersAll
         };
-        self.requests.push(script != Script::Refuses);
+        self.requests.push(script != EndpointScript::RejectsFirst);
         match script {
-            Script::Serves => connection.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"),
-            Script::Hangs => true,
-            Script::Refuses => connection.write("HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"),
-            Script::Resets => false,
+            EndpointScript::AnswersAll => {
+                connection.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+            }
+            EndpointScript::AnswersNone => true,
+            EndpointScript::RejectsFirst => {
+                connection.write("HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n")
+            }
+            EndpointScript::ClosesFirst => false,
         }
     }
 }
 
 impl Connection {
-    /// Reads all that has arrived. False once the sender has closed the connection.
+    /// Reads everything that has arrived. Returns false once the sender has closed the connection.
     fn receive(&mut self) -> bool {
         let mut buffer = [0; 4096];
         while let Ok(count) = self.stream.read(&mut buffer) {
