--- a/crates/sender/src/pipeline/compatibility_tests.rs
+++ b/crates/sender/src/pipeline/compatibility_tests.rs
@@ -1,4 +1,4 @@
-//! State that an earlier version wrote to disk, or passed to its successor, stays readable.
+//! State that an earlier version wrote to disk or passed to its successor process stays readable.
 
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -14,13 +14,15 @@
 const WRITTEN_AT: f64 = 1_796_121_600_000.0;
 const DISK_LIMIT: u64 = 3_000_000;
 
-fn stored() -> PathBuf {
+/// The folder with the state that an earlier version wrote.
+fn stored_state_folder() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/stored-state")
 }
 
-fn copy_of(file: &str) -> tempfile::TempDir {
+/// Creates a folder with a copy of one file of the stored state.
+fn folder_with_copy_of(file: &str) -> tempfile::TempDir {
     let folder = tempfile::tempdir().unwrap();
-    std::fs::copy(stored().join(file), folder.path().join(file)).unwrap();
+    std::fs::copy(stored_state_folder().join(file), folder.path().join(file)).unwrap();
     folder
 }
 
@@ -28,7 +30,10 @@
     let open = &recovered.open;
     assert_eq!(open.keys().copied().collect::<Vec<_>>(), [1, 2, 3, 4, 5, 6]);
     let rules = open[&2].rules.clone();
-    assert!(!rules.is_empty(), "the class's rules were stored with it");
+    assert!(
+        !rules.is_empty(),
+        "the class's rules are recorded with the message"
+    );
     for (number, record) in open {
         assert_eq!(record.number, *number);
         assert_eq!(record.destination, 7 + number);
@@ -51,8 +56,8 @@
     );
     let keys: Vec<Option<&str>> = open.values().map(|record| record.key.as_deref()).collect();
     assert_eq!(keys, [None, Some("key-2"), Some(""), None, None, None]);
-    let attempt = |after: f64, never_ran| AttemptRecord {
-        sent: WRITTEN_AT + after,
+    let attempt = |after_writing: f64, never_ran| AttemptRecord {
+        sent: WRITTEN_AT + after_writing,
         never_ran,
     };
     assert_eq!(open[&2].attempts, [attempt(1.5, true), attempt(2.5, false)]);
@@ -73,12 +78,12 @@
 
 #[test]
 fn a_log_with_all_record_types_is_read_and_survives_its_compaction() {
-    let folder = copy_of("ledger");
+    let folder = folder_with_copy_of("ledger");
     let inspection = LogInspection::open(folder.path()).unwrap();
     assert_eq!(
         inspection.valid_bytes(),
         inspection.size,
-        "every record is whole"
+        "all records are valid"
     );
     assert_eq!(inspection.recovered.records, 19);
     assert_recovered(&inspection.recovered);
@@ -100,18 +105,18 @@
 
 #[test]
 fn cordons_are_read_and_written_in_the_same_form() {
-    let folder = copy_of("cordons");
+    let folder = folder_with_copy_of("cordons");
     let mut cordons = Cordons::open(folder.path(), DISK_LIMIT);
     assert!(cordons.contains("alpha") && cordons.contains("beta-2"));
     assert_eq!(cordons.set_cordoned(&Rc::from("gamma"), true), Ok(true));
     assert_eq!(cordons.set_cordoned(&Rc::from("gamma"), false), Ok(true));
     let read = |folder: &Path| std::fs::read(folder.join("cordons")).unwrap();
-    assert_eq!(read(folder.path()), read(&stored()));
+    assert_eq!(read(folder.path()), read(&stored_state_folder()));
 }
 
 #[test]
-fn the_snapshot_of_peers_is_read_and_written_in_the_same_form() {
-    let folder = copy_of("peers");
+fn the_peer_snapshot_is_read_and_written_in_the_same_form() {
+    let folder = folder_with_copy_of("peers");
     let (mut file, snapshot) = PeerSnapshotFile::open(folder.path(), WRITTEN_AT);
     assert_eq!((snapshot.incarnation, snapshot.digests.len()), (4, 4));
     assert_eq!(snapshot.digests[1].endpoint.as_deref(), Some("alpha"));
@@ -119,12 +124,12 @@
     std::fs::remove_file(folder.path().join("peers")).unwrap();
     file.write(4, WRITTEN_AT, snapshot.digests).unwrap();
     let read = |folder: &Path| std::fs::read(folder.join("peers")).unwrap();
-    assert_eq!(read(folder.path()), read(&stored()));
+    assert_eq!(read(folder.path()), read(&stored_state_folder()));
 }
 
 #[test]
-fn what_an_earlier_process_passes_is_read_and_passed_on_in_the_same_form() {
-    let bytes = std::fs::read(stored().join("process-state")).unwrap();
+fn the_process_state_of_an_earlier_version_is_read_and_written_in_the_same_form() {
+    let bytes = std::fs::read(stored_state_folder().join("process-state")).unwrap();
     let state: ProcessState<Policy> = postcard::from_bytes(&bytes).unwrap();
     assert!(state.captured_at() > WRITTEN_AT);
     assert_eq!(postcard::to_allocvec(&state).unwrap(), bytes);
--- a/crates/sender/src/pipeline/test_support.rs
+++ b/crates/sender/src/pipeline/test_support.rs
@@ -1,4 +1,4 @@
-//! Helpers that the tests of the pipeline share.
+//! Helpers shared by the tests of the pipeline.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -14,7 +14,7 @@
 
 /// The start time of the test clocks, in milliseconds of Unix time.
 pub(super) const START: Millis = 1_796_121_600_000.0;
-/// The limit on disk space, in bytes.
+/// The limit on the disk space of the state folder, in bytes.
 pub(super) const DISK_LIMIT: u64 = 3_000_000;
 
 pub(super) type TestLoop = calloop::EventLoop<'static, Ready>;
@@ -64,7 +64,7 @@
     let events = TestLoop::try_new().unwrap();
     let start = StartMode::Fresh {
         listener,
-        // In the future, so that the start is never delayed, however busy the machine is.
+        // An instant in the future, so that the start never counts as delayed, however busy the machine is.
         process_started: Instant::now() + Duration::from_secs(3_600),
     };
     let driver = Driver::new(config, start, None, &events.handle(), clock.clone()).unwrap();
