--- a/crates/sender/src/pipeline/tests/mod.rs
+++ b/crates/sender/src/pipeline/tests/mod.rs
@@ -1,4 +1,4 @@
-//! The driver against sockets on loopback, on a clock that the test sets.
+//! Tests of the driver with sockets on loopback and a clock that the test sets.
 
 mod attempts;
 mod ingress;
@@ -33,16 +33,20 @@
     "Guarantees":{"OverloadFactor":2,
     "OverloadFor":3000000000,"ColdFrom":0.22,"Cold":9200000000},"Tick":5000000}"#;
 
-/// A driver on a clock that the test sets, which resumes one non-idempotent message with two seconds left.
-fn resumed(name: &str, endpoint: SocketAddr) -> (Driver, Clock, TestLoop) {
-    resumed_with(name, 2_000.0, endpoint)
+/// A driver that has resumed one non-idempotent message, whose deadline is two seconds after the start.
+fn resumed_driver(name: &str, endpoint: SocketAddr) -> (Driver, Clock, TestLoop) {
+    resumed_driver_with_timeout(name, 2_000.0, endpoint)
 }
 
-/// The same with so many milliseconds left.
-fn resumed_with(name: &str, left: Millis, endpoint: SocketAddr) -> (Driver, Clock, TestLoop) {
+/// A driver that has resumed one non-idempotent message, whose deadline is `timeout` after the start.
+fn resumed_driver_with_timeout(
+    name: &str,
+    timeout: Millis,
+    endpoint: SocketAddr,
+) -> (Driver, Clock, TestLoop) {
     let state = empty_folder(&folder_name(name));
     let (mut wal, _) = WriteAheadLog::open(&state, DISK_LIMIT);
-    assert!(wal.append_message(&unattempted_message(left)));
+    assert!(wal.append_message(&unattempted_message(timeout)));
     drop(wal);
     let known = format!(
         r#"{{"targets":[{{"uid":"s","endpoint":"{endpoint}","az":"a","model":"k","pod_group":7,"state":"in_service"}}]}}"#
@@ -53,16 +57,16 @@
 }
 
 fn folder_name(test: &str) -> String {
-    format!("stages-{test}")
+    format!("pipeline-{test}")
 }
 
-fn unattempted_message(left: Millis) -> MessageRecord {
+fn unattempted_message(timeout: Millis) -> MessageRecord {
     MessageRecord {
         number: 3,
         id: Rc::from("a"),
         class: Rc::from("debit"),
         destination: 7,
-        deadline: START + left,
+        deadline: START + timeout,
         key: None,
         body: Rc::from(&b"x"[..]),
         attempts: Vec::new(),
@@ -71,15 +75,19 @@
     }
 }
 
-/// What the log in the folder of a test holds.
-fn logged(test: &str) -> RecoveredState {
+/// The state that can be recovered from the log in the folder of a test.
+fn recovered_log(test: &str) -> RecoveredState {
     let folder = folder_path(&folder_name(test));
     LogInspection::open(&folder).unwrap().recovered
 }
 
-/// Repeats something until it holds. The number of times is bounded: what is written on loopback arrives soon.
-fn until(mut holds: impl FnMut() -> bool) {
-    assert!((0..200_000).any(|_| holds()), "it never holds");
+/// Calls a function until it returns true. The number of calls is bounded: bytes that are written on loopback arrive
+/// soon.
+fn repeat_until(mut is_done: impl FnMut() -> bool) {
+    assert!(
+        (0..200_000).any(|_| is_done()),
+        "the function never returned true"
+    );
 }
 
 /// Runs rounds until the message's request has arrived at the endpoint. Returns its connection.
@@ -90,26 +98,31 @@
 ) -> std::net::TcpStream {
     use std::io::Read;
     endpoint.set_nonblocking(true).unwrap();
-    let mut peers = Vec::new();
+    let mut connections = Vec::new();
     let mut request = None;
-    until(|| {
+    repeat_until(|| {
         driver.round((0..9).map(EventSource::Endpoint).collect());
         if clock.now() < START + 1_500.0 {
             clock.set(clock.now() + 5.0);
         }
-        peers.extend(endpoint.accept().ok().map(|(peer, _)| (peer, Vec::new())));
-        for (peer, text) in &mut peers {
-            peer.set_nonblocking(true).unwrap();
+        connections.extend(
+            endpoint
+                .accept()
+                .ok()
+                .map(|(stream, _)| (stream, Vec::new())),
+        );
+        for (stream, text) in &mut connections {
+            stream.set_nonblocking(true).unwrap();
             let mut buffer = [0; 512];
-            text.extend(peer.read(&mut buffer).map_or(&[][..], |n| &buffer[..n]));
+            text.extend(stream.read(&mut buffer).map_or(&[][..], |n| &buffer[..n]));
         }
-        // Its body is one byte.
+        // The body of the message is one byte.
         let is_complete =
             |text: &[u8]| text.starts_with(b"POST /v1/messages") && text.ends_with(b"\r\n\r\nx");
-        request = peers.iter().position(|(_, text)| is_complete(text));
+        request = connections.iter().position(|(_, text)| is_complete(text));
         request.is_some()
     });
-    peers.swap_remove(request.unwrap()).0
+    connections.swap_remove(request.unwrap()).0
 }
 
-const OK: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+const OK_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
--- a/crates/sender/src/pipeline/tests/rejection.rs
+++ b/crates/sender/src/pipeline/tests/rejection.rs
@@ -1,20 +1,20 @@
-//! Rejected requests: what is counted, what the client reads, and when it may come again.
+//! Rejected requests: how they are counted, what the client reads, and when it may try again.
 
 use super::*;
 
 #[test]
-fn clients_rejected_together_do_not_return_together() {
+fn clients_rejected_together_receive_different_retry_after_times() {
     use std::io::{Read, Write};
     // Messages for a destination that is not listed yet are rejected together.
-    let (mut driver, clock, _events) = resumed("spread", "127.77.0.1:9".parse().unwrap());
+    let (mut driver, clock, _events) = resumed_driver("spread", "127.77.0.1:9".parse().unwrap());
     let address = driver.listen_address();
-    let head = "POST /debit HTTP/1.1\r\nX-Request-ID: c\r\nX-Timeout: 9\r\nX-Route-To: dest=8\r\nContent-Length: 0\r\n\r\n";
-    let mut crowd: Vec<_> = (0..12)
+    let request = "POST /debit HTTP/1.1\r\nX-Request-ID: c\r\nX-Timeout: 9\r\nX-Route-To: dest=8\r\nContent-Length: 0\r\n\r\n";
+    let mut clients: Vec<_> = (0..12)
         .map(|_| std::net::TcpStream::connect(address).unwrap())
         .collect();
-    crowd
+    clients
         .iter_mut()
-        .for_each(|client| client.write_all(head.as_bytes()).unwrap());
+        .for_each(|client| client.write_all(request.as_bytes()).unwrap());
     while driver.store.counters.rejected < 12 {
         driver.round(
             [EventSource::ClientListener]
@@ -23,21 +23,26 @@
                 .collect(),
         );
     }
-    let told = |client: &mut std::net::TcpStream| {
+    let read_retry_after = |client: &mut std::net::TcpStream| {
         let mut text = [0; 200];
         let count = client.read(&mut text).unwrap();
         let text = String::from_utf8_lossy(&text[..count]).into_owned();
         text.split("Retry-After: ")
             .nth(1)
-            .and_then(|t| t.lines().next()?.parse::<f64>().ok())
+            .and_then(|value| value.lines().next()?.parse::<f64>().ok())
             .unwrap()
     };
-    let mut told: Vec<f64> = crowd.iter_mut().map(told).collect();
-    assert!(told.iter().all(|t| (1.0..=1.5).contains(t)), "{told:?}");
-    told.sort_by(f64::total_cmp);
-    told.dedup();
-    assert!(told.len() > 8, "{told:?}");
-    // Nor do status reports of senders with other seeds, once the platform is back.
+    let mut retry_after: Vec<f64> = clients.iter_mut().map(read_retry_after).collect();
+    assert!(
+        retry_after
+            .iter()
+            .all(|seconds| (1.0..=1.5).contains(seconds)),
+        "{retry_after:?}"
+    );
+    retry_after.sort_by(f64::total_cmp);
+    retry_after.dedup();
+    assert!(retry_after.len() > 8, "{retry_after:?}");
+    // Senders with different seeds do not repeat their status reports together either, once the platform is back.
     let mut waits: Vec<f64> = Vec::new();
     for seed in 0..12 {
         driver.status_reporter.jitter = Jitter::new(seed);
@@ -48,7 +53,7 @@
         );
     }
     assert!(
-        waits.iter().all(|t| (750.0..=1_250.0).contains(t)),
+        waits.iter().all(|wait| (750.0..=1_250.0).contains(wait)),
         "{waits:?}"
     );
     waits.sort_by(f64::total_cmp);
@@ -56,9 +61,9 @@
 }
 
 #[test]
-fn a_rejected_partial_request_counts_as_deferred_where_its_class_could_be_read() {
+fn a_rejected_partial_request_counts_as_deferred_if_its_class_was_read() {
     use std::io::Write;
-    let (mut driver, clock, _events) = resumed("cut-off", "127.77.0.1:9".parse().unwrap());
+    let (mut driver, clock, _events) = resumed_driver("cut-off", "127.77.0.1:9".parse().unwrap());
     let address = driver.listen_address();
     let partial_requests = [
         ("POST /debit?x HTTP/1.1\r\nX-", 1),
@@ -73,7 +78,7 @@
             .ingress
             .clients
             .iter()
-            .all(|(_, c)| c.connection.bytes().is_empty())
+            .all(|(_, client)| client.connection.bytes().is_empty())
         {
             driver.round(vec![EventSource::ClientListener, EventSource::Client(0)]);
         }
@@ -94,11 +99,11 @@
     assert_eq!(driver.store.counters.rejected, 2);
 }
 
+/// Guards against messages that end in the round in which they are read, and yet take the capacity of other clients.
 #[test]
-fn a_flood_with_no_time_left_takes_no_capacity_from_usual_clients() {
+fn a_flood_of_messages_with_no_time_left_takes_no_capacity_from_other_clients() {
     use std::io::{Read, Write};
-    // Messages that end in the round that brings them must not take the capacity of usual clients.
-    let (mut driver, clock, _events) = resumed("flood", "127.77.0.1:9".parse().unwrap());
+    let (mut driver, clock, _events) = resumed_driver("flood", "127.77.0.1:9".parse().unwrap());
     let address = driver.listen_address();
     // The resumed message has been attempted.
     driver.round(vec![]);
@@ -126,94 +131,105 @@
     assert_eq!(
         driver.store.counters.accepted + driver.store.counters.rejected,
         13,
-        "each is answered at once"
+        "each message is answered at once"
     );
     assert!(
         driver.store.open_count <= 2,
-        "the flood is ended in its round"
+        "the messages of the flood end in the round in which they are read"
     );
     let mut answer = [0; 12];
     clients[12].read_exact(&mut answer).unwrap();
-    assert_eq!(&answer, b"HTTP/1.1 202", "the usual client is rejected");
+    assert_eq!(
+        &answer, b"HTTP/1.1 202",
+        "the client outside the flood is accepted"
+    );
 }
 
+/// Guards against an answer that the client cannot read: closing a connection while bytes still arrive resets it, which
+/// discards the answer.
 #[test]
-fn a_client_rejected_over_a_partial_request_can_read_the_answer_while_the_rest_arrives() {
+fn a_client_rejected_during_its_request_can_read_the_answer_while_the_rest_arrives() {
     use std::io::{Read, Write};
-    // Closing while bytes still arrive resets the connection, which destroys the answer.
-    let (mut driver, clock, _events) = resumed("rest", "127.77.0.1:9".parse().unwrap());
+    let (mut driver, clock, _events) = resumed_driver("rest", "127.77.0.1:9".parse().unwrap());
     let address = driver.listen_address();
-    let most = driver.ingress.limits.max_clients;
-    let begin = |driver: &mut Driver, at: usize| {
+    let max_clients = driver.ingress.limits.max_clients;
+    let begin_request = |driver: &mut Driver, index: usize| {
         let mut client = std::net::TcpStream::connect(address).unwrap();
         client.write_all(b"POST /debit HTTP/1.1\r\nX-Re").unwrap();
-        until(|| {
-            driver.round(vec![EventSource::ClientListener, EventSource::Client(at)]);
+        repeat_until(|| {
+            driver.round(vec![
+                EventSource::ClientListener,
+                EventSource::Client(index),
+            ]);
             driver
                 .ingress
                 .clients
-                .get(at)
-                .is_some_and(|c| !c.connection.bytes().is_empty())
+                .get(index)
+                .is_some_and(|client| !client.connection.bytes().is_empty())
         });
         clock.set(clock.now() + 0.1);
         client
     };
-    let mut crowd: Vec<_> = (0..most).map(|at| begin(&mut driver, at)).collect();
-    let _late = begin(&mut driver, most);
+    let mut clients: Vec<_> = (0..max_clients)
+        .map(|index| begin_request(&mut driver, index))
+        .collect();
+    let _late_client = begin_request(&mut driver, max_clients);
     assert!(
         driver.ingress.clients[0].closing,
-        "the one that has taken the longest is rejected"
+        "the client whose request has taken the longest is rejected"
     );
     for part in ["quest-ID: a\r\n", "Content-Length: 0\r\n\r\n"] {
-        crowd[0].write_all(part.as_bytes()).unwrap();
+        clients[0].write_all(part.as_bytes()).unwrap();
         driver.round(vec![EventSource::Client(0)]);
     }
     let mut answer = String::new();
-    crowd[0]
+    clients[0]
         .set_read_timeout(Some(std::time::Duration::from_secs(20)))
         .unwrap();
-    crowd[0].read_to_string(&mut answer).expect("reset");
+    clients[0]
+        .read_to_string(&mut answer)
+        .expect("the connection was reset before the answer was read");
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
-    // However many clients come, few may linger.
-    for _ in 0..most {
+    // However many clients connect, only a few of those that were rejected may linger.
+    for _ in 0..max_clients {
         let mut client = std::net::TcpStream::connect(address).unwrap();
         client.write_all(b"POST /debit HTTP/1.1\r\nX-Re").unwrap();
-        crowd.push(client);
+        clients.push(client);
         let before = driver.store.counters.client_connections;
-        until(|| {
+        repeat_until(|| {
             driver.round(
                 std::iter::once(EventSource::ClientListener)
-                    .chain((0..3 * most).map(EventSource::Client))
+                    .chain((0..3 * max_clients).map(EventSource::Client))
                     .collect(),
             );
             driver.store.counters.client_connections > before
         });
-        assert!(driver.ingress.clients.len() <= most + most / 8);
+        assert!(driver.ingress.clients.len() <= max_clients + max_clients / 8);
     }
 }
 
 #[rstest::rstest]
-#[case::as_long_as_clients_follow(Some(3_000.0), Some((1.0, 1.5)))]
-#[case::shorter(Some(700.0), Some((0.525, 0.7)))]
-#[case::of_no_length(Some(0.0), None)]
-#[case::where_none_may_be_given(None, None)]
-fn retry_after_of_a_rejection_is_as_the_settings_allow(
+#[case::a_limit_of_3_s(Some(3_000.0), Some((1.0, 1.5)))]
+#[case::a_limit_of_700_ms(Some(700.0), Some((0.525, 0.7)))]
+#[case::a_limit_of_zero(Some(0.0), None)]
+#[case::clients_follow_no_retry_after(None, None)]
+fn the_retry_after_of_a_rejection_is_within_the_limit_of_the_settings(
     #[case] max_retry_after: Option<Millis>,
-    #[case] told: Option<(f64, f64)>,
+    #[case] expected_seconds: Option<(f64, f64)>,
 ) {
     use std::io::{Read, Write};
-    let (mut driver, _clock, _events) = resumed(
+    let (mut driver, _clock, _events) = resumed_driver(
         &format!("retry-after-{max_retry_after:?}"),
         "127.77.0.1:9".parse().unwrap(),
     );
     driver.ingress.limits.max_retry_after = max_retry_after;
     let address = driver.listen_address();
-    let head = "POST /debit HTTP/1.1\r\nX-Request-ID: c\r\nX-Timeout: 9\r\nX-Route-To: dest=8\r\nContent-Length: 0\r\n\r\n";
+    let request = "POST /debit HTTP/1.1\r\nX-Request-ID: c\r\nX-Timeout: 9\r\nX-Route-To: dest=8\r\nContent-Length: 0\r\n\r\n";
     for _ in 0..8 {
         let before = driver.store.counters.rejected;
         let mut client = std::net::TcpStream::connect(address).unwrap();
-        client.write_all(head.as_bytes()).unwrap();
-        until(|| {
+        client.write_all(request.as_bytes()).unwrap();
+        repeat_until(|| {
             driver.round(
                 [EventSource::ClientListener]
                     .into_iter()
@@ -225,13 +241,14 @@
         let mut text = [0; 200];
         let count = client.read(&mut text).unwrap();
         let text = String::from_utf8_lossy(&text[..count]).into_owned();
-        let format_answer = text
+        let retry_after = text
             .split("Retry-After: ")
             .nth(1)
-            .and_then(|t| t.lines().next()?.parse::<f64>().ok());
-        assert_eq!(format_answer.is_some(), told.is_some(), "{text}");
+            .and_then(|value| value.lines().next()?.parse::<f64>().ok());
+        assert_eq!(retry_after.is_some(), expected_seconds.is_some(), "{text}");
         assert!(
-            format_answer.is_none_or(|s| told.is_some_and(|(least, most)| s >= least && s <= most)),
+            retry_after.is_none_or(|seconds| expected_seconds
+                .is_some_and(|(shortest, longest)| seconds >= shortest && seconds <= longest)),
             "{text}"
         );
     }
--- a/crates/sender/src/pipeline/tests/status_reports.rs
+++ b/crates/sender/src/pipeline/tests/status_reports.rs
@@ -1,19 +1,19 @@
-//! Status reports.
+//! Status reports: when they are sent, repeated and confirmed.
 
 use super::*;
 
+/// Guards against reports that wait for buffers: answers that never end can hold the buffers of attempts indefinitely.
 #[test]
-fn status_reports_and_the_watch_are_sent_though_attempts_hold_every_buffer() {
-    // Answers that never end may hold the buffers of attempts for as long as they like.
+fn status_reports_and_the_watch_are_sent_while_attempts_hold_every_buffer() {
     use std::io::Read;
     let platform = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (mut driver, clock, _events) = resumed("buffers", platform.local_addr().unwrap());
+    let (mut driver, clock, _events) = resumed_driver("buffers", platform.local_addr().unwrap());
     let taken_buffers: Vec<_> = std::iter::from_fn(|| driver.egress.buffers.take()).collect();
     assert!(!taken_buffers.is_empty());
     clock.set(START + 2_000.0 + OVERDUE_AFTER + 1.0);
-    let mut asked = std::collections::BTreeSet::new();
+    let mut paths = std::collections::BTreeSet::new();
     for _ in 0..2 {
-        // The kernel completes connections before they are accepted: the second round writes what the first could not.
+        // The kernel establishes connections before they are accepted: the second round writes what the first did not.
         assert!(driver.round(vec![EventSource::Watch, EventSource::StatusReports]));
         assert!(driver.round(vec![EventSource::Watch, EventSource::StatusReports]));
         let (mut peer, _) = platform.accept().unwrap();
@@ -21,30 +21,32 @@
         peer.set_read_timeout(Some(std::time::Duration::from_secs(20)))
             .unwrap();
         let count = peer.read(&mut text).expect("no request arrived");
-        asked.insert(
+        paths.insert(
             String::from_utf8_lossy(&text[..count])
                 .split(' ')
                 .nth(1)
                 .map(str::to_string),
         );
     }
-    let asked: Vec<String> = asked.into_iter().flatten().collect();
-    assert_eq!(asked, ["/reports", "/v1/servers?watch=1&from=0"]);
+    let paths: Vec<String> = paths.into_iter().flatten().collect();
+    assert_eq!(paths, ["/reports", "/v1/servers?watch=1&from=0"]);
 }
 
+/// Guards against a message that is sent after its end was reported. While the log cannot be written, a process that
+/// dies leaves the message open, and the next process sends it. From the deadline on, no process sends it.
 #[rstest::rstest]
-#[case::until_it_is_recorded(true)]
-#[case::until_the_deadline(false)]
-fn a_final_status_is_reported_once_a_restart_would_know_of_it(#[case] recovers: bool) {
-    // While the folder takes no records, a process that dies would leave a message behind that the next one sends,
-    // although the platform was told that it has ended. At the deadline nothing is sent any more.
+#[case::recorded_later(true)]
+#[case::not_recorded_until_the_deadline(false)]
+fn a_final_status_is_reported_only_once_it_is_recorded_or_at_the_deadline(
+    #[case] log_recovers: bool,
+) {
     let endpoint = TcpListener::bind("127.0.0.1:0").unwrap();
-    let name = format!("unrecorded-{recovers}");
-    let (mut driver, clock, _events) = resumed(&name, endpoint.local_addr().unwrap());
-    let sick = empty_folder(&folder_name(&format!("sick-log-{recovers}")));
-    std::fs::create_dir(sick.join("ledger")).unwrap();
-    let (sick_log, _) = WriteAheadLog::open(&sick, DISK_LIMIT);
-    let log = std::mem::replace(&mut driver.store.wal, sick_log);
+    let name = format!("unrecorded-{log_recovers}");
+    let (mut driver, clock, _events) = resumed_driver(&name, endpoint.local_addr().unwrap());
+    let unwritable_folder = empty_folder(&folder_name(&format!("{name}-log")));
+    std::fs::create_dir(unwritable_folder.join("ledger")).unwrap();
+    let (unwritable_log, _) = WriteAheadLog::open(&unwritable_folder, DISK_LIMIT);
+    let log = std::mem::replace(&mut driver.store.wal, unwritable_log);
     let now = clock.now();
     driver.perform(vec![Action::Fail { id: MessageId(3) }], now);
     let is_sent = |driver: &mut Driver| {
@@ -53,9 +55,9 @@
     };
     for _ in 0..10 {
         clock.set(clock.now() + 100.0);
-        assert!(!is_sent(&mut driver), "no record says that it has ended");
+        assert!(!is_sent(&mut driver), "the message's end is not recorded");
     }
-    if recovers {
+    if log_recovers {
         driver.store.wal = log;
         clock.set(clock.now() + 100.0);
     } else {
@@ -64,15 +66,15 @@
     assert!(is_sent(&mut driver));
 }
 
-/// What a platform does with a request that reports final statuses.
+/// How the platform replies to a request that reports final statuses.
 #[derive(Clone, Copy, PartialEq)]
 enum PlatformReply {
-    /// It confirms.
+    /// It confirms the reports.
     Confirms,
-    /// Its connection ends without an answer.
-    Ends,
+    /// It closes the connection without an answer.
+    ClosesConnection,
     /// It never answers.
-    IsSilent,
+    NeverAnswers,
 }
 
 /// A platform whose replies to reports follow a script.
@@ -92,7 +94,8 @@
         }
     }
 
-    /// Reads what has come, and replies to reports as the script says by their number. True if one was confirmed.
+    /// Reads what has arrived, and replies to each request with reports as `reply` says, which is given the number of
+    /// earlier requests. Returns true if reports were confirmed.
     fn serve(&mut self, reply: impl Fn(usize) -> PlatformReply) -> bool {
         use std::io::{Read, Write};
         while let Ok((stream, _)) = self.listener.accept() {
@@ -109,8 +112,8 @@
             }
             *requests += 1;
             match reply(*requests - 1) {
-                PlatformReply::Ends => false,
-                PlatformReply::IsSilent => {
+                PlatformReply::ClosesConnection => false,
+                PlatformReply::NeverAnswers => {
                     text.clear();
                     true
                 }
@@ -128,21 +131,21 @@
     }
 }
 
-/// The platform counts a message as lost whose end it has not heard so long after its deadline. Of these 300 ms, 150 are
-/// kept for a sender that is held up.
-const REPORT_BOUND: Millis = 150.0;
-/// The message of [`resumed`] ends at this instant.
+/// The time after the deadline within which a report must be confirmed. The platform counts a message as lost if it has
+/// received no final status by 300 ms after the deadline; 150 ms of these are reserved for a delayed sender.
+const MAX_REPORT_DELAY: Millis = 150.0;
+/// The deadline of the message of [`resumed_driver`].
 const DEADLINE: Millis = START + 2_000.0;
 
-/// Runs rounds, a millisecond apart, until the platform has confirmed the report of the message, which is given up at
-/// an instant. Returns when that was.
-fn confirmed_at(
+/// Gives the message up at `given_up_at`, and runs rounds, one millisecond apart, until the platform confirms its
+/// report. Returns the instant of the confirmation.
+fn confirmation_time(
     name: &str,
     given_up_at: Millis,
     reply: impl Fn(usize, Millis) -> PlatformReply,
 ) -> Millis {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (mut driver, clock, _events) = resumed(name, listener.local_addr().unwrap());
+    let (mut driver, clock, _events) = resumed_driver(name, listener.local_addr().unwrap());
     let mut platform = ScriptedPlatform::new(listener);
     clock.set(given_up_at);
     driver.perform(vec![Action::Fail { id: MessageId(3) }], given_up_at);
@@ -157,20 +160,20 @@
     panic!("no report was confirmed");
 }
 
-/// Guards against reports that come too late because they fail at the end of their message's time.
+/// Guards against reports that arrive too late because they fail around their message's deadline.
 #[test]
-fn a_report_that_fails_at_the_deadline_still_comes_in_time() {
+fn a_report_that_fails_at_the_deadline_is_confirmed_in_time() {
     let cases = [
-        (2, PlatformReply::Ends),
-        (4, PlatformReply::Ends),
-        (6, PlatformReply::Ends),
-        (1, PlatformReply::IsSilent),
-        (2, PlatformReply::IsSilent),
+        (2, PlatformReply::ClosesConnection),
+        (4, PlatformReply::ClosesConnection),
+        (6, PlatformReply::ClosesConnection),
+        (1, PlatformReply::NeverAnswers),
+        (2, PlatformReply::NeverAnswers),
     ];
     for (failures, failure) in cases {
-        let silent = failure == PlatformReply::IsSilent;
+        let silent = failure == PlatformReply::NeverAnswers;
         let name = format!("late-report-{failures}-{silent}");
-        let confirmed = confirmed_at(&name, DEADLINE, |number, _| {
+        let confirmed = confirmation_time(&name, DEADLINE, |number, _| {
             if number < failures {
                 failure
             } else {
@@ -178,35 +181,35 @@
             }
         });
         let late = confirmed - DEADLINE;
-        assert!(late <= REPORT_BOUND, "{name}: {late} ms");
+        assert!(late <= MAX_REPORT_DELAY, "{name}: {late} ms");
     }
 }
 
-/// The request with which a message of [`with_reports_owed`] is handed in again.
-fn second_request(id: &str) -> Vec<u8> {
+/// The request with which a client sends a message of [`with_unconfirmed_reports`] again.
+fn repeated_request(id: &str) -> Vec<u8> {
     let head =
         "POST /debit HTTP/1.1\r\nX-Timeout: 9\r\nX-Route-To: dest=7\r\nContent-Length: 0\r\n";
     format!("{head}X-Request-ID: {id}\r\n\r\n").into_bytes()
 }
 
-/// Hands the message of [`with_reports_owed`] in again, which is answered 202.
-fn hand_in_again(driver: &mut Driver, id: &str) {
+/// Sends a message of [`with_unconfirmed_reports`] again, and checks that it is answered 202.
+fn send_again(driver: &mut Driver, id: &str) {
     use std::io::{Read, Write};
     let mut client = std::net::TcpStream::connect(driver.listen_address()).unwrap();
     client.set_nonblocking(true).unwrap();
-    client.write_all(&second_request(id)).unwrap();
+    client.write_all(&repeated_request(id)).unwrap();
     let mut answer = [0; 256];
-    until(|| {
+    repeat_until(|| {
         driver.round(vec![EventSource::ClientListener]);
         client.read(&mut answer).is_ok()
     });
     assert!(answer.starts_with(b"HTTP/1.1 202"));
 }
 
-/// Runs rounds until the platform has confirmed all reports. Returns how many requests it got for that.
+/// Runs rounds until the platform has confirmed all reports. Returns the number of requests that it received for this.
 fn confirm_all(driver: &mut Driver, platform: &mut ScriptedPlatform, clock: &Clock) -> usize {
     let before = platform.requests;
-    until(|| {
+    repeat_until(|| {
         driver.round(vec![EventSource::StatusReports]);
         platform.serve(|_| PlatformReply::Confirms);
         clock.set(clock.now() + 1.0);
@@ -215,16 +218,16 @@
     platform.requests - before
 }
 
-/// Guards against a second 202 for a message whose end was reported before its client heard the first one: that report
-/// may have counted for nothing.
+/// Guards against a second 202 for a message whose end was reported before its client received the first one: the
+/// platform may have ignored that report.
 #[rstest::rstest]
 #[case::in_the_same_process(false)]
 #[case::after_a_restart(true)]
-fn a_message_that_is_handed_in_again_behind_its_report_is_reported_again(#[case] restart: bool) {
+fn a_message_that_is_sent_again_after_its_report_is_reported_again(#[case] restart: bool) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let name = format!("again-{restart}");
-    let (mut driver, mut clock, mut events) = with_reports_owed(&name, 1, address);
+    let (mut driver, mut clock, mut events) = with_unconfirmed_reports(&name, 1, address);
     let mut platform = ScriptedPlatform::new(listener);
     assert_eq!(confirm_all(&mut driver, &mut platform, &clock), 1);
     if restart {
@@ -233,74 +236,74 @@
         clock = Clock::at(START + 9_000.0);
         (driver, events) = start_driver(&state, SETTINGS, "{}", address, &clock);
     }
-    assert!(driver.status_reporter.is_done(), "nothing is owed");
-    hand_in_again(&mut driver, "owed-1");
+    assert!(driver.status_reporter.is_done(), "no report is pending");
+    send_again(&mut driver, "reported-1");
     let numbers: Vec<u64> = driver.status_reporter.unconfirmed().collect();
     let record = driver.store.record(numbers[0]).unwrap();
     assert_eq!(record.final_status, Some(FinalStatus::Undeliverable));
-    assert_eq!(driver.store.open_count, 0, "and it is not attempted");
+    assert_eq!(driver.store.open_count, 0, "the message is not attempted");
     assert_eq!(confirm_all(&mut driver, &mut platform, &clock), 1);
     drop(events);
 }
 
-/// Guards against a second 202 that no record stands behind: a process killed right then would owe its report to nobody.
+/// Guards against a second 202 without a record: if the process were killed then, the report would never be sent again.
 #[test]
-fn a_message_that_is_handed_in_again_fails_where_its_report_cannot_be_recorded() {
+fn a_message_that_is_sent_again_is_answered_500_if_its_report_cannot_be_recorded() {
     use std::io::{Read, Write};
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (mut driver, clock, _events) = with_reports_owed("again-sick", 1, address);
+    let (mut driver, clock, _events) = with_unconfirmed_reports("again-unwritable", 1, address);
     let mut platform = ScriptedPlatform::new(listener);
     confirm_all(&mut driver, &mut platform, &clock);
-    let sick = empty_folder(&folder_name("again-sick-log"));
-    std::fs::create_dir(sick.join("ledger")).unwrap();
-    let (mut sick_log, _) = WriteAheadLog::open(&sick, DISK_LIMIT);
-    sick_log.recently_closed = driver.store.wal.recently_closed.clone();
-    driver.store.wal = sick_log;
+    let unwritable_folder = empty_folder(&folder_name("again-unwritable-log"));
+    std::fs::create_dir(unwritable_folder.join("ledger")).unwrap();
+    let (mut unwritable_log, _) = WriteAheadLog::open(&unwritable_folder, DISK_LIMIT);
+    unwritable_log.recently_closed = driver.store.wal.recently_closed.clone();
+    driver.store.wal = unwritable_log;
     let mut client = std::net::TcpStream::connect(driver.listen_address()).unwrap();
     client.set_nonblocking(true).unwrap();
-    client.write_all(&second_request("owed-1")).unwrap();
+    client.write_all(&repeated_request("reported-1")).unwrap();
     let mut answer = [0; 256];
-    until(|| {
+    repeat_until(|| {
         driver.round(vec![EventSource::ClientListener]);
         client.read(&mut answer).is_ok()
     });
     assert!(answer.starts_with(b"HTTP/1.1 500"));
 }
 
-/// Guards against a report on its way that is confirmed for a message whose client hears 202 only now.
+/// Guards against counting the confirmation of a report that was in flight when the client was answered 202 again.
 #[test]
-fn a_message_that_is_handed_in_again_under_its_report_is_reported_again() {
+fn a_message_that_is_sent_again_while_its_report_is_in_flight_is_reported_again() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (mut driver, clock, _events) = with_reports_owed("again-under", 1, address);
+    let (mut driver, clock, _events) = with_unconfirmed_reports("again-in-flight", 1, address);
     let mut platform = ScriptedPlatform::new(listener);
-    until(|| {
+    repeat_until(|| {
         driver.round(vec![EventSource::StatusReports]);
         driver.status_reporter.is_sent(1)
     });
-    hand_in_again(&mut driver, "owed-1");
+    send_again(&mut driver, "reported-1");
     assert_eq!(confirm_all(&mut driver, &mut platform, &clock), 2);
 }
 
-/// Guards against ended connections that make the wait for a silent one longer.
+/// Guards against closed connections that lengthen the wait for an answer on a silent one.
 #[test]
-fn a_report_that_meets_both_kinds_of_failure_still_comes_in_time() {
-    let confirmed = confirmed_at("ended-then-silent", DEADLINE, |number, _| match number {
-        0..3 => PlatformReply::Ends,
-        3 => PlatformReply::IsSilent,
+fn a_report_that_meets_both_kinds_of_failure_is_confirmed_in_time() {
+    let confirmed = confirmation_time("closed-then-silent", DEADLINE, |number, _| match number {
+        0..3 => PlatformReply::ClosesConnection,
+        3 => PlatformReply::NeverAnswers,
         _ => PlatformReply::Confirms,
     });
     let late = confirmed - DEADLINE;
-    assert!(late <= REPORT_BOUND, "{late} ms");
+    assert!(late <= MAX_REPORT_DELAY, "{late} ms");
 }
 
-/// Guards against a fresh report that waits behind a batch on which the platform is silent.
+/// Guards against a new report that waits until a batch that the platform does not answer has timed out.
 #[test]
-fn a_fresh_report_does_not_wait_behind_a_silent_batch() {
+fn a_new_report_does_not_wait_for_an_unanswered_batch() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let name = "behind-silent";
-    let (mut driver, clock, _events) = resumed(name, listener.local_addr().unwrap());
+    let name = "unanswered-batch";
+    let (mut driver, clock, _events) = resumed_driver(name, listener.local_addr().unwrap());
     let mut platform = ScriptedPlatform::new(listener);
     let second = MessageRecord {
         number: 4,
@@ -310,27 +313,31 @@
     driver.store.insert(second, MessageState::Open);
     clock.set(DEADLINE - 800.0);
     driver.perform(vec![Action::Fail { id: MessageId(3) }], clock.now());
-    until(|| {
+    repeat_until(|| {
         driver.round(vec![EventSource::StatusReports]);
-        platform.serve(|_| PlatformReply::IsSilent);
+        platform.serve(|_| PlatformReply::NeverAnswers);
         platform.requests == 1
     });
     clock.set(DEADLINE - 700.0);
     driver.perform(vec![Action::Fail { id: MessageId(4) }], clock.now());
-    until(|| {
+    repeat_until(|| {
         driver.round(vec![EventSource::StatusReports]);
         platform.serve(|_| PlatformReply::Confirms)
     });
 }
 
-/// A driver that comes back with the reports of so many messages, whose deadlines have passed.
-fn with_reports_owed(name: &str, count: u64, platform: SocketAddr) -> (Driver, Clock, TestLoop) {
+/// A driver that has recovered `count` messages whose deadlines have passed and whose reports are not confirmed.
+fn with_unconfirmed_reports(
+    name: &str,
+    count: u64,
+    platform: SocketAddr,
+) -> (Driver, Clock, TestLoop) {
     let state = empty_folder(&folder_name(name));
     let (mut wal, _) = WriteAheadLog::open(&state, DISK_LIMIT);
     for number in 1..=count {
         let message = MessageRecord {
             number,
-            id: Rc::from(format!("owed-{number}")),
+            id: Rc::from(format!("reported-{number}")),
             ..unattempted_message(-10.0)
         };
         assert!(wal.append_message(&message));
@@ -343,28 +350,29 @@
     (driver, clock, events)
 }
 
-/// Guards against a platform that is flooded while it is down, and against reports that are not all sent once it is back.
+/// Guards against a platform that is flooded while it is down, and against reports that are not all sent afterwards.
 #[rstest::rstest]
-#[case::connections_end(PlatformReply::Ends, 40)]
-#[case::it_is_silent(PlatformReply::IsSilent, 200)]
-fn the_platform_is_not_flooded_while_it_is_down(
+#[case::it_closes_connections(PlatformReply::ClosesConnection, 40)]
+#[case::it_never_answers(PlatformReply::NeverAnswers, 200)]
+fn the_platform_is_not_flooded_while_it_is_down_and_receives_all_reports_afterwards(
     #[case] failure: PlatformReply,
-    #[case] most_requests: usize,
+    #[case] max_requests: usize,
 ) {
-    const OWED: u64 = 3_000;
-    const DOWN: usize = 5_000;
+    const REPORTS: u64 = 3_000;
+    const ROUNDS_DOWN: usize = 5_000;
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let silent = failure == PlatformReply::IsSilent;
+    let silent = failure == PlatformReply::NeverAnswers;
     let address = listener.local_addr().unwrap();
-    let (mut driver, clock, _events) = with_reports_owed(&format!("flood-{silent}"), OWED, address);
+    let (mut driver, clock, _events) =
+        with_unconfirmed_reports(&format!("flood-{silent}"), REPORTS, address);
     let mut platform = ScriptedPlatform::new(listener);
-    for _ in 0..DOWN {
+    for _ in 0..ROUNDS_DOWN {
         driver.round(vec![EventSource::StatusReports]);
         platform.serve(|_| failure);
         clock.set(clock.now() + 1.0);
     }
     let requests = platform.requests;
-    assert!(requests <= most_requests, "{requests} requests");
+    assert!(requests <= max_requests, "{requests} requests");
     for _ in 0..3_000 {
         driver.round(vec![EventSource::StatusReports]);
         platform.serve(|_| PlatformReply::Confirms);
@@ -373,16 +381,16 @@
     assert!(driver.status_reporter.is_done());
 }
 
-/// Guards against a backoff from before the deadline that outlasts the time in which the report is due.
+/// Guards against a backoff that begins before the deadline and ends only after the report must be confirmed.
 #[test]
-fn a_report_that_has_failed_for_long_is_tried_again_at_the_deadline() {
-    let confirmed = confirmed_at("failed-for-long", DEADLINE - 1_500.0, |_, now| {
+fn a_report_that_has_failed_for_long_is_sent_again_at_the_deadline() {
+    let confirmed = confirmation_time("failed-for-long", DEADLINE - 1_500.0, |_, now| {
         if now < DEADLINE {
-            PlatformReply::Ends
+            PlatformReply::ClosesConnection
         } else {
             PlatformReply::Confirms
         }
     });
     let late = confirmed - DEADLINE;
-    assert!(late <= REPORT_BOUND, "{late} ms");
+    assert!(late <= MAX_REPORT_DELAY, "{late} ms");
 }
--- a/crates/sender/src/pipeline/tests/unread_requests.rs
+++ b/crates/sender/src/pipeline/tests/unread_requests.rs
@@ -1,4 +1,5 @@
-//! Requests that lie unread while the process is held up: the platform counts their time from the hand-in.
+//! Requests that stay unread while the process is delayed. The platform counts the timeout of a message from when its
+//! client sends it.
 
 use super::ingress::{REQUEST, idle_client};
 use super::*;
@@ -6,19 +7,19 @@
 use std::io::Write;
 use std::net::TcpStream;
 
-/// What [`REQUEST`] grants.
+/// The timeout of the message in [`REQUEST`].
 const TIMEOUT: Millis = 9_000.0;
-/// A client waits so long for the answer to its request; what it hears later counts for nothing.
+/// How long a client waits for the answer to its request. It ignores a later answer.
 const CLIENT_PATIENCE: Millis = 400.0;
 
 fn driver(name: &str) -> (Driver, Clock, TestLoop) {
     let endpoint = TcpListener::bind("127.0.0.1:0").unwrap();
-    resumed_with(name, 60_000.0, endpoint.local_addr().unwrap())
+    resumed_driver_with_timeout(name, 60_000.0, endpoint.local_addr().unwrap())
 }
 
-/// The deadline of the message of [`REQUEST`], once it is read.
+/// Runs rounds until the message in [`REQUEST`] is read. Returns its deadline.
 fn deadline_once_read(driver: &mut Driver) -> Millis {
-    until(|| {
+    repeat_until(|| {
         driver.round(vec![EventSource::ClientListener, EventSource::Client(0)]);
         driver.store.numbers_by_id.contains_key("q")
     });
@@ -34,9 +35,9 @@
     }
 }
 
-/// A client that is connected, on a connection that the sender has used or on one that it has not accepted yet.
-fn connected_client(driver: &mut Driver, clock: &Clock, in_use: bool) -> TcpStream {
-    let client = if in_use {
+/// Connects a client: one that the sender has served before, or one that it has not accepted yet.
+fn connected_client(driver: &mut Driver, clock: &Clock, served_before: bool) -> TcpStream {
+    let client = if served_before {
         idle_client(driver)
     } else {
         driver.round(Vec::new());
@@ -46,73 +47,84 @@
     client
 }
 
-/// Guards against a deadline that counts from the read: the report of the end would come after the client's time.
+/// Guards against a timeout that counts from the read: after a delay of the process, the status report would come too
+/// late.
 #[test]
-fn the_time_of_a_request_that_lay_unread_counts_from_its_arrival() {
-    for in_use in [true, false] {
-        let (mut driver, clock, _events) = driver(&format!("unread-{in_use}"));
-        let mut client = connected_client(&mut driver, &clock, in_use);
-        let handed_in = clock.now();
+fn the_timeout_of_a_request_that_stayed_unread_counts_from_its_arrival() {
+    for served_before in [true, false] {
+        let (mut driver, clock, _events) = driver(&format!("unread-{served_before}"));
+        let mut client = connected_client(&mut driver, &clock, served_before);
+        let sent_at = clock.now();
         client.write_all(REQUEST).unwrap();
-        clock.set(handed_in + 380.0);
-        let excess = deadline_once_read(&mut driver) - (handed_in + TIMEOUT);
-        assert!(excess <= 0.0, "in use {in_use}: {excess} ms too late");
+        clock.set(sent_at + 380.0);
+        let excess = deadline_once_read(&mut driver) - (sent_at + TIMEOUT);
+        assert!(
+            excess <= 0.0,
+            "served before: {served_before}, {excess} ms too late"
+        );
     }
 }
 
-/// Guards against a request that counts as younger because others were accepted before it, in several rounds.
+/// Guards against a request that counts as younger than it is, because accepting the earlier connections in the accept
+/// queue takes several rounds.
 #[test]
-fn the_time_of_a_request_behind_a_crowd_in_the_accept_queue_counts_from_its_arrival() {
-    const CROWD: usize = 250;
-    let (mut driver, clock, _events) = driver("crowd-in-queue");
+fn the_timeout_of_a_request_that_waited_in_the_accept_queue_counts_from_its_arrival() {
+    const EARLIER_CLIENTS: usize = 250;
+    let (mut driver, clock, _events) = driver("accept-queue");
     driver.round(Vec::new());
     run_idle(&mut driver, &clock);
     let address = driver.listen_address();
     let connect = || TcpStream::connect(address).unwrap();
-    let _crowd: Vec<TcpStream> = (0..CROWD).map(|_| connect()).collect();
+    let _earlier_clients: Vec<TcpStream> = (0..EARLIER_CLIENTS).map(|_| connect()).collect();
     let mut client = connect();
-    let handed_in = clock.now();
+    let sent_at = clock.now();
     client.write_all(REQUEST).unwrap();
-    until(|| {
+    repeat_until(|| {
         clock.set(clock.now() + 10.0);
         driver.round(vec![EventSource::ClientListener]);
         driver.store.numbers_by_id.contains_key("q")
     });
-    assert!(clock.now() > handed_in + 10.0, "one round takes them all");
+    assert!(
+        clock.now() > sent_at + 10.0,
+        "the accept queue is emptied in several rounds"
+    );
     let number = driver.store.numbers_by_id["q"];
-    assert!(driver.store.record(number).unwrap().deadline <= handed_in + TIMEOUT);
+    assert!(driver.store.record(number).unwrap().deadline <= sent_at + TIMEOUT);
 }
 
-/// Guards against an unknown age that passes for none: before the first poll, nothing is known of when bytes came.
+/// Guards against an unknown age that is treated as zero: before the first poll, it is unknown when bytes arrived.
 #[test]
-fn the_age_of_a_request_that_the_first_round_finds_is_unknown() {
+fn the_first_round_assumes_the_maximum_age_of_a_request() {
     let (mut driver, clock, _events) = driver("unread-at-start");
     let mut client = TcpStream::connect(driver.listen_address()).unwrap();
     client.write_all(REQUEST).unwrap();
-    let handed_in = clock.now() - CLIENT_PATIENCE;
-    assert!(deadline_once_read(&mut driver) <= handed_in + TIMEOUT);
+    let earliest_arrival = clock.now() - CLIENT_PATIENCE;
+    assert!(deadline_once_read(&mut driver) <= earliest_arrival + TIMEOUT);
 }
 
-/// Guards against an age that takes from the time of requests that are read at once.
+/// Guards against a timeout that is shortened although the request is read at once.
 #[test]
-fn a_request_that_is_read_at_once_keeps_its_time() {
-    for in_use in [true, false] {
-        let (mut driver, clock, _events) = driver(&format!("read-{in_use}"));
-        let mut client = connected_client(&mut driver, &clock, in_use);
+fn a_request_that_is_read_at_once_keeps_its_full_timeout() {
+    for served_before in [true, false] {
+        let (mut driver, clock, _events) = driver(&format!("read-{served_before}"));
+        let mut client = connected_client(&mut driver, &clock, served_before);
         client.write_all(REQUEST).unwrap();
         clock.set(clock.now() + 4.0);
-        let least = clock.now() + TIMEOUT - 10.0;
-        assert!(deadline_once_read(&mut driver) >= least, "in use {in_use}");
+        let earliest_deadline = clock.now() + TIMEOUT - 10.0;
+        assert!(
+            deadline_once_read(&mut driver) >= earliest_deadline,
+            "served before: {served_before}"
+        );
     }
 }
 
-/// Guards against an idle connection whose next request counts as old as the connection.
+/// Guards against a request that counts as old as its connection, although the connection was silent before.
 #[test]
-fn a_request_on_a_connection_that_was_silent_keeps_its_time() {
+fn a_request_on_a_connection_that_was_silent_keeps_its_full_timeout() {
     let (mut driver, clock, _events) = driver("silent-first");
     driver.round(Vec::new());
     let mut client = TcpStream::connect(driver.listen_address()).unwrap();
-    until(|| {
+    repeat_until(|| {
         driver.round(vec![EventSource::ClientListener]);
         !driver.ingress.clients.is_empty()
     });
@@ -120,6 +132,6 @@
     driver.round(Vec::new());
     run_idle(&mut driver, &clock);
     client.write_all(REQUEST).unwrap();
-    let least = clock.now() + TIMEOUT - 10.0;
-    assert!(deadline_once_read(&mut driver) >= least);
+    let earliest_deadline = clock.now() + TIMEOUT - 10.0;
+    assert!(deadline_once_read(&mut driver) >= earliest_deadline);
 }
