--- a/crates/sender/src/pipeline/tests/shutdown.rs
+++ b/crates/sender/src/pipeline/tests/shutdown.rs
@@ -30,9 +30,10 @@
     assert!(driver.unfinished_sources.is_empty() && driver.poll_timeout() > 0.0);
 }
 
+/// Guards against an event loop that sleeps past the exit deadline: it must wake at least every 20 ms, even if nothing
+/// is due.
 #[test]
 fn a_shutdown_ends_before_the_process_can_be_killed() {
-    // The event loop must not sleep past the exit deadline: it wakes at least every 20 ms, even if nothing is due.
     let silent_endpoint = TcpListener::bind("127.0.0.1:0").unwrap();
     let (mut driver, clock, _events) = resumed_driver("end", silent_endpoint.local_addr().unwrap());
     driver.begin_shutdown();
--- a/crates/sender/src/pipeline/tests/status_reports.rs
+++ b/crates/sender/src/pipeline/tests/status_reports.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 
-/// Guards against reports that wait for buffers: answers that never end can hold the buffers of attempts indefinitely.
+/// Guards against reports or a watch that wait for a buffer: answers that never end can hold the buffers of attempts
+/// indefinitely.
 #[test]
 fn status_reports_and_the_watch_are_sent_while_attempts_hold_every_buffer() {
     use std::io::Read;
