--- a/crates/martenlatch/src/cli.rs
+++ b/crates/martenlatch/src/cli.rs
@@ -4,38 +4,40 @@
 
 use clap::{Args, Parser, Subcommand};
 
-/// Exit code of `wal verify` if the file is damaged.
+/// Exit code of `wal verify` if the write-ahead log is damaged.
 pub const EXIT_DAMAGED: u8 = 3;
 
 const AFTER_HELP: &str = "Exit codes:
-  0  done
-  1  the configuration or the settings cannot be used, or serving failed
-  2  the command line cannot be read
+  0  success
+  1  the configuration or the settings are invalid, or the command failed
+  2  the command line is invalid
   3  `wal verify` found damage
 
 Environment of `serve` and `check`:
   PROXY_CONFIG     the platform's configuration, a JSON file
-  PROXY_STATE      the state directory, which outlasts the process
-  PROXY_LISTEN, PROXY_DISCOVERY, PROXY_OPERATOR, PROXY_NAME
-                   outrank the configuration's `listen`, `discovery` and `operator`; name the sender in its log
+  PROXY_STATE      the state directory, which is kept between runs
+  PROXY_LISTEN, PROXY_DISCOVERY, PROXY_OPERATOR
+                   override `listen`, `discovery` and `operator` of the configuration
+  PROXY_NAME       the sender's name in its log and among its peers
 
-Where `operator` names an address, it answers a line a connection: health, counters, cordon ID, uncordon ID.";
+If `operator` is configured, the sender answers one line per connection to that address:
+health, counters, cordon ID or uncordon ID.";
 
-/// Delivers messages to partners' endpoints, each to one final status.
+/// Delivers messages to partners' endpoints and brings each to one final status.
 #[derive(Parser)]
 #[command(name = "martenlatch", version, after_help = AFTER_HELP)]
 pub struct Cli {
-    /// What to do; `serve` if absent.
+    /// The command to run; `serve` if none is given.
     #[command(subcommand)]
     pub command: Option<Command>,
     #[command(flatten)]
     pub options: GlobalOptions,
 }
 
-// Options of all commands. Not a doc comment: clap would take it for the program's description.
+// The options that all commands accept. Not a doc comment, which clap would use as the program's description.
 #[derive(Args)]
 pub struct GlobalOptions {
-    /// The program's own settings, a protobuf text file; absent: the defaults
+    /// The program's own settings, a protobuf text file; without it, the defaults apply
     #[arg(long, value_name = "FILE", env = "MARTENLATCH_SETTINGS", global = true)]
     pub settings: Option<PathBuf>,
 }
@@ -43,20 +45,20 @@
 /// The commands.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Serve until told to end; what the program does without a command
+    /// Run the sender until it is told to shut down; this is the default command
     Serve,
-    /// Read the configuration and the settings, say what is wrong with them, and serve nothing
+    /// Validate the configuration and the settings without serving
     Check,
-    /// List the members of the group that the running sender knows; the settings name its address
+    /// List the group members known to a running sender, whose address is in the settings
     Members {
-        /// One JSON object a line
+        /// Print one JSON object per line
         #[arg(long)]
         json: bool,
     },
-    /// Look into a write-ahead log without changing it
+    /// Inspect a write-ahead log without changing it
     #[command(alias = "ledger")]
     Wal {
-        /// What to look for.
+        /// The command on the write-ahead log.
         #[command(subcommand)]
         command: WalCommand,
     },
@@ -64,19 +66,19 @@
     Version,
 }
 
-/// The commands on a write-ahead log.
+/// The commands that inspect a write-ahead log.
 #[derive(Subcommand)]
 pub enum WalCommand {
-    /// List the messages that are not complete: number, class, destination, time left, attempts, status report owed
+    /// List incomplete messages: number, id, class, destination, time left, attempts, pending status report, size
     Show {
         /// The state directory
         #[arg(env = "PROXY_STATE")]
         folder: PathBuf,
-        /// One JSON object a line
+        /// Print one JSON object per line
         #[arg(long)]
         json: bool,
     },
-    /// Read every record; exit code 3 if the file is damaged
+    /// Read every record; exit with code 3 if the file is damaged
     Verify {
         /// The state directory
         #[arg(env = "PROXY_STATE")]
--- a/crates/martenlatch/src/commands.rs
+++ b/crates/martenlatch/src/commands.rs
@@ -1,5 +1,5 @@
-//! Runs the commands. Only `serve` writes to the state directory, and it serves only with a configuration and settings
-//! that could be read completely.
+//! Runs the commands. Only `serve` writes to the state directory, and it starts only if the configuration and the
+//! settings are valid as a whole.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -11,7 +11,7 @@
 use crate::error::CommandError;
 use crate::{inspect, logging, members};
 
-/// Runs the command that was given, or `serve`.
+/// Runs the given command, or `serve` if none is given.
 pub fn run(cli: Cli) -> Result<ExitCode, CommandError> {
     let settings_file = cli.options.settings.as_deref();
     match cli.command.unwrap_or(Command::Serve) {
@@ -76,7 +76,7 @@
     members::show(&peers, json)
 }
 
-/// The program's own settings; the defaults if no file is given.
+/// Reads the program's own settings; returns the defaults if no file is given.
 fn read_settings(file: Option<&Path>) -> Result<Program, CommandError> {
     let Some(file) = file else {
         return Ok(Program::default());
@@ -88,7 +88,7 @@
     program::read(&file.display().to_string(), &text).map_err(CommandError::InvalidSettings)
 }
 
-/// The platform's configuration, with what the settings add to it.
+/// Reads the platform's configuration and adds the timeouts for clients and the peers from the settings.
 fn read_config(settings: Program) -> Result<Config, CommandError> {
     let config = Config::read()?;
     Ok(Config {
--- a/crates/martenlatch/src/error.rs
+++ b/crates/martenlatch/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed. Every message is one line, printed behind the program's name.
+//! The errors of the commands. Every message is one line, printed after the program's name.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,14 +12,14 @@
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
     /// The settings file cannot be read.
-    #[error("settings: {}: {source}", file.display())]
+    #[error("settings: {} cannot be read: {source}", file.display())]
     ReadSettings {
-        /// The file.
+        /// The path of the file.
         file: PathBuf,
         /// The system's error.
         source: io::Error,
     },
-    /// The settings file has a fault of form or bounds.
+    /// The settings file has a syntax error or a value out of bounds.
     #[error(transparent)]
     InvalidSettings(#[from] text::Fault),
     /// The platform's configuration cannot be used.
@@ -28,46 +28,46 @@
     /// The file with the group's shared secret cannot be used.
     #[error(transparent)]
     InvalidSecret(#[from] PeerServiceError),
-    /// The sender could not start, or stopped serving.
+    /// The sender could not start, or failed while it served.
     #[error(transparent)]
     Serve(#[from] SenderError),
-    /// The settings do not say where a running sender listens for peers.
-    #[error("peers: the settings name none; give a file with --settings")]
+    /// The settings have no `peers`, which contain the address of the running sender.
+    #[error("peers: not set in the settings; use --settings with a file that sets it")]
     NoPeers,
-    /// A running sender cannot be queried for its members.
+    /// A running sender cannot be queried for the members of its group.
     #[error("{address}: {source}")]
     QueryMembers {
         /// The sender's address for peers.
         address: SocketAddr,
-        /// What went wrong.
+        /// The cause.
         source: QueryError,
     },
     /// A write-ahead log cannot be read.
-    #[error("ledger: {}: {source}", folder.display())]
+    #[error("write-ahead log: {}: {source}", folder.display())]
     OpenWriteAheadLog {
         /// The state directory.
         folder: PathBuf,
-        /// The system's error.
+        /// The cause.
         source: martenlatch_wal::LogError,
     },
 }
 
-/// Why a running sender cannot be queried for its members.
+/// Why a running sender cannot be queried for the members of its group.
 #[derive(Debug, thiserror::Error)]
 pub enum QueryError {
-    /// The connection cannot be established, written or read in time.
-    #[error("nobody answers: {0}")]
+    /// The connection cannot be established, or a read or a write fails or times out.
+    #[error("the sender does not respond: {0}")]
     Io(#[from] io::Error),
-    /// The sender closed the connection, which it does if it cannot authenticate the query.
-    #[error("closed; is its secret another one?")]
+    /// The sender closed the connection, as it does if it cannot authenticate the query.
+    #[error("the sender closed the connection; its secret may be a different one")]
     Closed,
-    /// The pages of the response are not those that were to come next.
-    #[error("the answer is out of order")]
+    /// The response contains a page other than the expected next one.
+    #[error("the pages of the response are out of order")]
     OutOfOrder,
     /// The response cannot be authenticated or decoded.
-    #[error("the answer is {0}")]
+    #[error("the response is invalid: {0}")]
     Malformed(#[source] wire::Fault),
     /// The response was not complete in time.
-    #[error("no whole answer in time")]
+    #[error("the response was not complete in time")]
     TimedOut,
 }
--- a/crates/martenlatch/src/inspect.rs
+++ b/crates/martenlatch/src/inspect.rs
@@ -1,4 +1,4 @@
-//! The commands that look into a write-ahead log. They change nothing, and print no message bodies or idempotency keys.
+//! The commands that inspect a write-ahead log. They do not change it, and print no message bodies or idempotency keys.
 
 use std::path::Path;
 
@@ -7,7 +7,7 @@
 
 use crate::error::CommandError;
 
-/// Prints the messages that are not complete, one a line.
+/// Prints the messages that are not complete, one per line.
 pub fn show(folder: &Path, json: bool) -> Result<(), CommandError> {
     let log = open(folder)?;
     let now = Clock::after(&log.recovered.clock).now();
@@ -22,7 +22,7 @@
     Ok(())
 }
 
-/// Prints what the file holds. Returns whether all of it are complete records.
+/// Prints a summary of the log. Returns whether all of its bytes belong to complete records.
 pub fn verify(folder: &Path) -> Result<bool, CommandError> {
     let log = open(folder)?;
     let damaged_bytes = log.size - log.valid_bytes();
--- a/crates/martenlatch/src/logging.rs
+++ b/crates/martenlatch/src/logging.rs
@@ -1,7 +1,7 @@
-//! The log: its format, its level, and a limit on the lines a second.
+//! The log: its format, its level, and a limit on the lines per second.
 //!
-//! The limit keeps a fault that repeats from stalling the sender on a full pipe. A line that cannot be written is
-//! dropped: nobody reading the log must not bring the sender down.
+//! The limit keeps a repeated fault from filling the pipe and stalling the sender. A line that cannot be written is
+//! dropped, so that the sender keeps running if nobody reads the log.
 
 use std::io::Write;
 use std::sync::{Mutex, PoisonError};
@@ -14,33 +14,33 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// What the names of our crates begin with.
-const OWN_CRATES: &str = "martenlatch";
+/// Prefix of the names of this workspace's crates.
+const OWN_CRATE_PREFIX: &str = "martenlatch";
 
-/// Limits the lines that are written in a second.
+/// Limits the lines that are written per second.
 struct RateLimit {
     lines_per_second: u32,
     start: Instant,
     window: Mutex<Window>,
 }
 
-/// The present second.
+/// The counts of the current second.
 #[derive(Default)]
 struct Window {
     /// Seconds since the start.
     second: u64,
     /// Lines that were written in this second.
     written: u32,
-    /// Lines that were held back and not yet reported.
+    /// Lines that were held back in this second.
     held_back: u32,
 }
 
-/// What is to be done with a line.
+/// Whether a line is written, and what has to be written before it.
 #[derive(Debug, PartialEq)]
 struct Admission {
-    /// Whether it is written.
+    /// Whether the line is written.
     admitted: bool,
-    /// Lines of earlier seconds that were held back, to be reported before it.
+    /// Lines that were held back in an earlier second, to be reported before this line.
     held_back_before: u32,
 }
 
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Decides on a line in a second since the start.
+    /// Decides about a line that is logged in the given second since the start.
     fn admit(&self, second: u64) -> Admission {
         let mut window = self.window.lock().unwrap_or_else(PoisonError::into_inner);
         let mut held_back_before = 0;
@@ -92,7 +92,7 @@
     }
 }
 
-/// Writes one line to the standard output, or drops it.
+/// Writes one line to the standard output, or drops it if it is over the limit.
 struct LineWriter {
     admitted: bool,
 }
@@ -100,7 +100,7 @@
 impl Write for LineWriter {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         if self.admitted {
-            // One write a line, so that the lines of two threads do not mix.
+            // One write per line, so that the lines of two threads are not interleaved.
             let _ = std::io::stdout().write_all(bytes);
         }
         Ok(bytes.len())
@@ -119,7 +119,7 @@
         .with_ansi(false)
         .with_writer(RateLimit::new(log.lines_per_second));
     let targets = targets(log.level);
-    // The only error is that there already is a log.
+    // The only possible error is that the log has already been started.
     let _ = if log.json {
         builder
             .json()
@@ -133,12 +133,12 @@
     };
 }
 
-/// What is logged of whom. Libraries are left out at TRACE: the event loop alone would fill the log.
+/// The level for each crate. Libraries are not logged at TRACE, as the event loop alone would fill the log.
 fn targets(level: Level) -> Targets {
     let level = level_filter(level);
     Targets::new()
         .with_default(level.min(LevelFilter::DEBUG))
-        .with_target(OWN_CRATES, level)
+        .with_target(OWN_CRATE_PREFIX, level)
 }
 
 fn level_filter(level: Level) -> LevelFilter {
--- a/crates/martenlatch/src/logging/tests.rs
+++ b/crates/martenlatch/src/logging/tests.rs
@@ -1,4 +1,4 @@
-//! The limit on the lines a second.
+//! The limit on the lines per second, and the levels of libraries.
 
 use super::*;
 
@@ -20,13 +20,13 @@
     assert_eq!(limit.admit(8), second_of_next_second);
 }
 
-/// Guards against a trace that the event loop's own lines crowd out.
+/// Guards against a trace log that is filled by the lines of the event loop's library.
 #[test]
-fn at_trace_only_our_own_crates_are_traced() {
-    let traced = targets(Level::Trace);
-    assert!(traced.would_enable("martenlatch_http::socket_trace", &tracing::Level::TRACE));
-    assert!(!traced.would_enable("calloop::loop_logic", &tracing::Level::TRACE));
-    let usual = targets(Level::Info);
-    assert!(usual.would_enable("martenlatch_sender", &tracing::Level::INFO));
-    assert!(!usual.would_enable("martenlatch_sender", &tracing::Level::DEBUG));
+fn at_level_trace_only_the_crates_of_this_workspace_are_logged_at_trace() {
+    let trace_targets = targets(Level::Trace);
+    assert!(trace_targets.would_enable("martenlatch_http::socket_trace", &tracing::Level::TRACE));
+    assert!(!trace_targets.would_enable("calloop::loop_logic", &tracing::Level::TRACE));
+    let info_targets = targets(Level::Info);
+    assert!(info_targets.would_enable("martenlatch_sender", &tracing::Level::INFO));
+    assert!(!info_targets.would_enable("martenlatch_sender", &tracing::Level::DEBUG));
 }
--- a/crates/martenlatch/src/main.rs
+++ b/crates/martenlatch/src/main.rs
@@ -1,4 +1,4 @@
-//! The `martenlatch` program: runs the command that the command line names and ends with its exit code.
+//! The `martenlatch` program: runs the command given on the command line and exits with its exit code.
 
 mod cli;
 mod commands;
--- a/crates/martenlatch/src/members.rs
+++ b/crates/martenlatch/src/members.rs
@@ -1,7 +1,7 @@
 //! The `members` command: queries a running sender for the members of its group.
 //!
-//! The query and the response are authenticated with the group's shared secret, and the query is given up after a few
-//! seconds.
+//! The query and the response are authenticated with the group's shared secret. The query fails if the response is not
+//! complete after a few seconds.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -14,15 +14,15 @@
 
 use crate::error::{CommandError, QueryError};
 
-/// How long to wait for the connection, for each part of the response, and for all of it.
+/// Timeout for the connection, for each read, and for the whole response.
 const TIMEOUT: Duration = Duration::from_secs(3);
-/// Most bytes that are read at a time.
+/// Maximum bytes per read.
 const READ_SIZE: usize = 4096;
 
 /// Prints the members that the sender knows, itself first.
 ///
 /// # Errors
-/// If the secret cannot be read, or the sender does not give a response that can be authenticated.
+/// If the secret cannot be read, or the sender does not send a valid response in time.
 pub fn show(peers: &Peers, as_json: bool) -> Result<(), CommandError> {
     let secret = martenlatch_sender::secret(&peers.secret_file)?;
     let members = query(peers, &secret).map_err(|source| CommandError::QueryMembers {
@@ -43,7 +43,7 @@
 fn query(peers: &Peers, secret: &Secret) -> Result<Vec<MemberUpdate>, QueryError> {
     let mut stream = TcpStream::connect_timeout(&peers.listen, TIMEOUT)?;
     stream.set_read_timeout(Some(TIMEOUT))?;
-    // The response repeats this number, so that an earlier one is not taken for it.
+    // The response repeats this number, so that the response to an earlier query is not mistaken for it.
     let query_id = u64::from(std::process::id());
     stream.write_all(&secret.seal_page(&Page::Who { no: query_id }))?;
     let start = Instant::now();
@@ -71,20 +71,20 @@
 }
 
 fn read_more(stream: &mut TcpStream, received: &mut Vec<u8>) -> Result<(), QueryError> {
-    let mut part = [0; READ_SIZE];
-    let count = stream.read(&mut part)?;
+    let mut buffer = [0; READ_SIZE];
+    let count = stream.read(&mut buffer)?;
     if count == 0 {
         return Err(QueryError::Closed);
     }
-    received.extend(&part[..count]);
+    received.extend(&buffer[..count]);
     Ok(())
 }
 
 fn text_line(member: &MemberUpdate, is_itself: bool) -> String {
     let state = state_name(member);
-    let own = if is_itself { " (itself)" } else { "" };
+    let itself_mark = if is_itself { " (itself)" } else { "" };
     format!(
-        "{:<32} {state:<8} {:<24} {}{own}",
+        "{:<32} {state:<8} {:<24} {}{itself_mark}",
         member.name, member.address, member.incarnation
     )
 }
--- a/crates/martenlatch/tests/members.rs
+++ b/crates/martenlatch/tests/members.rs
@@ -37,7 +37,7 @@
     drop((first, again));
     let list = group.members(0);
     assert!(
-        !list.succeeded && list.output.contains("nobody answers"),
+        !list.succeeded && list.output.contains("the sender does not respond"),
         "{}",
         list.output
     );
