--- a/crates/martenlatch/tests/cli.rs
+++ b/crates/martenlatch/tests/cli.rs
@@ -1,12 +1,12 @@
-//! The command line without a network: what each command prints about valid, invalid and damaged files, and its exit
-//! code.
+//! The commands that need no network: their output and exit codes for valid, invalid and damaged files.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
 use rstest::rstest;
 
-fn folder(name: &str) -> PathBuf {
+/// Creates an empty folder for a test.
+fn create_folder(name: &str) -> PathBuf {
     let folder =
         std::env::temp_dir().join(format!("martenlatch-cli-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
@@ -14,6 +14,7 @@
     folder
 }
 
+/// Runs the program and returns its exit code, its output and its errors.
 fn run(args: &[&str]) -> (Option<i32>, String, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_martenlatch"));
     for variable in ["PROXY_CONFIG", "PROXY_STATE", "MARTENLATCH_SETTINGS"] {
@@ -32,22 +33,25 @@
 }
 
 #[rstest]
-#[case::unknown(
+#[case::unknown_field(
     "log {\n  levle: INFO\n}",
     ":2: log.levle: no such field; the nearest is \"level\""
 )]
-#[case::bounds(
+#[case::out_of_bounds(
     "clients {\n  request_ms: 9000\n}",
     ":2: clients.request_ms: 9000 is not within 100 and 2900"
 )]
-#[case::half("clients {\n  idle_ms: 600", ":2: clients.idle_ms: expected")]
-fn settings_are_read_completely_or_rejected(#[case] text: &str, #[case] want: &str) {
-    let file = folder(&format!("settings-{}", text.len())).join("own.textproto");
+#[case::incomplete("clients {\n  idle_ms: 600", ":2: clients.idle_ms: expected")]
+fn invalid_settings_are_rejected_with_one_line_that_names_file_line_and_field(
+    #[case] text: &str,
+    #[case] expected: &str,
+) {
+    let file = create_folder(&format!("settings-{}", text.len())).join("own.textproto");
     std::fs::write(&file, text).unwrap();
     let (code, out, err) = run(&["check", "--settings", file.to_str().unwrap()]);
     assert_eq!((code, out.as_str()), (Some(1), ""));
     assert!(
-        err.contains(&format!("{}{want}", file.display())) && err.lines().count() == 1,
+        err.contains(&format!("{}{expected}", file.display())) && err.lines().count() == 1,
         "{err}"
     );
 }
@@ -55,15 +59,15 @@
 #[rstest]
 #[case::name("wal")]
 #[case::alias("ledger")]
-fn a_write_ahead_log_is_shown_and_verified_without_being_changed_and_damage_has_its_own_exit_code(
+fn inspecting_a_damaged_write_ahead_log_does_not_change_it_and_verify_exits_with_code_3(
     #[case] command: &str,
 ) {
-    let state = folder(command);
+    let state = create_folder(command);
     let (code, out, _) = run(&[command, "verify", state.to_str().unwrap()]);
     assert_eq!(
         (code, out.starts_with("whole bytes=0")),
         (Some(0), true),
-        "never written to"
+        "a folder without a log file is valid"
     );
     let file = state.join("ledger");
     std::fs::write(&file, b"mlatch1\n\x05\x00\x00\x00torn").unwrap();
@@ -82,7 +86,7 @@
 }
 
 #[test]
-fn an_invalid_command_line_does_not_start_the_sender() {
+fn an_unknown_command_exits_with_code_2_and_the_help_lists_exit_codes_and_variables() {
     assert_eq!(run(&["srve"]).0, Some(2));
     let (code, out, _) = run(&["--help"]);
     assert!(
--- a/crates/martenlatch/tests/clients.rs
+++ b/crates/martenlatch/tests/clients.rs
@@ -1,4 +1,4 @@
-//! Requests of clients: valid and invalid ones, and clients that are silent, slow or gone.
+//! Clients' requests, valid and invalid, and clients that are idle, slow or disconnected.
 
 mod support;
 use support::*;
@@ -12,15 +12,15 @@
     "POST /debit HTTP/1.1\r\nX-Timeout: 1\r\nX-Route-To: dest=7\r\nContent-Length: 0\r\n\r\n",
     400
 )]
-#[case::no_dest(
+#[case::no_destination(
     "POST /debit HTTP/1.1\r\nX-Request-ID: a\r\nX-Timeout: 1\r\nContent-Length: 0\r\n\r\n",
     400
 )]
-#[case::odd_dest(
+#[case::invalid_destination(
     "POST /debit HTTP/1.1\r\nX-Request-ID: a\r\nX-Timeout: 1\r\nX-Route-To: dest=x\r\nContent-Length: 0\r\n\r\n",
     400
 )]
-#[case::odd_timeout(
+#[case::invalid_timeout(
     "POST /debit HTTP/1.1\r\nX-Request-ID: a\r\nX-Timeout: NaN\r\nX-Route-To: dest=7\r\nContent-Length: 0\r\n\r\n",
     400
 )]
@@ -36,8 +36,8 @@
     "POST /debit HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab",
     400
 )]
-#[case::odd_length("POST /debit HTTP/1.1\r\nContent-Length: +1\r\n\r\na", 400)]
-#[case::endless_length(
+#[case::invalid_length("POST /debit HTTP/1.1\r\nContent-Length: +1\r\n\r\na", 400)]
+#[case::length_beyond_64_bits(
     "POST /debit HTTP/1.1\r\nContent-Length: 99999999999999999999999\r\n\r\n",
     413
 )]
@@ -46,7 +46,7 @@
     "POST /debit HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
     411
 )]
-#[case::no_such_dest(
+#[case::unknown_destination(
     "POST /debit HTTP/1.1\r\nX-Request-ID: a\r\nX-Timeout: 1\r\nX-Route-To: dest=8\r\nContent-Length: 0\r\n\r\n",
     404
 )]
@@ -55,27 +55,30 @@
      Content-Length: 0\r\n\r\n",
     400
 )]
-#[case::more_than_its_length(
+#[case::bytes_after_the_body(
     "POST /debit HTTP/1.1\r\nX-Request-ID: a\r\nX-Timeout: 1\r\nX-Route-To: dest=7\r\nContent-Length: 2\r\n\r\nhello",
     400
 )]
-#[case::no_http("\x00\x01\x02nonsense\r\n\r\n", 400)]
-#[case::no_class("POST /nothing HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 404)]
-#[case::no_path("GET / HTTP/1.1\r\n\r\n", 404)]
+#[case::not_http("\x00\x01\x02nonsense\r\n\r\n", 400)]
+#[case::unknown_class("POST /nothing HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 404)]
+#[case::unknown_path("GET / HTTP/1.1\r\n\r\n", 404)]
 #[case::wrong_method("GET /debit HTTP/1.1\r\n\r\n", 405)]
-#[case::wrong_method_health("POST /healthz HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 405)]
-fn an_invalid_request_is_rejected_and_harms_nothing(#[case] text: &str, #[case] want: u16) {
-    let (_endpoint, known) = one_endpoint(|_, _| reply(200, ""));
+#[case::wrong_method_for_health_checks("POST /healthz HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 405)]
+fn an_invalid_request_is_rejected_and_the_sender_continues_to_serve(
+    #[case] text: &str,
+    #[case] expected: u16,
+) {
+    let (_endpoint, known_endpoints) = endpoint_and_list(|_, _| reply(200, ""));
     let platform = Platform::new(&[]);
     let case = case_name(text);
-    let sender = Sender::start(&format!("bad-{case}"), &platform, &known);
-    platform.push(&known);
-    assert_eq!(sender.exchange(text), want);
-    let long = format!(
+    let sender = Sender::start(&format!("invalid-{case}"), &platform, &known_endpoints);
+    platform.push_line(&known_endpoints);
+    assert_eq!(sender.exchange(text), expected);
+    let oversized_head = format!(
         "GET /healthz HTTP/1.1\r\nX-Long: {}\r\n\r\n",
         "x".repeat(9_000)
     );
-    assert_eq!(sender.exchange(&long), 431);
+    assert_eq!(sender.exchange(&oversized_head), 431);
     assert_eq!(
         sender.submit("debit", "after", "16.0"),
         202,
@@ -84,31 +87,37 @@
 }
 
 #[test]
-fn a_client_that_disconnected_is_not_served_and_a_half_closed_one_is() {
-    let (endpoint, known) = one_endpoint(|_, _| reply(200, ""));
+fn a_request_of_a_disconnected_client_is_dropped_and_one_of_a_half_closed_client_is_served() {
+    let (endpoint, known_endpoints) = endpoint_and_list(|_, _| reply(200, ""));
     let platform = Platform::new(&[]);
-    let sender = Sender::start("left", &platform, &known);
+    let sender = Sender::start("disconnected", &platform, &known_endpoints);
     sender.signal("STOP");
-    let mut gone = sender.connect();
-    send(&mut gone, &request("debit", "gone", "16.0", "x"));
-    drop(gone);
+    let mut disconnected = sender.connect();
+    send(
+        &mut disconnected,
+        &request("debit", "disconnected", "16.0", "x"),
+    );
+    drop(disconnected);
     sender.signal("CONT");
-    let mut half = sender.connect();
-    send(&mut half, &request("debit", "half", "16.0", "x"));
-    half.get_mut().shutdown(Shutdown::Write).unwrap();
-    assert_eq!(read_status(&mut half), 202);
+    let mut half_closed = sender.connect();
+    send(
+        &mut half_closed,
+        &request("debit", "half-closed", "16.0", "x"),
+    );
+    half_closed.get_mut().shutdown(Shutdown::Write).unwrap();
+    assert_eq!(read_status(&mut half_closed), 202);
     assert_eq!(
         endpoint.next_request().id(),
-        "half",
-        "nothing is sent for the one that disconnected"
+        "half-closed",
+        "nothing is sent for the disconnected client"
     );
 }
 
 #[test]
-fn idle_clients_make_room_for_one_with_a_request() {
-    let (endpoint, known) = one_endpoint(|_, _| reply(200, ""));
+fn the_oldest_idle_client_is_disconnected_to_serve_one_with_a_request() {
+    let (endpoint, known_endpoints) = endpoint_and_list(|_, _| reply(200, ""));
     let platform = Platform::new(&[]);
-    let sender = Sender::start("crowd", &platform, &known);
+    let sender = Sender::start("many-idle", &platform, &known_endpoints);
     let clients: Vec<_> = (0..450).map(|_| sender.connect()).collect();
     assert_eq!(sender.submit("debit", "k1", "16.0"), 202);
     assert_eq!(endpoint.next_request().id(), "k1");
@@ -116,20 +125,20 @@
     assert_eq!(
         oldest.read_line(&mut String::new()).unwrap(),
         0,
-        "the oldest idle client was disconnected"
+        "the connection of the oldest idle client is closed"
     );
 }
 
 #[test]
-fn clients_that_send_nothing_or_half_a_request_are_disconnected() {
-    let (_endpoint, known) = one_endpoint(|_, _| reply(200, ""));
+fn clients_that_send_no_complete_request_are_disconnected_with_408_or_503_or_no_response() {
+    let (_endpoint, known_endpoints) = endpoint_and_list(|_, _| reply(200, ""));
     let platform = Platform::new(&[]);
-    let sender = Sender::start("silent", &platform, &known);
+    let sender = Sender::start("no-request", &platform, &known_endpoints);
     let mut clients: Vec<_> = (0..550).map(|_| sender.connect()).collect();
-    for half in clients.iter_mut().skip(500) {
-        let _ = half.get_mut().write_all(b"POST /debit HTTP/1.1\r\nX-Re");
+    for client in clients.iter_mut().skip(500) {
+        let _ = client.get_mut().write_all(b"POST /debit HTTP/1.1\r\nX-Re");
     }
-    // All are disconnected, with a response or without, and none waits for the test's own timeout.
+    // All are disconnected, with or without a response, before the timeout of the test itself.
     for mut client in clients {
         let response = read_message(&mut client, 0);
         let status = response.map_or(408, |response| status_of(&response));
@@ -140,9 +149,9 @@
 
 #[test]
 fn on_a_full_disk_new_messages_are_rejected_and_accepted_ones_are_kept() {
-    let (endpoint, known) = one_endpoint(|_, _| no_reply());
+    let (endpoint, known_endpoints) = endpoint_and_list(|_, _| no_reply());
     let platform = Platform::new(&[]);
-    let sender = Sender::start_with_disk("full", &platform, &known, 0.5);
+    let sender = Sender::start_with_disk("full-disk", &platform, &known_endpoints, 0.5);
     let body = "b".repeat(65_536);
     let statuses: Vec<u16> = (0..8)
         .map(|number| sender.exchange(&request("meter", &format!("f{number}"), "16.0", &body)))
--- a/crates/martenlatch/tests/held_up.rs
+++ b/crates/martenlatch/tests/held_up.rs
@@ -1,4 +1,4 @@
-//! A process that is held up while a request arrives: the message's time counts from the hand-in.
+//! A process that is suspended while a request arrives: the deadline of the message counts from its submission.
 
 mod support;
 use support::*;
@@ -10,13 +10,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long the message may be delivered.
+/// The timeout of the message, which its client sends.
 const TIMEOUT: Duration = Duration::from_secs(9);
-/// How long the process is held up: a client waits 400 ms for its answer.
-const HELD_UP: Duration = Duration::from_millis(380);
+/// How long the process is suspended. A client waits 400 ms for its answer.
+const SUSPENSION: Duration = Duration::from_millis(380);
 
-/// What is left of the deadline of the one message in a log, in milliseconds.
-fn time_left(state: &Path) -> f64 {
+/// The time until the deadline of the only message in a write-ahead log, in milliseconds.
+fn remaining_ms(state: &Path) -> f64 {
     let output = Command::new(env!("CARGO_BIN_EXE_martenlatch"))
         .args(["wal", "show"])
         .arg(state)
@@ -28,14 +28,15 @@
     value.parse().unwrap()
 }
 
-/// Guards against a deadline that counts from the read: the message would end after the platform has given it up.
+/// Guards against a deadline that counts from when the sender reads the request: a message that was submitted while the
+/// process was suspended would then end after the platform has given it up.
 #[test]
-fn a_message_handed_in_while_the_process_is_held_up_ends_in_its_time() {
-    for accepted_before in [true, false] {
-        let name = format!("held-up-{accepted_before}");
+fn the_deadline_of_a_message_submitted_to_a_suspended_process_counts_from_its_submission() {
+    for is_connected_before in [true, false] {
+        let name = format!("suspended-{is_connected_before}");
         let (_endpoint, _platform, sender) = sender_with_endpoint(&name, |_, _| no_reply());
         let connect = || BufReader::new(TcpStream::connect(sender.address).unwrap());
-        let mut client = if accepted_before {
+        let mut client = if is_connected_before {
             let mut client = connect();
             send(&mut client, "GET /healthz HTTP/1.1\r\n\r\n");
             assert_eq!(read_status(&mut client), 200);
@@ -45,19 +46,19 @@
         };
         sender.signal("STOP");
         let client = client.get_or_insert_with(connect);
-        let handed_in = Instant::now();
+        let submitted_at = Instant::now();
         let timeout = format!("{:.3}", TIMEOUT.as_secs_f64());
-        send(client, &request("debit", "held-up", &timeout, "x"));
-        thread::sleep(HELD_UP);
+        send(client, &request("debit", "suspended", &timeout, "x"));
+        thread::sleep(SUSPENSION);
         sender.signal("CONT");
         assert_eq!(read_status(client), 202);
-        let most_left = TIMEOUT.saturating_sub(handed_in.elapsed());
-        let left = time_left(&sender.state_folder());
-        // What is left is rounded to milliseconds.
-        let most_left = most_left.as_secs_f64() * 1e3 + 1.0;
+        let time_to_deadline = TIMEOUT.saturating_sub(submitted_at.elapsed());
+        let remaining_ms = remaining_ms(&sender.state_folder());
+        // The printed time is rounded to milliseconds.
+        let max_remaining_ms = time_to_deadline.as_secs_f64() * 1e3 + 1.0;
         assert!(
-            left <= most_left,
-            "{name}: {left} of at most {most_left} ms"
+            remaining_ms <= max_remaining_ms,
+            "{name}: {remaining_ms} ms remain, expected at most {max_remaining_ms} ms"
         );
     }
 }
--- a/crates/martenlatch/tests/late_answers.rs
+++ b/crates/martenlatch/tests/late_answers.rs
@@ -1,4 +1,4 @@
-//! Answers of endpoints that come as the time of their message runs out.
+//! Answers of endpoints that arrive just after the deadline of their message.
 
 mod support;
 use support::*;
@@ -8,56 +8,56 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long each message may be delivered, as its client says.
+/// The timeout of each message, which its client sends.
 const TIMEOUT: Duration = Duration::from_millis(400);
 const TIMEOUT_HEADER: &str = "0.400";
-/// Messages whose answers come at the end of their time, each a little later than the one before.
+/// Messages whose answers are written at or after their deadline, each [`DELAY_STEP`] later than the one before.
 const MESSAGES: u32 = 10;
-const STEP: Duration = Duration::from_micros(100);
-/// A pause between two messages: their endpoint has seemed to hang.
+const DELAY_STEP: Duration = Duration::from_micros(100);
+/// Pause between two messages, because the endpoint has seemed to hang to the sender.
 const PAUSE: Duration = Duration::from_millis(300);
 
-/// No report comes any more after so long a silence.
-const LAST_REPORT: Duration = Duration::from_secs(3);
+/// No further report arrives after this time without one.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// When the present message was handed in.
-type HandedIn = Arc<Mutex<Option<Instant>>>;
+/// When the current message was submitted.
+type SubmissionTime = Arc<Mutex<Option<Instant>>>;
 
-/// An answer of 200 that is written once the time of its message is up by so much.
-fn answer_behind_the_deadline(handed_in: &HandedIn, behind: Duration) -> Reply {
-    let handed_in = handed_in.lock().unwrap().expect("a message is handed in");
-    let at = handed_in + TIMEOUT + behind;
-    thread::sleep(at.saturating_duration_since(Instant::now()));
+/// Waits until a given delay after the deadline of the current message, and answers 200.
+fn answer_after_the_deadline(submission: &SubmissionTime, delay: Duration) -> Reply {
+    let submitted_at = submission.lock().unwrap().expect("a message was submitted");
+    let answer_at = submitted_at + TIMEOUT + delay;
+    thread::sleep(answer_at.saturating_duration_since(Instant::now()));
     reply(200, "")
 }
 
-/// Guards against messages that end by an answer from behind their time: the platform counts such an answer for nothing,
-/// and has to be told of the end.
+/// Guards against a message that is completed by an answer from after its deadline without a status report: the platform
+/// does not count such an answer and needs the report to learn the final status.
 #[test]
-fn a_message_whose_answer_was_written_behind_its_time_is_reported() {
-    let handed_in = HandedIn::default();
-    let script_handed_in = handed_in.clone();
-    let (endpoint, known) = one_endpoint(move |number, _| {
-        answer_behind_the_deadline(&script_handed_in, STEP * number as u32)
+fn a_message_whose_answer_was_written_after_its_deadline_is_reported() {
+    let submission = SubmissionTime::default();
+    let script_submission = submission.clone();
+    let (endpoint, known_endpoints) = endpoint_and_list(move |number, _| {
+        answer_after_the_deadline(&script_submission, DELAY_STEP * number as u32)
     });
     let platform = Platform::new(&[]);
-    let sender = Sender::start("late-answers", &platform, &known);
+    let sender = Sender::start("late-answers", &platform, &known_endpoints);
     for number in 0..MESSAGES {
         let id = format!("late-{number}");
-        // Before its first byte is written: the platform may count from later on, and never from earlier.
-        *handed_in.lock().unwrap() = Some(Instant::now());
+        // Taken before the first byte is written: the platform may count from a later time, but not from an earlier one.
+        *submission.lock().unwrap() = Some(Instant::now());
         assert_eq!(sender.submit("debit", &id, TIMEOUT_HEADER), 202);
         thread::sleep(TIMEOUT + PAUSE);
     }
-    // An endpoint's request is seen once its answer is written.
-    let answered = endpoint.requests_so_far();
+    // An endpoint passes a request to the test after it has written the answer.
+    let answered = endpoint.take_new_requests();
     let mut unreported: BTreeSet<&str> = answered.iter().map(HttpMessage::id).collect();
     assert!(!unreported.is_empty(), "no message was attempted");
-    while let Ok(line) = platform.status_reports.recv_timeout(LAST_REPORT) {
+    while let Ok(line) = platform.status_reports.recv_timeout(REPORT_TIMEOUT) {
         unreported.retain(|id| !line.contains(&format!("\"{id}\"")));
     }
     assert!(
         unreported.is_empty(),
-        "ended without a report: {unreported:?}"
+        "messages without a status report: {unreported:?}"
     );
 }
--- a/crates/martenlatch/tests/lifecycle.rs
+++ b/crates/martenlatch/tests/lifecycle.rs
@@ -9,13 +9,17 @@
 use rstest::rstest;
 
 #[test]
-fn an_endpoint_that_moves_keeps_its_id_and_a_refused_connection_never_ran() {
-    // An address of its own: a port given back on a shared one may be another test's in a moment.
-    let dead = "127.77.0.1:9".parse().unwrap();
+fn a_message_refused_at_the_old_address_of_an_endpoint_is_sent_to_its_new_address() {
+    // An address that no other test uses: on a shared one, a free port may be given to another test at any time.
+    let refusing_address = "127.77.0.1:9".parse().unwrap();
     let endpoint = Endpoint::new(|_, _| reply(200, ""));
     let platform = Platform::new(&[]);
-    let known = endpoint_list(41, true, &[endpoint_entry("s-1", dead, "in_service")]);
-    let sender = Sender::start("move", &platform, &known);
+    let known_endpoints = endpoint_list(
+        41,
+        true,
+        &[endpoint_entry("s-1", refusing_address, "in_service")],
+    );
+    let sender = Sender::start("moved", &platform, &known_endpoints);
     assert_eq!(sender.submit("debit", "v1", "16.0"), 202);
     let moved = endpoint_list(
         42,
@@ -25,30 +29,30 @@
             endpoint_entry("s-1", endpoint.address, "in_service"),
         ],
     );
-    platform.push(&moved);
+    platform.push_line(&moved);
     assert_eq!(
         endpoint.next_request().id(),
         "v1",
-        "a bad entry beside it is skipped"
+        "the invalid entry of the same list is skipped"
     );
 }
 
 #[test]
 fn a_lost_watch_resumes_from_its_revision_and_draining_takes_effect_at_once() {
-    let (endpoint, known) = one_endpoint(|_, _| reply(200, ""));
+    let (endpoint, known_endpoints) = endpoint_and_list(|_, _| reply(200, ""));
     let platform = Platform::new(&[]);
-    let sender = Sender::start("drain", &platform, &known);
+    let sender = Sender::start("drain", &platform, &known_endpoints);
     assert_eq!(sender.submit("debit", "d1", "16.0"), 202);
     assert_eq!(endpoint.next_request().id(), "d1");
-    platform.push(&endpoint_list(
+    platform.push_line(&endpoint_list(
         9,
         false,
         &[endpoint_entry("s-1", endpoint.address, "terminating")],
     ));
-    // A malformed chunk ends the watch: that the next one resumes shows that the list was read.
-    platform.push_raw("zz\r\n");
+    // A malformed chunk ends the watch. The revision from which the next watch resumes shows that the list was read.
+    platform.push_bytes("zz\r\n");
     assert_eq!(
-        platform.next_watch(),
+        platform.next_watch_request(),
         "GET /v1/servers?watch=1&from=9 HTTP/1.1"
     );
     assert_eq!(sender.submit("debit", "d2", "0.4"), 202);
@@ -58,18 +62,18 @@
             .starts_with(r#"{"id":"d2","status":"deferred""#)
     );
     assert_eq!(
-        endpoint.request_count(),
+        endpoint.count_new_requests(),
         0,
-        "nothing new goes to a draining endpoint"
+        "no new request goes to a draining endpoint"
     );
 }
 
 #[test]
 fn an_attempt_that_hangs_at_sigterm_does_not_delay_the_shutdown_and_is_reported_after_the_restart()
 {
-    let (endpoint, known) = one_endpoint(|_, _| no_reply());
+    let (endpoint, known_endpoints) = endpoint_and_list(|_, _| no_reply());
     let platform = Platform::new(&[]);
-    let sender = Sender::start("term-hang", &platform, &known);
+    let sender = Sender::start("term-hang", &platform, &known_endpoints);
     assert_eq!(sender.submit("debit", "h1", "16.0"), 202);
     assert_eq!(endpoint.next_request().id(), "h1");
     let _sender = sender.terminate_and_restart();
@@ -77,19 +81,19 @@
         platform.next_status_report(),
         r#"{"id":"h1","status":"undeliverable"}"#
     );
-    assert_eq!(endpoint.request_count(), 0);
+    assert_eq!(endpoint.count_new_requests(), 0);
 }
 
 #[test]
 fn at_sigterm_received_requests_are_answered_and_the_sender_exits_with_its_counters() {
-    let (endpoint, known) = one_endpoint(|_, _| reply(200, ""));
+    let (endpoint, known_endpoints) = endpoint_and_list(|_, _| reply(200, ""));
     let platform = Platform::new(&[]);
-    let sender = Sender::start("term", &platform, &known);
-    let mut kept = sender.connect();
+    let sender = Sender::start("term", &platform, &known_endpoints);
+    let mut client = sender.connect();
     sender.signal("USR1");
     sender.signal("TERM");
-    send(&mut kept, &request("debit", "t1", "16.0", "x"));
-    assert_eq!(read_status(&mut kept), 202);
+    send(&mut client, &request("debit", "t1", "16.0", "x"));
+    assert_eq!(read_status(&mut client), 202);
     assert_eq!(endpoint.next_request().id(), "t1");
     let exit = sender.wait_for_exit();
     let log = exit.output;
@@ -103,19 +107,18 @@
         counters[1].contains(" accepted=1 ") && counters[1].contains(" success=1 "),
         "{log}"
     );
-    assert!(!log.contains("k-t1"), "no key in the log");
+    assert!(!log.contains("k-t1"), "no idempotency key in the log");
 }
 
 #[test]
-fn a_reloaded_configuration_moves_the_watch_and_status_reports_and_an_invalid_one_changes_nothing()
-{
+fn a_reload_moves_the_watch_and_status_reports_and_an_invalid_configuration_changes_nothing() {
     let old = Platform::new(&[0; 64]);
     let new = Platform::new(&[]);
     let endpoint = Endpoint::new(|_, _| reply(200, ""));
     let sender = Sender::start("reload", &old, &endpoint_list(41, true, &[]));
-    old.next_watch();
+    old.next_watch_request();
     assert_eq!(sender.submit("debit", "l1", "0.3"), 202);
-    // Its status report is never confirmed at the old address, which an invalid configuration does not change.
+    // The old platform does not confirm the status report. An invalid configuration does not change the address.
     sender.reload(r#""seed":"#, r#""seed":!"#);
     assert!(new.status_reports.try_recv().is_err());
     sender.reload(r#""seed":!"#, r#""seed":"#);
@@ -125,11 +128,11 @@
             .starts_with(r#"{"id":"l1","status":"deferred""#)
     );
     assert_eq!(
-        new.next_watch(),
+        new.next_watch_request(),
         "GET /v1/servers?watch=1&from=0 HTTP/1.1",
-        "its revisions are its own"
+        "revisions of the old platform do not apply to the new one"
     );
-    new.push_raw(&chunk(&endpoint_list(
+    new.push_bytes(&chunk(&endpoint_list(
         3,
         true,
         &[endpoint_entry("s-1", endpoint.address, "in_service")],
@@ -142,7 +145,7 @@
         .output
         .lines()
         .find(|line| line.contains(" configuration kept "))
-        .expect("the invalid one is logged");
+        .expect("the invalid configuration is logged");
     assert!(kept.contains("PROXY_CONFIG: not JSON"), "{kept}");
 }
 
@@ -151,12 +154,12 @@
 #[case::listen(r#""listen":"127"#, r#""listen":"nowhere"#, "listen")]
 #[case::seed(r#""seed":"8c1f30d27a5be964""#, r#""seed":5"#, "seed")]
 #[case::limits(r#""disk_mb":3"#, r#""disk_mb":"much""#, "disk_mb")]
-#[case::order(
+#[case::ordered_class(
     r#""Name":"debit","#,
     r#""Name":"debit","SerialByKey":true,"#,
     "SerialByKey"
 )]
-#[case::streams(r#""Name":"debit","#, r#""Name":"debit","Stream":true,"#, "Stream")]
+#[case::streaming_class(r#""Name":"debit","#, r#""Name":"debit","Stream":true,"#, "Stream")]
 fn an_invalid_configuration_is_reported_in_one_line_that_names_the_field(
     #[case] from: &str,
     #[case] to: &str,
@@ -177,35 +180,35 @@
     );
 }
 
-/// Guards against requests to endpoints that drained while a start waited: the list that a process is started with grows
-/// old.
+/// Guards against requests to endpoints that started to drain while the start of the sender was delayed: the endpoint list
+/// in its configuration is outdated by then.
 #[test]
-fn a_start_that_was_held_up_waits_for_discovery_before_it_sends() {
-    let (endpoint, platform, sender) = sender_with_endpoint("late-start", |_, _| no_reply());
+fn after_a_delayed_start_nothing_is_sent_before_discovery_pushes_an_endpoint_list() {
+    let (endpoint, platform, sender) = sender_with_endpoint("delayed-start", |_, _| no_reply());
     assert_eq!(sender.submit("meter", "before", "16.0"), 202);
     assert_eq!(endpoint.next_request().id(), "before");
-    let mut healing = None;
+    let mut repair = None;
     let sender = sender.restart_with_state(|state| {
-        // A log that cannot be read: a link to itself.
-        let (log, aside) = (state.join("ledger"), state.join("aside"));
-        std::fs::rename(&log, &aside).unwrap();
+        // The log cannot be read while its file is a link to itself.
+        let (log, saved) = (state.join("ledger"), state.join("saved"));
+        std::fs::rename(&log, &saved).unwrap();
         std::os::unix::fs::symlink("ledger", &log).unwrap();
-        healing = Some(thread::spawn(move || {
+        repair = Some(thread::spawn(move || {
             thread::sleep(Duration::from_millis(800));
-            std::fs::rename(aside, log).unwrap();
+            std::fs::rename(saved, log).unwrap();
         }));
     });
-    healing.unwrap().join().unwrap();
-    assert_eq!(sender.submit("meter", "held-back", "16.0"), 202);
-    sender.complete_round();
-    assert_eq!(endpoint.request_count(), 0, "nothing is sent yet");
-    platform.push(&endpoint_list(
+    repair.unwrap().join().unwrap();
+    assert_eq!(sender.submit("meter", "after", "16.0"), 202);
+    sender.wait_for_round_end();
+    assert_eq!(endpoint.count_new_requests(), 0, "nothing is sent yet");
+    platform.push_line(&endpoint_list(
         2,
         true,
         &[endpoint_entry("s-1", endpoint.address, "in_service")],
     ));
     let mut ids =
-        [endpoint.next_request(), endpoint.next_request()].map(|call| call.id().to_string());
+        [endpoint.next_request(), endpoint.next_request()].map(|request| request.id().to_string());
     ids.sort();
-    assert_eq!(ids, ["before", "held-back"]);
+    assert_eq!(ids, ["after", "before"]);
 }
--- a/crates/martenlatch/tests/operation.rs
+++ b/crates/martenlatch/tests/operation.rs
@@ -1,4 +1,5 @@
-//! Operators' calls: their answers, and that the counters and cordons match what the scripted peers see.
+//! Calls of operators: their answers, the counters and the cordons, compared with what the scripted endpoints and the
+//! platform see.
 
 mod support;
 use support::*;
@@ -9,7 +10,7 @@
 
 const CLASSES: [&str; 2] = ["debit", "meter"];
 
-/// The counters that are expected of a sender, from what its peers have seen.
+/// The expected counters of a sender, from what its endpoint and its platform have seen.
 #[derive(Default)]
 struct ExpectedCounters(BTreeMap<String, u64>);
 
@@ -21,80 +22,84 @@
         }
     }
 
-    /// One more message of a class was answered, deferred or errored, or one more attempt of it sent.
+    /// Counts one more message of a class that was answered, deferred or errored, or one more attempt that was sent.
     fn add(&mut self, class: &str, state: &str) {
         let name = ExpectedCounters::name(class, state);
         *self.0.entry(name).or_default() += 1;
     }
 
-    /// Compares all counters of a sender. `current` is the expected number of messages that are not complete.
+    /// Compares all counters of a sender. `current` is the expected number of incomplete messages.
     fn check(&self, sender: &Sender, current: u64) {
         let counters = sender.operator_counters();
         for class in CLASSES {
             for state in ["answered", "deferred", "errored", "sends"] {
                 let name = ExpectedCounters::name(class, state);
-                let want = self.0.get(&name).copied().unwrap_or(0);
-                assert_eq!(counters.get(&name), Some(&want), "{name} of {counters:?}");
+                let expected = self.0.get(&name).copied().unwrap_or(0);
+                assert_eq!(
+                    counters.get(&name),
+                    Some(&expected),
+                    "{name} of {counters:?}"
+                );
             }
         }
         assert_eq!(counters["current"], current, "{counters:?}");
     }
 }
 
-/// Submits messages that end in each way, one after the other, and compares the counters after each.
-fn submit_one_of_each_end(
+/// Submits one message for each way to end and compares the counters after each.
+fn submit_one_message_per_end(
     sender: &Sender,
     endpoint: &Endpoint,
     platform: &Platform,
     expected: &mut ExpectedCounters,
 ) {
     for (id, class, state) in [
-        ("well-1", "debit", "answered"),
-        ("well-2", "meter", "answered"),
-        ("over-1", "debit", "errored"),
+        ("delivered-1", "debit", "answered"),
+        ("delivered-2", "meter", "answered"),
+        ("closed-1", "debit", "errored"),
         ("fails-1", "debit", "errored"),
-        ("spent-1", "debit", "deferred"),
+        ("exhausted-1", "debit", "deferred"),
     ] {
         assert_eq!(sender.submit(class, id, "16.0"), 202, "{id}");
         assert_eq!(endpoint.next_request().id(), id);
-        if matches!(id, "fails-1" | "spent-1") {
+        if matches!(id, "fails-1" | "exhausted-1") {
             platform.next_status_report();
         }
         expected.add(class, state);
         expected.add(class, "sends");
-        // A repeated id is confirmed once more, and is no second message; its report is sent again.
+        // A repeated id is confirmed again and not counted as another message; its status report is sent again.
         assert_eq!(sender.submit(class, id, "16.0"), 202, "{id}");
-        if matches!(id, "fails-1" | "spent-1") {
+        if matches!(id, "fails-1" | "exhausted-1") {
             assert!(platform.next_status_report().contains(id), "{id}");
-            sender.complete_round();
+            sender.wait_for_round_end();
         }
         expected.check(sender, 0);
     }
 }
 
 #[test]
-fn operator_counters_match_what_the_peers_saw_at_every_moment() {
+fn operator_counters_match_what_endpoint_and_platform_saw_after_each_message() {
     let script = |_, request: &HttpMessage| match request.id().split('-').next().unwrap() {
-        "over" => reply(410, ""),
+        "closed" => reply(410, ""),
         "fails" => reply(500, ""),
-        "spent" => reply(504, ""),
+        "exhausted" => reply(504, ""),
         "hangs" => no_reply(),
         _ => reply(200, ""),
     };
-    let (endpoint, known) = one_endpoint(script);
+    let (endpoint, known_endpoints) = endpoint_and_list(script);
     let platform = Platform::new(&[]);
-    let sender = Sender::start("figures", &platform, &known);
+    let sender = Sender::start("counters", &platform, &known_endpoints);
     let mut expected = ExpectedCounters::default();
     expected.check(&sender, 0);
     assert_eq!(sender.operator_counters()["cluster_size"], 1);
-    submit_one_of_each_end(&sender, &endpoint, &platform, &mut expected);
-    // A request that cannot be served is an error of its class; one that names no class counts for none.
-    platform.push(&known);
+    submit_one_message_per_end(&sender, &endpoint, &platform, &mut expected);
+    // A request for an unlisted destination is an error of its class. A request for an unknown class is not counted.
+    platform.push_line(&known_endpoints);
     let unlisted = request("meter", "lost", "16.0", "x").replace("dest=7", "dest=8");
     assert_eq!(sender.exchange(&unlisted), 404);
     assert_eq!(sender.exchange(&request("nothing", "x", "16.0", "x")), 404);
     expected.add("meter", "errored");
-    // Stored until its deadline: an attempt that may have run, of a class that must not be repeated.
+    // The message is kept until its deadline: the attempt may have run, and the class is not idempotent.
     assert_eq!(sender.submit("debit", "hangs-1", "1.0"), 202);
     assert_eq!(endpoint.next_request().id(), "hangs-1");
     expected.add("debit", "sends");
@@ -102,7 +107,7 @@
     platform.next_status_report();
     expected.add("debit", "errored");
     expected.check(&sender, 0);
-    // A restarted sender counts from its own start, and counts what it resumes too.
+    // A restarted sender counts from its own start and includes the messages that it resumes.
     assert_eq!(sender.submit("debit", "hangs-2", "16.0"), 202);
     assert_eq!(endpoint.next_request().id(), "hangs-2");
     let sender = sender.kill_and_restart();
@@ -113,11 +118,12 @@
 }
 
 #[test]
-fn rejected_requests_count_as_deferred_and_stored_messages_as_current() {
-    let (endpoint, _platform, sender) = sender_with_endpoint("figures-door", |_, _| no_reply());
+fn rejected_requests_count_as_deferred_and_incomplete_messages_as_current() {
+    let (endpoint, _platform, sender) =
+        sender_with_endpoint("rejected-counters", |_, _| no_reply());
     let mut expected = ExpectedCounters::default();
     for number in 0..4 {
-        // Discovery has not pushed a list yet: a destination that is not listed may be a new one.
+        // Until discovery has pushed a list, an unlisted destination may be a new one, so the request is rejected with 503.
         let unlisted =
             request("meter", &format!("d{number}"), "16.0", "x").replace("dest=7", "dest=8");
         assert_eq!(sender.exchange(&unlisted), 503);
@@ -139,14 +145,14 @@
     "\r\n",
     "NAK an empty line; health, counters, cordon ID and uncordon ID are known\n"
 )]
-#[case::surplus("health please\n", "NAK health was given more than it takes\n")]
+#[case::extra_word("health please\n", "NAK health was given more than it takes\n")]
 #[case::no_id("cordon\r\n", "NAK cordon wants the id of an endpoint\n")]
 #[case::http("GET / HTTP/1.1\r\nHost: x\r\n\r\n", "NAK unknown call GET; ")]
 #[case::long(&"x".repeat(100_000), "NAK the line is over 512 bytes\n")]
 #[case::complete("health\r\ncounters\n", "ACK serving\n")]
-fn an_operator_call_gets_one_answer_and_an_invalid_one_the_reason(
+fn an_operator_call_gets_one_answer_and_an_invalid_call_the_reason(
     #[case] text: &str,
-    #[case] want: &str,
+    #[case] expected: &str,
 ) {
     let platform = Platform::new(&[]);
     let case = case_name(text);
@@ -156,13 +162,13 @@
         &endpoint_list(1, true, &[]),
     );
     let answer = sender.call_operator(text);
-    assert!(answer.starts_with(want), "{answer:?}");
+    assert!(answer.starts_with(expected), "{answer:?}");
     assert_eq!(
         sender.call_operator("health\n"),
         "ACK serving\n",
         "the sender still answers"
     );
-    // A last line needs no end of its own, and a line may come byte by byte.
+    // The last line needs no line end, and a line may arrive byte by byte.
     let mut stream = std::net::TcpStream::connect(sender.operator).unwrap();
     for byte in b"health" {
         stream.write_all(&[*byte]).unwrap();
@@ -174,9 +180,9 @@
 }
 
 #[test]
-fn callers_that_finish_no_line_take_no_capacity_from_others() {
+fn operators_without_a_complete_line_do_not_keep_others_from_being_served() {
     let platform = Platform::new(&[]);
-    let sender = Sender::start("callers", &platform, &endpoint_list(1, true, &[]));
+    let sender = Sender::start("silent-operators", &platform, &endpoint_list(1, true, &[]));
     let silent: Vec<_> = (0..60)
         .map(|number| {
             let mut stream = std::net::TcpStream::connect(sender.operator).unwrap();
@@ -191,9 +197,9 @@
 }
 
 #[test]
-fn an_unusable_operator_address_ends_the_start_with_one_line_that_names_the_field() {
+fn with_an_invalid_operator_address_the_start_fails_with_one_line_that_names_the_field() {
     let platform = Platform::new(&[]);
-    let sender = Sender::start("no-operator", &platform, &endpoint_list(1, true, &[]));
+    let sender = Sender::start("invalid-operator", &platform, &endpoint_list(1, true, &[]));
     let from = format!("\"operator\":\"{}\"", sender.operator);
     let exit = sender.restart_with_bad_config(&from, "\"operator\":7");
     let errors = exit.output;
@@ -204,18 +210,18 @@
     );
 }
 
-/// Two endpoints of one destination, of which the first is cordoned, and an address to which that one moves.
-struct CordonedEndpoint {
+/// Two endpoints of one destination, of which the first is cordoned, and the endpoint to whose address it moves.
+struct CordonTestEndpoints {
     cordoned: Endpoint,
     moved: Endpoint,
     other: Endpoint,
-    /// Messages that were submitted so far.
+    /// Number of messages submitted so far.
     submitted: usize,
 }
 
-impl CordonedEndpoint {
-    fn new() -> CordonedEndpoint {
-        CordonedEndpoint {
+impl CordonTestEndpoints {
+    fn new() -> CordonTestEndpoints {
+        CordonTestEndpoints {
             cordoned: Endpoint::new(|_, _| reply(200, "")),
             moved: Endpoint::new(|_, _| reply(200, "")),
             other: Endpoint::new(|_, _| reply(200, "")),
@@ -230,15 +236,15 @@
         ]
     }
 
-    /// Submits messages, all of which have to go to the endpoint that is not cordoned.
-    fn check_is_avoided(&mut self, sender: &Sender, when: &str) {
+    /// Submits messages and checks that all of them go to the endpoint that is not cordoned.
+    fn check_cordoned_gets_nothing(&mut self, sender: &Sender, when: &str) {
         for _ in 0..6 {
             self.submitted += 1;
             let id = format!("h{}", self.submitted);
             assert_eq!(sender.submit("debit", &id, "16.0"), 202);
             assert_eq!(self.other.next_request().id(), id, "{when}");
         }
-        let requests = self.cordoned.request_count() + self.moved.request_count();
+        let requests = self.cordoned.count_new_requests() + self.moved.count_new_requests();
         assert_eq!(requests, 0, "{when}");
         let unhealthy = sender.operator_counters()["cluster_unhealthy"];
         assert_eq!(unhealthy, 1, "{when}");
@@ -247,12 +253,12 @@
     /// Removes the cordoned endpoint from the list, and lists it again at another address.
     fn remove_and_list_again(&self, sender: &Sender, platform: &Platform) {
         let removed = endpoint_entry("s-a", self.cordoned.address, "terminated");
-        platform.push_raw(&chunk(&endpoint_list(3, false, &[removed])));
+        platform.push_bytes(&chunk(&endpoint_list(3, false, &[removed])));
         wait_until("one is listed", || {
             sender.operator_counters()["cluster_size"] == 1
         });
         let moved = endpoint_entry("s-a", self.moved.address, "in_service");
-        platform.push_raw(&chunk(&endpoint_list(4, false, &[moved])));
+        platform.push_bytes(&chunk(&endpoint_list(4, false, &[moved])));
         wait_until("both are listed", || {
             sender.operator_counters()["cluster_size"] == 2
         });
@@ -270,27 +276,27 @@
 }
 
 #[test]
-fn a_cordoned_endpoint_gets_nothing_whatever_the_list_says_until_it_is_uncordoned() {
-    let mut endpoints = CordonedEndpoint::new();
+fn a_cordoned_endpoint_gets_no_request_whatever_the_endpoint_list_says_until_it_is_uncordoned() {
+    let mut endpoints = CordonTestEndpoints::new();
     let both = endpoints.entries();
     let platform = Platform::new(&[]);
-    let mut sender = Sender::start("hand", &platform, &endpoint_list(1, true, &both));
+    let mut sender = Sender::start("cordon", &platform, &endpoint_list(1, true, &both));
     check_unknown_ids_are_rejected(&sender);
     let not_cordoned = sender.call_operator("uncordon s-a\n");
-    assert_eq!(not_cordoned, "ACK in\n", "not cordoned: harmless");
+    assert_eq!(not_cordoned, "ACK in\n", "no effect without a cordon");
     for _ in 0..3 {
         assert_eq!(sender.call_operator("cordon s-a\n"), "ACK out\n");
     }
-    endpoints.check_is_avoided(&sender, "from the confirmation on");
-    platform.push(&endpoint_list(2, true, &both));
-    endpoints.check_is_avoided(&sender, "a complete new list names it as in service");
+    endpoints.check_cordoned_gets_nothing(&sender, "right after the confirmation");
+    platform.push_line(&endpoint_list(2, true, &both));
+    endpoints.check_cordoned_gets_nothing(&sender, "a new complete list has it in service");
     endpoints.remove_and_list_again(&sender, &platform);
-    endpoints.check_is_avoided(&sender, "it was removed and is listed at another address");
+    endpoints.check_cordoned_gets_nothing(&sender, "removed and listed again at another address");
     sender = sender.kill_and_restart();
-    endpoints.check_is_avoided(&sender, "after a kill");
+    endpoints.check_cordoned_gets_nothing(&sender, "after a kill");
     sender = sender.terminate_and_restart();
-    endpoints.check_is_avoided(&sender, "after a restart");
-    // A disk that takes no file: cordons can neither be lifted nor added, and the caller is told.
+    endpoints.check_cordoned_gets_nothing(&sender, "after a restart");
+    // The cordons cannot be written: no call changes them, and the answer says why.
     sender = sender.restart_with_state(|state| {
         std::fs::create_dir(state.join("cordons.new")).unwrap();
     });
@@ -299,14 +305,14 @@
         let reason = "NAK the ban cannot be written: ";
         assert!(answer.starts_with(reason), "{call}");
     }
-    endpoints.check_is_avoided(&sender, "after a rejected call");
+    endpoints.check_cordoned_gets_nothing(&sender, "after a rejected call");
     sender = sender.restart_with_state(|state| {
         std::fs::remove_dir(state.join("cordons.new")).unwrap();
     });
     let uncordoned = sender.call_operator("uncordon s-a\n");
     assert_eq!(
         uncordoned, "ACK in\n",
-        "once, however often it was cordoned"
+        "one call is enough, however often it was cordoned"
     );
     assert_eq!(sender.call_operator("cordon s-b\n"), "ACK out\n");
     assert_eq!(sender.submit("debit", "back", "16.0"), 202);
@@ -314,10 +320,10 @@
 }
 
 #[test]
-fn a_damaged_cordon_file_is_logged_and_its_intact_lines_hold() {
+fn a_damaged_cordon_file_is_logged_and_its_intact_lines_are_applied() {
     let endpoint = Endpoint::new(|_, _| reply(200, ""));
     let platform = Platform::new(&[]);
-    let known = endpoint_list(
+    let known_endpoints = endpoint_list(
         1,
         true,
         &[
@@ -325,7 +331,7 @@
             endpoint_entry("s-b", endpoint.address, "in_service"),
         ],
     );
-    let sender = Sender::start("hand-damaged", &platform, &known);
+    let sender = Sender::start("damaged-cordons", &platform, &known_endpoints);
     assert_eq!(sender.call_operator("cordon s-a\n"), "ACK out\n");
     assert_eq!(sender.call_operator("cordon s-b\n"), "ACK out\n");
     let sender = sender.restart_with_state(|state| {
@@ -341,22 +347,22 @@
 }
 
 #[test]
-fn requests_and_lists_may_come_byte_by_byte_and_a_request_cut_at_any_byte_is_ignored() {
+fn requests_and_lists_are_read_byte_by_byte_and_an_incomplete_request_is_ignored() {
     let endpoint = Endpoint::new(|_, _| reply(200, ""));
     let platform = Platform::new(&[]);
-    let known = endpoint_list(
+    let known_endpoints = endpoint_list(
         1,
         true,
         &[endpoint_entry("s-1", endpoint.address, "in_service")],
     );
-    let sender = Sender::start("pieces", &platform, &known);
+    let sender = Sender::start("pieces", &platform, &known_endpoints);
     let complete = request("debit", "pieces", "16.0", "body");
-    // A request cut short is never accepted, whichever byte was its last.
-    for cut in 0..complete.len() {
+    // An incomplete request is not accepted, whichever byte is its last.
+    for length in 0..complete.len() {
         let mut client = sender.connect();
         client
             .get_mut()
-            .write_all(&complete.as_bytes()[..cut])
+            .write_all(&complete.as_bytes()[..length])
             .unwrap();
     }
     let mut client = sender.connect();
@@ -368,18 +374,18 @@
     assert_eq!(endpoint.next_request().id(), "pieces");
     assert_eq!(
         (
-            endpoint.request_count(),
+            endpoint.count_new_requests(),
             sender.operator_counters()["transactions{group=\"debit\",state=\"answered\"}"]
         ),
         (0, 1)
     );
-    platform.next_watch();
-    let more = endpoint_list(
+    platform.next_watch_request();
+    let change = endpoint_list(
         2,
         false,
         &[endpoint_entry("s-2", endpoint.address, "in_service")],
     );
-    platform.push_raw(&chunk(&more));
+    platform.push_bytes(&chunk(&change));
     wait_until("both are listed", || {
         sender.operator_counters()["cluster_size"] == 2
     });
--- a/crates/martenlatch/tests/replacement.rs
+++ b/crates/martenlatch/tests/replacement.rs
@@ -1,5 +1,5 @@
-//! A process that is replaced by another of the same sender: from outside there is one sender, no connection is closed,
-//! and every message is accounted for.
+//! Replacement of a sender's process by another one: no connection is closed, and each message is either delivered or
+//! reported.
 
 mod support;
 use support::*;
@@ -13,8 +13,8 @@
 
 const HEALTH_CHECK: &str = "GET /healthz HTTP/1.1\r\n\r\n";
 
-/// Submits messages on one connection, alternating debits and meter readings, until 20 have been submitted and `stop` is
-/// set. Returns the ids of those that were accepted.
+/// Submits up to 200 messages on one connection, alternately debits and meter readings. Stops earlier if `stop` is set and
+/// more than 20 have been submitted. Returns the ids of the accepted ones.
 fn submit_under_load(address: SocketAddr, client_number: usize, stop: &AtomicBool) -> Vec<String> {
     let stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -36,10 +36,10 @@
     accepted
 }
 
-/// Checks that each message was either delivered or reported, and no debit sent twice.
-fn check_each_has_one_end(accepted: &[String], endpoint: &Endpoint, platform: &Platform) {
+/// Checks that each message was either delivered or reported, and no debit was sent twice.
+fn check_delivered_or_reported(accepted: &[String], endpoint: &Endpoint, platform: &Platform) {
     let mut attempts = BTreeMap::<String, u32>::new();
-    for request in endpoint.requests_so_far() {
+    for request in endpoint.take_new_requests() {
         *attempts.entry(request.id().to_string()).or_default() += 1;
     }
     let reports: Vec<String> = platform.status_reports.try_iter().collect();
@@ -48,13 +48,13 @@
         let number: u32 = id.rsplit('-').next().unwrap().parse().unwrap();
         let is_debit = number.is_multiple_of(2);
         let quoted = format!("\"{id}\"");
-        let reported = reports.iter().filter(|line| line.contains(&quoted)).count();
+        let report_count = reports.iter().filter(|line| line.contains(&quoted)).count();
         // A meter reading may be hedged, a debit never.
-        let delivered = reported == 0 && (count == 1 || (!is_debit && count == 2));
-        let handed_back = reported == 1 && count == 0;
+        let is_delivered = report_count == 0 && (count == 1 || (!is_debit && count == 2));
+        let is_reported = report_count == 1 && count == 0;
         assert!(
-            delivered || handed_back,
-            "{id} was sent {count} times and reported {reported} times"
+            is_delivered || is_reported,
+            "{id} was sent {count} times and reported {report_count} times"
         );
     }
 }
@@ -66,7 +66,7 @@
         reply(200, "")
     };
     let (endpoint, platform, sender) = sender_with_endpoint("replace-load", script);
-    // The socket of a killed process is left behind: it does no harm.
+    // The killed process leaves its socket file behind, which must not disturb the replacements.
     let mut sender = sender.kill_and_restart();
     let stop = Arc::new(AtomicBool::new(false));
     let address = sender.address;
@@ -92,10 +92,10 @@
         sender.operator_counters()["current"] == 0
     });
     assert!(accepted.len() > 60, "{}", accepted.len());
-    check_each_has_one_end(&accepted, &endpoint, &platform);
+    check_delivered_or_reported(&accepted, &endpoint, &platform);
 }
 
-/// Waits for as many requests as there are ids, and checks that they are for these messages, in any order.
+/// Waits for one request per id and checks that they deliver these messages, in any order.
 fn check_delivered(endpoint: &Endpoint, ids: &[&str]) {
     let mut delivered: Vec<String> = ids
         .iter()
@@ -110,15 +110,16 @@
     assert_eq!(read_status(client), status);
 }
 
+/// Submits two messages and waits until both have been sent.
 fn put_attempts_in_flight(sender: &Sender) {
     assert_eq!(sender.submit("debit", "out-1", "16.0"), 202);
     assert_eq!(sender.submit("meter", "out-2", "16.0"), 202);
-    wait_until("it was sent", || {
+    wait_until("both were sent", || {
         sender.operator_counters()["sends{group=\"meter\"}"] > 0
     });
 }
 
-/// Two attempts are in flight, one message is stored, and the endpoint is cordoned.
+/// Checks that two attempts are in flight, one message waits to be sent, and the endpoint is cordoned.
 fn check_state_is_passed_on(sender: &Sender) {
     let counters = sender.operator_counters();
     assert_eq!(counters["current"], 3, "{counters:?}");
@@ -126,13 +127,13 @@
 }
 
 #[test]
-fn half_read_requests_attempts_in_flight_and_stored_messages_go_on_after_a_replacement() {
-    let gate = Gate::default();
+fn a_replacement_continues_half_read_requests_attempts_in_flight_and_waiting_messages() {
+    let gate = ReplyGate::default();
     let endpoint_gate = gate.clone();
     let (endpoint, platform, mut sender) =
-        sender_with_endpoint("replace-halves", move |_, request| {
+        sender_with_endpoint("replace-state", move |_, request| {
             if request.id().starts_with("out") {
-                endpoint_gate.pass();
+                endpoint_gate.wait_until_open();
             }
             reply(200, "")
         });
@@ -145,19 +146,19 @@
     put_attempts_in_flight(&sender);
     assert_eq!(sender.call_operator("cordon s-1\n"), "ACK out\n");
     assert_eq!(sender.submit("debit", "held", "16.0"), 202);
-    // Connected to the old process, it sends its request to the new one.
+    // This client connects to the old process and sends its request to the new one.
     let mut early = sender.connect();
     assert_eq!(sender.replace().code, Some(0));
     check_state_is_passed_on(&sender);
     check_exchange(&mut half_sent, second_half, 202);
     check_exchange(&mut early, &request("meter", "early", "16.0", "x"), 202);
     check_exchange(&mut idle, HEALTH_CHECK, 200);
-    let requests = endpoint.request_count();
-    assert_eq!(requests, 0, "nothing goes to a cordoned endpoint");
+    let requests = endpoint.count_new_requests();
+    assert_eq!(requests, 0, "no request goes to a cordoned endpoint");
     gate.open();
-    // Their responses are read by the new process.
+    // The new process reads their responses.
     check_delivered(&endpoint, &["out-1", "out-2"]);
-    wait_until("three are stored", || {
+    wait_until("three messages are incomplete", || {
         sender.operator_counters()["current"] == 3
     });
     let answered = "transactions{group=\"debit\",state=\"answered\"}";
@@ -166,11 +167,12 @@
     check_delivered(&endpoint, &["early", "half", "held"]);
     // The new process knows the id: it confirms the message and does not accept it again.
     assert_eq!(sender.submit("debit", "out-1", "16.0"), 202);
-    assert_eq!(endpoint.request_count(), 0);
+    assert_eq!(endpoint.count_new_requests(), 0);
     assert!(platform.status_reports.try_recv().is_err());
 }
 
-/// Submits large debits, numbered from `first`, until one is rejected or 40 were accepted. Returns how many were.
+/// Submits large debits, numbered from `first`, until one is rejected or 40 are accepted. Returns the number of accepted
+/// ones.
 fn fill_disk(sender: &Sender, first: usize) -> usize {
     let body = "x".repeat(2_000);
     let submit = |number: &usize| {
@@ -181,24 +183,24 @@
 
 #[test]
 fn a_full_disk_stays_full_after_a_replacement_and_accepted_messages_are_delivered() {
-    let gate = Gate::default();
+    let gate = ReplyGate::default();
     let endpoint_gate = gate.clone();
-    let (endpoint, known) = one_endpoint(move |_, _| {
-        endpoint_gate.pass();
+    let (endpoint, known_endpoints) = endpoint_and_list(move |_, _| {
+        endpoint_gate.wait_until_open();
         reply(200, "")
     });
     let platform = Platform::new(&[]);
-    let mut sender = Sender::start_with_disk("replace-full", &platform, &known, 0.05);
+    let mut sender = Sender::start_with_disk("replace-full", &platform, &known_endpoints, 0.05);
     let accepted = fill_disk(&sender, 0);
     assert!(
         accepted > 2 && accepted < 40,
-        "{accepted}: the disk is full"
+        "{accepted} accepted until the disk is full"
     );
     assert_eq!(sender.replace().code, Some(0));
     assert_eq!(
         fill_disk(&sender, 100),
         0,
-        "it is full for the new process, too"
+        "the disk is full for the new process, too"
     );
     assert_eq!(sender.operator_counters()["current"], accepted as u64);
     gate.open();
@@ -207,7 +209,7 @@
         .collect();
     ids.sort();
     ids.dedup();
-    assert_eq!(ids.len(), accepted, "each once");
+    assert_eq!(ids.len(), accepted, "each is delivered once");
     wait_until("all messages are complete", || {
         sender.operator_counters()["current"] == 0
     });
@@ -219,16 +221,17 @@
 }
 
 #[test]
-fn idle_connections_make_room_for_a_replacement_and_begun_requests_are_passed_on() {
+fn idle_connections_over_the_limit_are_closed_and_partly_read_requests_are_passed_on() {
     let (endpoint, _platform, sender) =
-        sender_with_endpoint("replace-crowd", |_, _| reply(200, ""));
-    // Of 256 descriptors clients may hold 115. What is passed on is held by two processes for a moment: 104 at most.
+        sender_with_endpoint("replace-limit", |_, _| reply(200, ""));
+    // Of 256 descriptors, clients may use 115. Connections that are passed on are open in two processes for a moment, so at
+    // most 104 are passed on.
     sender.change_config("\"sockets\":1024", "\"sockets\":256");
     let mut sender = sender.kill_and_restart();
     let mut clients: Vec<_> = (0..113).map(|_| sender.connect()).collect();
-    let complete = request("debit", "begun", "16.0", "x");
-    let mut begun = clients.swap_remove(0);
-    send(&mut begun, &complete[..60]);
+    let complete = request("debit", "partly-read", "16.0", "x");
+    let mut partly_read = clients.swap_remove(0);
+    send(&mut partly_read, &complete[..60]);
     wait_until("all are accepted", || {
         sender.call_operator("health\n") == "ACK serving\n"
     });
@@ -238,19 +241,19 @@
         "{}",
         exit.output
     );
-    send(&mut begun, &complete[60..]);
-    assert_eq!(read_status(&mut begun), 202);
-    assert_eq!(endpoint.next_request().id(), "begun");
+    send(&mut partly_read, &complete[60..]);
+    assert_eq!(read_status(&mut partly_read), 202);
+    assert_eq!(endpoint.next_request().id(), "partly-read");
 }
 
 #[test]
-fn a_backoff_is_observed_by_the_replacement() {
+fn a_replacement_observes_a_backoff_requested_of_the_replaced_process() {
     let (endpoint, _platform, mut sender) =
-        sender_with_endpoint("replace-wait", |number, _| match number {
+        sender_with_endpoint("replace-backoff", |number, _| match number {
             0 => reply(429, "X-Backoff-Ms: 1500\r\n"),
             _ => reply(200, ""),
         });
-    // From before the backoff was asked for: a slow machine can only make this longer.
+    // Taken before the endpoint asks for the backoff, so that a slow machine can only make the measured time longer.
     let start = Instant::now();
     assert_eq!(sender.submit("debit", "w1", "16.0"), 202);
     assert_eq!(endpoint.next_request().id(), "w1");
--- a/crates/martenlatch/tests/replacement_failures.rs
+++ b/crates/martenlatch/tests/replacement_failures.rs
@@ -1,4 +1,4 @@
-//! What may go wrong at each step of replacing a process: one of the two goes on serving, and no message is lost.
+//! Failures at each step of replacing a process: one of the two processes continues to serve, and no message is lost.
 
 mod support;
 use support::*;
@@ -7,19 +7,19 @@
 use std::io::{Read, Write};
 use std::os::unix::net::UnixStream;
 
-/// A process that connects as a replacement, sends `query`, reads as many bytes and goes away. What it reads starts with
-/// `want`.
+/// The test connects as a replacement, sends `query`, reads `bytes` bytes, which must start with `expected`, and closes the
+/// connection.
 #[rstest]
 #[case::silent("", 0, "")]
-#[case::gone_after_its_query("martenlatch 1 LISTEN\n", 0, "")]
-#[case::gone_halfway("martenlatch 1 LISTEN\n", 40, "yes ")]
+#[case::closed_after_its_query("martenlatch 1 LISTEN\n", 0, "")]
+#[case::closed_within_the_answer("martenlatch 1 LISTEN\n", 40, "yes ")]
 #[case::other_version("martenlatch 9 LISTEN\n", 35, "no version 1 is spoken here, not 9\n")]
 #[case::other_address("martenlatch 1 127.0.0.1:9\n", 22, "no clients connect to ")]
 #[case::nonsense("GET / HTTP/1.1\r\n\r\n", 0, "")]
-fn a_process_goes_on_serving_whatever_a_replacement_does(
+fn a_process_continues_to_serve_after_an_invalid_or_aborted_replacement(
     #[case] query: &str,
     #[case] bytes: usize,
-    #[case] want: &str,
+    #[case] expected: &str,
 ) {
     let case = case_name(query);
     let (endpoint, _platform, mut sender) =
@@ -33,7 +33,7 @@
         let mut answer = vec![0; bytes];
         stream.read_exact(&mut answer).unwrap();
         assert!(
-            String::from_utf8_lossy(&answer).starts_with(want),
+            String::from_utf8_lossy(&answer).starts_with(expected),
             "{answer:?}"
         );
         drop(stream);
@@ -48,12 +48,12 @@
 }
 
 #[test]
-fn a_replacement_waits_for_a_stopped_process_and_a_third_process_is_rejected() {
+fn a_replacement_waits_for_a_suspended_process_and_a_third_process_is_rejected() {
     let (endpoint, _platform, mut sender) =
         sender_with_endpoint("replace-third", |_, _| reply(200, ""));
     sender.signal("STOP");
     let second = sender.start_replacement();
-    // It answers operators, but takes no clients.
+    // It answers operators but does not accept clients.
     second.wait_until_not_serving();
     let third = sender.start_replacement().process;
     let third = third.wait_with_output().unwrap();
@@ -64,25 +64,26 @@
         "{errors}"
     );
     sender.signal("CONT");
-    assert_eq!(sender.be_replaced_by(second).code, Some(0));
+    assert_eq!(sender.wait_until_replaced_by(second).code, Some(0));
     assert_eq!(sender.submit("debit", "t", "16.0"), 202);
     assert_eq!(endpoint.next_request().id(), "t");
 }
 
 #[test]
-fn a_process_that_shuts_down_is_not_replaced_and_the_next_one_starts_as_after_a_restart() {
-    let (endpoint, platform, mut sender) = sender_with_endpoint("replace-ending", |_, request| {
-        if request.id() == "out" {
-            no_reply()
-        } else {
-            reply(200, "")
-        }
-    });
+fn a_process_that_shuts_down_is_not_replaced_and_the_next_one_recovers_from_the_write_ahead_log() {
+    let (endpoint, platform, mut sender) =
+        sender_with_endpoint("replace-shutdown", |_, request| {
+            if request.id() == "out" {
+                no_reply()
+            } else {
+                reply(200, "")
+            }
+        });
     assert_eq!(sender.submit("debit", "out", "16.0"), 202);
     assert_eq!(endpoint.next_request().id(), "out");
     sender.signal("TERM");
     let next = sender.start_replacement();
-    let exit = sender.be_replaced_by(next);
+    let exit = sender.wait_until_replaced_by(next);
     let log = exit.output;
     assert_eq!(exit.code, Some(0));
     assert!(
@@ -100,8 +101,10 @@
 
 #[rstest]
 #[case::killed("KILL")]
-#[case::told_to_end("TERM")]
-fn a_replacement_that_dies_just_after_it_took_over_has_lost_nothing(#[case] signal: &str) {
+#[case::terminated("TERM")]
+fn a_replacement_that_ends_right_after_the_takeover_loses_no_message_and_no_cordon(
+    #[case] signal: &str,
+) {
     let (endpoint, platform, mut sender) =
         sender_with_endpoint(&format!("replace-{signal}"), |_, request| {
             if request.id().starts_with("out") && !request.id().ends_with("ok") {
@@ -127,9 +130,9 @@
 }
 
 #[rstest]
-#[case::other_names("names", r#""Name":"meter""#, r#""Name":"gauge""#)]
-#[case::other_rules_of_a_name("rules", r#""Effect":"side_effect""#, r#""Effect":"pure""#)]
-fn a_replacement_with_other_settings_takes_nothing_over_and_the_serving_process_goes_on(
+#[case::other_class_names("names", r#""Name":"meter""#, r#""Name":"gauge""#)]
+#[case::other_rules_of_a_class("rules", r#""Effect":"side_effect""#, r#""Effect":"pure""#)]
+fn a_replacement_with_other_class_settings_does_not_take_over_and_the_process_continues_to_serve(
     #[case] test: &str,
     #[case] from: &str,
     #[case] to: &str,
@@ -142,12 +145,12 @@
     assert_eq!(
         sender.submit("meter", "m", "16.0"),
         202,
-        "the old classes stand"
+        "the old classes are still served"
     );
     assert_eq!(endpoint.next_request().id(), "m");
-    let second_id = second.process.id().to_string();
+    let second_pid = second.process.id().to_string();
     std::process::Command::new("kill")
-        .arg(second_id)
+        .arg(second_pid)
         .status()
         .unwrap();
     let mut log = String::new();
@@ -159,14 +162,15 @@
 }
 
 #[test]
-fn a_replacement_that_fails_to_take_over_starts_once_the_other_process_has_ended() {
+fn a_replacement_whose_takeover_failed_starts_after_the_serving_process_has_ended() {
     let (endpoint, _platform, mut sender) =
-        sender_with_endpoint("replace-broken", |_, _| reply(200, ""));
+        sender_with_endpoint("replace-failed", |_, _| reply(200, ""));
     assert_eq!(sender.submit("debit", "before", "16.0"), 202);
-    wait_until("nothing is to be written", || {
+    wait_until("the write-ahead log has no incomplete message", || {
         sender.operator_counters()["current"] == 0
     });
-    // The write-ahead log is not as the old process knows it: the new one finds that after it was given everything.
+    // The size of the write-ahead log differs from the one that the old process passes on. The new process notices this
+    // only after it has received everything else.
     std::fs::OpenOptions::new()
         .append(true)
         .open(sender.state_folder().join("ledger"))
@@ -178,10 +182,10 @@
     assert_eq!(
         sender.submit("debit", "between", "16.0"),
         202,
-        "the old process goes on"
+        "the old process continues to serve"
     );
     sender.signal("TERM");
-    let exit = sender.be_replaced_by(next);
+    let exit = sender.wait_until_replaced_by(next);
     let log = exit.output;
     assert!(
         exit.code == Some(0)
@@ -196,29 +200,31 @@
 }
 
 #[test]
-fn a_process_told_to_end_during_a_replacement_ends_and_the_next_one_sends_its_status_reports() {
-    // The platform confirms no status report until the old process is told to end.
+fn a_process_that_gets_sigterm_during_a_replacement_ends_and_the_next_one_sends_its_status_reports()
+{
+    // The platform does not confirm the first three status reports, so that one is pending when the old process is
+    // told to shut down.
     let platform = Platform::new(&[500; 3]);
-    let mut sender = Sender::start("replace-asked", &platform, &endpoint_list(1, true, &[]));
-    assert_eq!(sender.submit("debit", "owed-1", "0.3"), 202);
-    assert!(platform.next_status_report().contains("owed-1"));
-    assert_eq!(sender.submit("meter", "owed-2", "16.0"), 202);
+    let mut sender = Sender::start("replace-sigterm", &platform, &endpoint_list(1, true, &[]));
+    assert_eq!(sender.submit("debit", "pending-1", "0.3"), 202);
+    assert!(platform.next_status_report().contains("pending-1"));
+    assert_eq!(sender.submit("meter", "pending-2", "16.0"), 202);
     sender.signal("STOP");
     let next = sender.start_replacement();
     next.wait_until_not_serving();
     sender.signal("TERM");
     sender.signal("CONT");
-    let exit = sender.be_replaced_by(next);
+    let exit = sender.wait_until_replaced_by(next);
     let log = exit.output;
     assert!(
         exit.code == Some(0) && log.contains(" ending ") && !log.contains(" gave way "),
         "{log}"
     );
     assert_eq!(sender.operator_counters()["current"], 1, "resumed");
-    // Another replacement, this time while a report is on its way.
-    assert_eq!(sender.submit("debit", "owed-3", "0.3"), 202);
+    // Another replacement, this time while a status report is being sent.
+    assert_eq!(sender.submit("debit", "pending-3", "0.3"), 202);
     assert_eq!(sender.replace().code, Some(0));
     let report = platform.next_status_report();
-    assert!(report.contains("owed-3"), "{report}");
-    assert!(platform.status_reports.try_recv().is_err(), "once");
+    assert!(report.contains("pending-3"), "{report}");
+    assert!(platform.status_reports.try_recv().is_err(), "reported once");
 }
--- a/crates/martenlatch/tests/requests_at_shutdown.rs
+++ b/crates/martenlatch/tests/requests_at_shutdown.rs
@@ -1,4 +1,5 @@
-//! Requests that clients send behind the answer that says `Connection: close`, while the sender shuts down.
+//! Requests that clients send after an answer with `Connection: close`, while the sender shuts down or after an invalid
+//! request.
 
 mod support;
 use support::*;
@@ -9,18 +10,18 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Clients that keep their connections busy.
+/// Number of clients that keep their connections busy.
 const CLIENTS: usize = 30;
-/// A request that nobody has read brings a reset within this time of the end of the stream.
+/// If the sender has not read a request, the connection is reset within this time after the end of the stream.
 const RESET_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// How a request that was completely written ended for its client.
+/// The result of a request that its client has written completely.
 #[derive(Debug, PartialEq)]
 enum RequestEnd {
     Answered,
-    /// The connection was reset: the request may be sent again.
+    /// The connection was reset, so that the client may send the request again.
     Reset,
-    /// The stream ended without an answer and without a reset: the request was read and dropped.
+    /// The stream ended without an answer and without a reset: the sender read the request and dropped it.
     Dropped,
 }
 
@@ -29,32 +30,33 @@
     if client.get_mut().write_all(text.as_bytes()).is_err() {
         return RequestEnd::Reset;
     }
-    match client.fill_buf_or_error() {
+    match client.wait_for_bytes() {
         Ok(true) if read_message(client, 0).is_some() => RequestEnd::Answered,
-        Ok(_) if is_reset_soon(client.get_ref()) => RequestEnd::Reset,
+        Ok(_) if is_reset_in_time(client.get_ref()) => RequestEnd::Reset,
         Ok(_) => RequestEnd::Dropped,
         Err(ErrorKind::ConnectionReset | ErrorKind::BrokenPipe) => RequestEnd::Reset,
         Err(other) => panic!("a request ended with {other:?}"),
     }
 }
 
-/// Waits for bytes or for the end of a stream.
+/// Waits until a stream has bytes or ends.
 trait WaitForBytes {
-    /// Whether bytes have come; false at the end of the stream.
-    fn fill_buf_or_error(&mut self) -> Result<bool, ErrorKind>;
+    /// Returns true if there are bytes to read, false at the end of the stream.
+    fn wait_for_bytes(&mut self) -> Result<bool, ErrorKind>;
 }
 
 impl WaitForBytes for BufReader<TcpStream> {
-    fn fill_buf_or_error(&mut self) -> Result<bool, ErrorKind> {
+    fn wait_for_bytes(&mut self) -> Result<bool, ErrorKind> {
         std::io::BufRead::fill_buf(self)
             .map(|bytes| !bytes.is_empty())
             .map_err(|error| error.kind())
     }
 }
 
-fn is_reset_soon(stream: &TcpStream) -> bool {
-    let until = Instant::now() + RESET_TIMEOUT;
-    while Instant::now() < until {
+/// Whether the connection is reset within [`RESET_TIMEOUT`].
+fn is_reset_in_time(stream: &TcpStream) -> bool {
+    let deadline = Instant::now() + RESET_TIMEOUT;
+    while Instant::now() < deadline {
         if !matches!(stream.take_error(), Ok(None)) {
             return true;
         }
@@ -63,16 +65,21 @@
     false
 }
 
-/// Keeps one connection busy until it ends, whatever the answers say of it. Returns how its last request ended, and
-/// how many were answered after the shutdown began.
+/// Sends requests on one connection until it ends, even after an answer with `Connection: close`. Returns the result of the
+/// last request and the number of requests that were answered after the shutdown began.
 fn keep_busy(
     mut client: BufReader<TcpStream>,
-    name: usize,
+    client_number: usize,
     shutdown: &AtomicBool,
 ) -> (RequestEnd, usize) {
     let mut answered_in_shutdown = 0;
     for number in 0.. {
-        let text = request("meter", &format!("{name}-{number}"), "9.0", "hello");
+        let text = request(
+            "meter",
+            &format!("{client_number}-{number}"),
+            "9.0",
+            "hello",
+        );
         let end = exchange(&mut client, &text);
         if end != RequestEnd::Answered {
             return (end, answered_in_shutdown);
@@ -80,19 +87,19 @@
         answered_in_shutdown += usize::from(shutdown.load(Ordering::SeqCst));
         thread::sleep(Duration::from_millis(1));
     }
-    unreachable!("the connection ends at the latest with the process")
+    unreachable!("the connection ends no later than the process")
 }
 
 #[test]
-fn no_request_is_read_and_dropped_behind_the_last_answer() {
-    let (_endpoint, _platform, sender) = sender_with_endpoint("behind", |_, _| reply(200, ""));
+fn a_request_sent_after_the_last_answer_of_a_connection_is_answered_or_reset_at_shutdown() {
+    let (_endpoint, _platform, sender) = sender_with_endpoint("last-answer", |_, _| reply(200, ""));
     let shutdown = AtomicBool::new(false);
     let ends: Vec<(RequestEnd, usize)> = thread::scope(|scope| {
         let clients: Vec<_> = (0..CLIENTS)
-            .map(|name| {
+            .map(|client_number| {
                 let client = sender.connect();
                 let shutdown = &shutdown;
-                scope.spawn(move || keep_busy(client, name, shutdown))
+                scope.spawn(move || keep_busy(client, client_number, shutdown))
             })
             .collect();
         thread::sleep(Duration::from_millis(200));
@@ -109,25 +116,25 @@
         .count();
     assert_eq!(
         dropped, 0,
-        "of {CLIENTS} connections, so many ended behind a request that was read"
+        "connections of {CLIENTS} that ended after their last request was read and not answered"
     );
     assert!(
         ends.iter().any(|(_, answered)| *answered > 1),
-        "requests behind an answer that ends its connection are answered, too"
+        "at least one connection must have more than one answer after the shutdown began"
     );
     assert_eq!(sender.wait_for_exit().code, Some(0));
 }
 
 #[test]
-fn a_request_behind_a_malformed_one_is_not_read() {
+fn a_request_sent_after_an_invalid_one_is_not_read_and_the_connection_is_reset() {
     let (_endpoint, _platform, sender) = sender_with_endpoint("malformed", |_, _| reply(200, ""));
     let mut client = sender.connect();
     send(&mut client, "nonsense\r\n\r\n");
     assert_eq!(read_status(&mut client), 400);
-    // The answer ends the connection; the client sends on all the same.
+    // The answer closes the connection, but the client sends another request.
     send(&mut client, &request("meter", "b", "9.0", "hello"));
     let mut rest = Vec::new();
     let end = client.read_to_end(&mut rest);
-    let was_reset = end.is_err() || is_reset_soon(client.get_ref());
+    let was_reset = end.is_err() || is_reset_in_time(client.get_ref());
     assert!(rest.is_empty() && was_reset, "{end:?}");
 }
--- a/crates/martenlatch/tests/shared_knowledge.rs
+++ b/crates/martenlatch/tests/shared_knowledge.rs
@@ -1,5 +1,5 @@
-//! What senders of a group learn from one another: snapshots at the start, knowledge retained over a restart, and peers
-//! that answer badly or not at all. Real processes on loopback.
+//! Knowledge that the senders of a group share: snapshots at the start, knowledge that is kept over a restart, and peers
+//! that answer incorrectly or not at all. Real processes on loopback.
 
 mod support;
 use support::*;
@@ -12,19 +12,20 @@
 use martenlatch_peers::wire::Page;
 
 #[test]
-fn a_backoff_asked_of_one_sender_binds_a_newcomer_that_learned_of_it_by_gossip() {
-    // The endpoint asks the first sender for a minute's backoff. Within it, the newcomer must not send its message.
-    let (endpoint, known) = one_endpoint(|_, _| reply(429, "X-Backoff-Ms: 60000\r\n"));
+fn a_backoff_requested_of_one_sender_is_observed_by_a_sender_that_joins_later() {
+    // The endpoint requests a backoff of one minute from the first sender. The sender that joins must observe it, too.
+    let (endpoint, known_endpoints) =
+        endpoint_and_list(|_, _| reply(429, "X-Backoff-Ms: 60000\r\n"));
     let platform = Platform::new(&[]);
-    let group = Group::new("wait", 2);
-    let first = group.start(0, &platform, &known, "");
+    let group = Group::new("backoff", 2);
+    let first = group.start(0, &platform, &known_endpoints, "");
     assert_eq!(first.submit("meter", "a", "1.0"), 202);
     endpoint.next_request();
     assert!(platform.next_status_report().contains("\"a\""));
-    let newcomer = group.start(1, &platform, &known, "");
-    assert_eq!(newcomer.submit("meter", "b", "1.0"), 202);
+    let joining = group.start(1, &platform, &known_endpoints, "");
+    assert_eq!(joining.submit("meter", "b", "1.0"), 202);
     assert!(platform.next_status_report().contains("\"b\""));
-    let log = newcomer.terminate().output;
+    let log = joining.terminate().output;
     assert!(
         log_line(&log, "learned from peers").contains("partners=1"),
         "{log}"
@@ -33,29 +34,32 @@
         log_line(&log, " counters held=").contains(" success=0 "),
         "{log}"
     );
-    assert_eq!(endpoint.request_count(), 0);
+    assert_eq!(endpoint.count_new_requests(), 0);
 }
 
 #[test]
-fn without_peers_a_newcomer_starts_at_once_without_knowledge() {
-    let (endpoint, known) = one_endpoint(|_, _| reply(200, ""));
+fn without_reachable_peers_a_sender_starts_without_knowledge_before_the_learning_timeout() {
+    let (endpoint, known_endpoints) = endpoint_and_list(|_, _| reply(200, ""));
     let platform = Platform::new(&[]);
     let group = Group::new("alone", 3);
-    let sender = group.start(0, &platform, &known, "learn_ms: 10000");
+    let sender = group.start(0, &platform, &known_endpoints, "learn_ms: 10000");
     assert_eq!(sender.submit("meter", "a", "5.0"), 202);
     endpoint.next_request();
     let log = sender.terminate().output;
-    let took_ms = number_in(&log_line(&log, "learned from peers"), "took_ms=");
-    assert!(took_ms < 9_000, "it waited for nobody: {took_ms} ms");
+    let took_ms = number_after(&log_line(&log, "learned from peers"), "took_ms=");
+    assert!(
+        took_ms < 9_000,
+        "it waited {took_ms} ms although no peer is reachable"
+    );
 }
 
 #[test]
-fn if_the_first_seeds_are_gone_the_next_are_asked() {
-    let (_endpoint, known) = one_endpoint(|_, _| reply(200, ""));
-    for alive in [1, 3, 6] {
+fn a_snapshot_is_requested_from_later_seeds_if_the_first_ones_are_unreachable() {
+    let (_endpoint, known_endpoints) = endpoint_and_list(|_, _| reply(200, ""));
+    for reachable in [1, 3, 6] {
         let platform = Platform::new(&[]);
-        let group = Group::new("gone", 7);
-        scripted_peer(group.seeds[alive], |query, stream| {
+        let group = Group::new("seeds", 7);
+        scripted_peer(group.addresses[reachable], |query, stream| {
             stream
                 .write_all(&seal(&Page::Digests {
                     no: query,
@@ -70,35 +74,35 @@
                 }))
                 .unwrap();
         });
-        let sender = group.start(0, &platform, &known, "");
+        let sender = group.start(0, &platform, &known_endpoints, "");
         let log = sender.terminate().output;
         assert!(
             log_line(&log, "learned from peers").contains("partners=1"),
-            "{alive}: {log}"
+            "seed {reachable}: {log}"
         );
     }
 }
 
 #[test]
-fn the_complete_pages_of_a_snapshot_that_breaks_off_are_used() {
-    let (_endpoint, known) = one_endpoint(|_, _| reply(200, ""));
+fn the_complete_pages_of_an_incomplete_snapshot_are_used() {
+    let (_endpoint, known_endpoints) = endpoint_and_list(|_, _| reply(200, ""));
     let platform = Platform::new(&[]);
-    let group = Group::new("cut", 2);
-    scripted_peer(group.seeds[1], |query, stream| {
-        let complete = seal(&Page::Digests {
+    let group = Group::new("partial", 2);
+    scripted_peer(group.addresses[1], |query, stream| {
+        let complete_page = seal(&Page::Digests {
             no: query,
             page: 0,
             digests: vec![digest(7), digest(8)],
         });
-        let half = seal(&Page::Digests {
+        let cut_page = seal(&Page::Digests {
             no: query,
             page: 1,
             digests: vec![digest(9)],
         });
-        stream.write_all(&complete).unwrap();
-        stream.write_all(&half[..half.len() / 2]).unwrap();
+        stream.write_all(&complete_page).unwrap();
+        stream.write_all(&cut_page[..cut_page.len() / 2]).unwrap();
     });
-    let sender = group.start(0, &platform, &known, "");
+    let sender = group.start(0, &platform, &known_endpoints, "");
     let log = sender.terminate().output;
     assert!(
         log_line(&log, "seed query failed").contains("closed"),
@@ -111,8 +115,8 @@
 }
 
 #[test]
-fn a_corrupt_oversized_or_unknown_page_is_rejected_and_the_sender_serves() {
-    let (endpoint, known) = one_endpoint(|_, _| reply(200, ""));
+fn a_corrupt_or_oversized_page_or_one_of_another_version_is_rejected_and_the_sender_serves() {
+    let (endpoint, known_endpoints) = endpoint_and_list(|_, _| reply(200, ""));
     for (test, corrupt) in [
         (
             "corrupt",
@@ -123,7 +127,7 @@
     ] {
         let platform = Platform::new(&[]);
         let group = Group::new(test, 2);
-        scripted_peer(group.seeds[1], move |query, stream| {
+        scripted_peer(group.addresses[1], move |query, stream| {
             let reported = Digest {
                 wait: 60_000.0,
                 outage: Some(ReportedOutage::Rejecting),
@@ -136,10 +140,10 @@
             });
             corrupt(&mut bytes);
             let _ = stream.write_all(&bytes);
-            // It keeps the connection open, and sends no more.
+            // The peer keeps the connection open and sends nothing more.
             let _ = stream.read(&mut [0; 1]);
         });
-        let sender = group.start(0, &platform, &known, "");
+        let sender = group.start(0, &platform, &known_endpoints, "");
         assert_eq!(sender.submit("meter", test, "5.0"), 202);
         assert_eq!(endpoint.next_request().id(), test);
         let log = sender.terminate().output;
@@ -151,11 +155,11 @@
 }
 
 #[test]
-fn an_endless_snapshot_is_bounded_in_time() {
-    let (endpoint, known) = one_endpoint(|_, _| reply(200, ""));
+fn a_snapshot_that_is_not_complete_in_time_is_aborted_and_the_sender_serves() {
+    let (endpoint, known_endpoints) = endpoint_and_list(|_, _| reply(200, ""));
     let platform = Platform::new(&[]);
     let group = Group::new("slow", 2);
-    scripted_peer(group.seeds[1], |query, stream| {
+    scripted_peer(group.addresses[1], |query, stream| {
         for number in 0..100_000 {
             let page = seal(&Page::Digests {
                 no: query,
@@ -168,7 +172,7 @@
             std::thread::sleep(Duration::from_millis(1));
         }
     });
-    let sender = group.start(0, &platform, &known, "learn_ms: 300");
+    let sender = group.start(0, &platform, &known_endpoints, "learn_ms: 300");
     assert_eq!(sender.submit("meter", "a", "5.0"), 202);
     endpoint.next_request();
     let log = sender.terminate().output;
@@ -177,14 +181,14 @@
 
 #[test]
 fn a_snapshot_of_ten_thousand_destinations_stays_within_memory_and_time() {
-    let (endpoint, known) = one_endpoint(|_, _| reply(200, ""));
+    let (endpoint, known_endpoints) = endpoint_and_list(|_, _| reply(200, ""));
     let platform = Platform::new(&[]);
     let group = Group::new("many", 2);
-    scripted_peer(group.seeds[1], |query, stream| {
-        let wide = LatencySketch::of((0..40).map(|power| 100.0 * 1.05f64.powi(power)));
+    scripted_peer(group.addresses[1], |query, stream| {
+        let large_sketch = LatencySketch::of((0..40).map(|power| 100.0 * 1.05f64.powi(power)));
         let all: Vec<Digest> = (0..10_000)
             .map(|destination| Digest {
-                latency: wide.clone(),
+                latency: large_sketch.clone(),
                 ..digest(destination)
             })
             .collect();
@@ -204,7 +208,7 @@
             .unwrap();
         let _ = stream.read(&mut [0; 1]);
     });
-    let sender = group.start(0, &platform, &known, "learn_ms: 10000");
+    let sender = group.start(0, &platform, &known_endpoints, "learn_ms: 10000");
     assert_eq!(sender.submit("meter", "a", "5.0"), 202);
     endpoint.next_request();
     let kb = sender.memory_kb();
@@ -217,12 +221,12 @@
 }
 
 #[test]
-fn an_unwritable_state_folder_stops_no_sender() {
-    let (endpoint, known) = one_endpoint(|_, _| reply(200, ""));
+fn a_sender_serves_if_its_peer_snapshot_can_be_neither_read_nor_written() {
+    let (endpoint, known_endpoints) = endpoint_and_list(|_, _| reply(200, ""));
     let platform = Platform::new(&[]);
-    let group = Group::new("stuck", 1);
-    let sender = group.start(0, &platform, &known, "keep: true");
-    // Folders in the places of both files stand for a disk that neither gives nor takes them.
+    let group = Group::new("nosave", 1);
+    let sender = group.start(0, &platform, &known_endpoints, "keep: true");
+    // Folders in the place of both files make them neither readable nor writable.
     let sender = sender.restart_with_state(|state| {
         std::fs::remove_file(state.join("peers")).unwrap();
         std::fs::create_dir(state.join("peers")).unwrap();
@@ -238,8 +242,8 @@
 }
 
 #[test]
-fn retained_knowledge_serves_the_restarted_sender_without_its_backoffs() {
-    let (endpoint, known) = one_endpoint(|number, _| {
+fn a_restarted_sender_restores_its_knowledge_except_backoffs() {
+    let (endpoint, known_endpoints) = endpoint_and_list(|number, _| {
         if number == 0 {
             reply(429, "X-Backoff-Ms: 9000\r\n")
         } else {
@@ -248,17 +252,17 @@
     });
     let platform = Platform::new(&[]);
     let group = Group::new("kept", 1);
-    let sender = group.start(0, &platform, &known, "keep: true");
+    let sender = group.start(0, &platform, &known_endpoints, "keep: true");
     assert_eq!(sender.submit("meter", "a", "0.5"), 202);
     endpoint.next_request();
     platform.next_status_report();
-    // What it knows is also stored at its shutdown.
+    // The knowledge is also saved at the shutdown.
     let sender = sender.terminate_and_restart();
     assert_eq!(sender.submit("meter", "b", "5.0"), 202);
     assert_eq!(
         endpoint.next_request().id(),
         "b",
-        "a backoff is not carried over a restart"
+        "a backoff does not outlast a restart"
     );
     let log = sender.terminate().output;
     let started = log_line(&log, "peers started");
--- a/crates/martenlatch/tests/support/endpoint.rs
+++ b/crates/martenlatch/tests/support/endpoint.rs
@@ -1,4 +1,4 @@
-//! A partner's endpoint, and the endpoint lists that name it.
+//! Scripted endpoints of a partner, and the endpoint lists that contain them.
 
 use std::io::{BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -10,7 +10,8 @@
 use super::TEST_TIMEOUT;
 use super::http::{HttpMessage, Reply, read_message};
 
-/// An endpoint that replies by a script, which is given the number of the request among all of them, from 0.
+/// An endpoint whose replies come from a script. The script gets each request with its number, which counts the requests
+/// of all connections from 0.
 pub struct Endpoint {
     pub address: SocketAddr,
     requests: Receiver<HttpMessage>,
@@ -25,16 +26,22 @@
         let (request_sender, requests) = channel();
         let (closed_sender, closed_connections) = channel();
         let script = Arc::new(script);
-        let count = Arc::new(AtomicUsize::new(0));
+        let request_count = Arc::new(AtomicUsize::new(0));
         thread::spawn(move || {
             for (connection, stream) in listener.incoming().enumerate() {
                 let stream = stream.unwrap();
                 let script = script.clone();
-                let count = count.clone();
+                let request_count = request_count.clone();
                 let request_sender = request_sender.clone();
                 let closed_sender = closed_sender.clone();
                 thread::spawn(move || {
-                    if serve(stream, connection, &*script, &count, &request_sender) {
+                    if serve(
+                        stream,
+                        connection,
+                        &*script,
+                        &request_count,
+                        &request_sender,
+                    ) {
                         let _ = closed_sender.send(connection);
                     }
                 });
@@ -51,33 +58,33 @@
     pub fn next_request(&self) -> HttpMessage {
         self.requests
             .recv_timeout(TEST_TIMEOUT)
-            .expect("no request came")
+            .expect("no request arrived")
     }
 
-    /// The requests that have come and were not yet looked at.
-    pub fn requests_so_far(&self) -> Vec<HttpMessage> {
+    /// Takes the requests that have arrived since the last look, without waiting.
+    pub fn take_new_requests(&self) -> Vec<HttpMessage> {
         self.requests.try_iter().collect()
     }
 
-    /// The number of [`Endpoint::requests_so_far`].
-    pub fn request_count(&self) -> usize {
+    /// Takes the same requests and returns their number.
+    pub fn count_new_requests(&self) -> usize {
         self.requests.try_iter().count()
     }
 }
 
-/// Replies to the requests of one connection. Returns whether the sender ended it.
+/// Replies to the requests of one connection. Returns whether the sender closed it.
 fn serve(
     stream: TcpStream,
     connection: usize,
     script: &(impl Fn(usize, &HttpMessage) -> Reply + ?Sized),
-    count: &AtomicUsize,
+    request_count: &AtomicUsize,
     requests: &Sender<HttpMessage>,
 ) -> bool {
     let mut stream = BufReader::new(stream);
     while let Some(request) = read_message(&mut stream, connection) {
-        let number = count.fetch_add(1, Ordering::SeqCst);
+        let number = request_count.fetch_add(1, Ordering::SeqCst);
         let reply = script(number, &request);
-        // The test sees a request only once its response, or its end, has been written.
+        // The test sees a request only after the response has been written or the connection has been closed.
         let _ = stream.get_mut().write_all(reply.bytes.as_bytes());
         if reply.close {
             let _ = stream.get_ref().shutdown(Shutdown::Both);
@@ -97,7 +104,7 @@
     )
 }
 
-/// An endpoint list of a revision: a complete one, or one of changes.
+/// An endpoint list with a revision: either all endpoints or only the changed ones.
 pub fn endpoint_list(revision: u64, complete: bool, entries: &[String]) -> String {
     format!(
         r#"{{"rev":{revision},"all":{complete},"targets":[{}]}}"#,
@@ -105,8 +112,8 @@
     )
 }
 
-/// An endpoint, and a list of only that.
-pub fn one_endpoint(
+/// An endpoint, and an endpoint list that contains only this endpoint.
+pub fn endpoint_and_list(
     script: impl Fn(usize, &HttpMessage) -> Reply + Send + Sync + 'static,
 ) -> (Endpoint, String) {
     let endpoint = Endpoint::new(script);
@@ -115,25 +122,25 @@
     (endpoint, list)
 }
 
-/// Holds replies back until it is opened.
+/// Delays replies until the test opens it.
 #[derive(Clone, Default)]
-pub struct Gate(Arc<GateState>);
+pub struct ReplyGate(Arc<ReplyGateState>);
 
 #[derive(Default)]
-struct GateState {
+struct ReplyGateState {
     is_open: Mutex<bool>,
     opened: Condvar,
 }
 
-impl Gate {
-    /// Lets all that wait pass, and all that come later.
+impl ReplyGate {
+    /// Releases all current and later waiters.
     pub fn open(&self) {
         *self.0.is_open.lock().unwrap() = true;
         self.0.opened.notify_all();
     }
 
     /// Waits until the gate is open.
-    pub fn pass(&self) {
+    pub fn wait_until_open(&self) {
         let is_open = self.0.is_open.lock().unwrap();
         let waited = self
             .0
--- a/crates/martenlatch/tests/support/group.rs
+++ b/crates/martenlatch/tests/support/group.rs
@@ -1,4 +1,4 @@
-//! Senders that know one another, and scripted peers of them.
+//! Senders that are peers of one another, and scripted peers.
 
 use std::io::Read;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -17,21 +17,21 @@
 
 const SECRET: &str = "a secret of these tests";
 
-/// A group of senders: a directory for their files, and an address for each.
+/// A group of senders: a directory for their files, and the address of each for its peers.
 pub struct Group {
     pub folder: PathBuf,
-    pub seeds: Vec<SocketAddr>,
+    pub addresses: Vec<SocketAddr>,
 }
 
-/// What `martenlatch members` has printed.
+/// The result of `martenlatch members`.
 pub struct MemberList {
     pub succeeded: bool,
-    /// The list, or the error.
+    /// The list, or the error if the command failed.
     pub output: String,
 }
 
 impl Group {
-    /// A group of `count` senders. `test` names its directory.
+    /// A group of `count` senders. `test` becomes a part of the name of its directory.
     pub fn new(test: &str, count: usize) -> Group {
         let process = std::process::id();
         let folder = std::env::temp_dir().join(format!("martenlatch-group-{test}-{process}"));
@@ -39,47 +39,53 @@
         std::fs::create_dir_all(&folder).unwrap();
         std::fs::write(folder.join("secret"), SECRET).unwrap();
         Group {
-            seeds: (0..count).map(|_| free_address()).collect(),
+            addresses: (0..count).map(|_| free_address()).collect(),
             folder,
         }
     }
 
-    /// Writes the settings file of a sender. `more` goes into its `peers`.
-    fn write_settings(&self, number: usize, more: &str) -> PathBuf {
+    /// Writes the settings file of a sender. `peer_settings` is added to its `peers`.
+    fn write_settings(&self, number: usize, peer_settings: &str) -> PathBuf {
         let file = self.folder.join(format!("settings-{number}"));
         let seeds: String = self
-            .seeds
+            .addresses
             .iter()
             .map(|seed| format!(" seed: \"{seed}\""))
             .collect();
         let secret = self.folder.join("secret");
-        let learn = if more.contains("learn_ms") {
+        let default_learn_ms = if peer_settings.contains("learn_ms") {
             ""
         } else {
             "learn_ms: 5000"
         };
         let text = format!(
-            "peers {{ listen: \"{}\" secret_file: {:?} {learn} period_ms: 100 {seeds} {more} }}\n",
-            self.seeds[number],
+            "peers {{ listen: \"{}\" secret_file: {:?} {default_learn_ms} period_ms: 100 {seeds} {peer_settings} }}\n",
+            self.addresses[number],
             secret.display().to_string()
         );
         std::fs::write(&file, text).unwrap();
         file
     }
 
-    /// Starts a sender of the group.
-    pub fn start(&self, number: usize, platform: &Platform, known: &str, more: &str) -> Sender {
+    /// Starts the sender with this number, named `n` and the number.
+    pub fn start(
+        &self,
+        number: usize,
+        platform: &Platform,
+        known_endpoints: &str,
+        peer_settings: &str,
+    ) -> Sender {
         let group = self.folder.file_name().unwrap().to_string_lossy();
         Sender::start_named(
             &format!("{group}-{number}"),
             platform,
-            known,
+            known_endpoints,
             &format!("n{number}"),
-            &self.write_settings(number, more),
+            &self.write_settings(number, peer_settings),
         )
     }
 
-    /// Asks a sender for the members that it knows.
+    /// Queries a sender for the members that it knows.
     pub fn members(&self, number: usize) -> MemberList {
         let file = self.folder.join(format!("settings-{number}"));
         let output = Command::new(env!("CARGO_BIN_EXE_martenlatch"))
@@ -99,21 +105,21 @@
         }
     }
 
-    /// Waits until a sender lists another one in this state.
-    pub fn wait_until_listed(&self, number: usize, other: &str, state: &str) {
+    /// Waits until a sender lists a member in this state.
+    pub fn wait_until_listed(&self, number: usize, member: &str, state: &str) {
         let start = Instant::now();
         loop {
             let list = self.members(number).output;
             let found = list.lines().any(|line| {
                 let mut words = line.split_whitespace();
-                words.next() == Some(other) && words.next() == Some(state)
+                words.next() == Some(member) && words.next() == Some(state)
             });
             if found {
                 return;
             }
             assert!(
                 start.elapsed() < TEST_TIMEOUT,
-                "{other} never was {state} to n{number}:\n{list}"
+                "n{number} never listed {member} as {state}:\n{list}"
             );
             std::thread::sleep(Duration::from_millis(50));
         }
@@ -128,8 +134,8 @@
 
 /// An address that nothing else in these tests uses, with a port that is free for TCP and UDP.
 fn free_address() -> SocketAddr {
-    static NEXT: AtomicU32 = AtomicU32::new(0);
-    let number = NEXT.fetch_add(1, Ordering::Relaxed) as u8 + 1;
+    static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
+    let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed) as u8 + 1;
     let process = std::process::id();
     let ip = Ipv4Addr::new(
         127,
@@ -143,8 +149,8 @@
     SocketAddr::from((ip, port.expect("a free port")))
 }
 
-/// Stands for a sender of the group: accepts one connection, reads the query for a snapshot, and lets the script answer
-/// its number.
+/// Plays a sender of the group: accepts one connection and reads the query for a snapshot. The script gets the number of
+/// the query and writes the response.
 pub fn scripted_peer(
     address: SocketAddr,
     script: impl FnOnce(u64, &mut TcpStream) + Send + 'static,
@@ -157,7 +163,8 @@
     });
 }
 
-/// The socket that found the address free may live on for a moment in a process that is being started.
+/// Listens on an address, with retries: a process that is just being started may briefly inherit the socket that
+/// [`free_address`] bound.
 fn bind(address: SocketAddr) -> TcpListener {
     let start = Instant::now();
     loop {
@@ -192,12 +199,12 @@
     Secret::new(SECRET.as_bytes())
 }
 
-/// A page as a peer sends it.
+/// The frame of a page, as a peer of the group sends it.
 pub fn seal(page: &Page) -> Vec<u8> {
     secret().seal_page(page)
 }
 
-/// What a peer knows of a destination that works.
+/// What a peer knows about a destination whose endpoints answer.
 pub fn digest(destination: u64) -> Digest {
     Digest {
         served: 9.0,
@@ -214,8 +221,8 @@
         .to_string()
 }
 
-/// The number behind a key such as `took_ms=` in a line of the log.
-pub fn number_in(line: &str, key: &str) -> u64 {
+/// The number after a key such as `took_ms=` in a line of the log.
+pub fn number_after(line: &str, key: &str) -> u64 {
     let (_, value) = line.split_once(key).unwrap();
     value.split(' ').next().unwrap().parse().unwrap()
 }
--- a/crates/martenlatch/tests/support/http.rs
+++ b/crates/martenlatch/tests/support/http.rs
@@ -1,21 +1,21 @@
-//! Requests and responses as the scripted peers read and write them.
+//! HTTP requests and responses, as the tests' clients, endpoints and platforms read and write them.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 
-/// A request or a response as a peer has read it.
+/// A request or a response that was read.
 #[derive(Debug)]
 pub struct HttpMessage {
     /// The request line or the status line.
     pub first_line: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// The number of the connection on which it came, from 0.
+    /// The number of the connection on which it arrived, from 0.
     pub connection: usize,
 }
 
 impl HttpMessage {
-    /// The first value of a header, or nothing.
+    /// The first value of a header; empty if there is none.
     pub fn header(&self, name: &str) -> &str {
         self.headers
             .iter()
@@ -73,21 +73,21 @@
     client.get_mut().write_all(text.as_bytes()).unwrap();
 }
 
-/// Reads a response as a client; its status.
+/// Reads a response as a client and returns its status.
 pub fn read_status(client: &mut BufReader<TcpStream>) -> u16 {
     status_of(&read_message(client, 0).expect("the connection was closed"))
 }
 
-/// What a scripted endpoint does with a request.
+/// How a scripted endpoint replies to a request.
 pub struct Reply {
-    /// What it writes; nothing if it stays silent.
+    /// The bytes that it writes; empty for no response.
     pub bytes: String,
-    /// Whether it closes the connection then.
+    /// Whether it closes the connection afterwards.
     pub close: bool,
 }
 
 impl Reply {
-    /// Writes these bytes, whatever they are, and leaves the connection open.
+    /// Writes these bytes, valid HTTP or not, and leaves the connection open.
     pub fn raw(bytes: &str) -> Reply {
         Reply {
             bytes: bytes.to_string(),
@@ -104,7 +104,7 @@
     }
 }
 
-/// A response without a body. `headers` are further header lines, each with its line end.
+/// A response without a body. `headers` are additional header lines, each with its line end.
 pub fn reply(status: u16, headers: &str) -> Reply {
     Reply::raw(&format!(
         "HTTP/1.1 {status} X\r\nContent-Length: 0\r\n{headers}\r\n"
@@ -125,7 +125,7 @@
     )
 }
 
-/// Writes byte by byte: whatever the sender reads comes in pieces.
+/// Writes byte by byte, so that the sender reads the text in pieces.
 pub(super) fn write_in_pieces(stream: &mut TcpStream, text: &str) {
     let _ = stream.set_nodelay(true);
     let _ = text.bytes().try_for_each(|byte| stream.write_all(&[byte]));
--- a/crates/martenlatch/tests/support/launch.rs
+++ b/crates/martenlatch/tests/support/launch.rs
@@ -1,4 +1,4 @@
-//! What a process of the program under test is started with: its directories, addresses, configuration and environment.
+//! How a process of the program under test is started: its directories, addresses, configuration and environment.
 
 use super::WallClock;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpStream};
@@ -6,29 +6,30 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-const SETTINGS: &str = r#"{"Areas":["a"],"Zone":"a","Balancers":1,"Kinds":["k"],"WeightKind":"rough","Categories":[
+/// The platform's settings, with a non-idempotent class `debit` and a class `meter` that uses idempotency keys.
+const PLATFORM_SETTINGS: &str = r#"{"Areas":["a"],"Zone":"a","Balancers":1,"Kinds":["k"],"WeightKind":"rough","Categories":[
 {"Name":"debit","Target":3000000000,"Deadline":16000000000,"Effect":"side_effect","Worth":1,"LateWorth":0.4},
 {"Name":"meter","Target":3000000000,"Deadline":16000000000,"Effect":"token","KeyScope":"all","MemorySpan":60000000000,"Worth":1,"LateWorth":0.4}],
 "FamilyInfo":{"CallsOut":8,"LosesWorth":"halving"},
 "Limits":{"OpenCap":50,"AttemptsCap":8,"Cancel":true,"SecondCopies":true,"ConnectTimeout":1000000000,"ConnIdle":15000000000,"RetryAfter":true,"MaxRetryAfter":3000000000},
 "Guarantees":{"StopSendingWithin":1000000000,"GraceToAnswer":20000000,"OverloadFactor":2,"OverloadFor":3000000000,"ColdFrom":0.22,"Cold":9200000000},"Tick":5000000}"#;
 
-/// What a process of the sender is started with.
-pub(super) struct Launch {
+/// The options with which each process of a sender is started.
+pub(super) struct LaunchOptions {
     /// Holds the configuration, the state directory and the temporary directory.
     pub folder: PathBuf,
     pub discovery: SocketAddr,
     pub name: String,
     /// The program's own settings file.
     pub settings: Option<PathBuf>,
-    /// Outranks the configuration's address for operators, which another process may still have.
+    /// Overrides the configuration's address for operators, which a replaced process may still occupy.
     pub operator: Option<SocketAddr>,
-    /// The clock that its processes go by, if not the right one.
+    /// The wall clock of its processes; `None` for the system's.
     pub wall_clock: Option<WallClock>,
 }
 
-impl Launch {
-    /// Starts a process. `operator` outranks the configuration's address for operators.
+impl LaunchOptions {
+    /// Starts a process. `operator` overrides the configuration's address for operators.
     pub fn spawn(&self, operator: Option<SocketAddr>) -> Child {
         let mut command = Command::new(env!("CARGO_BIN_EXE_martenlatch"));
         command.env_remove("PROXY_OPERATOR");
@@ -55,24 +56,24 @@
     }
 }
 
-/// Writes a sender's configuration. `known` is its first endpoint list.
+/// Writes a sender's configuration file. `known_endpoints` is the endpoint list that the sender starts with.
 pub(super) fn write_config(
     folder: &Path,
     listen: SocketAddr,
     operator: SocketAddr,
     discovery: SocketAddr,
-    known: &str,
+    known_endpoints: &str,
     disk_mb: f64,
 ) {
     let config = format!(
         r#"{{"name":"n0","listen":"{listen}","operator":"{operator}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
-        "limits":{{"cores":1.0,"memory_mb":192,"sockets":1024,"disk_mb":{disk_mb}}},"known":{known},"settings":{SETTINGS}}}"#
+        "limits":{{"cores":1.0,"memory_mb":192,"sockets":1024,"disk_mb":{disk_mb}}},"known":{known_endpoints},"settings":{PLATFORM_SETTINGS}}}"#
     );
     std::fs::write(folder.join("config.json"), config).unwrap();
 }
 
-/// The directories of a test's sender, all empty.
-pub(super) fn create_folder(test: &str) -> PathBuf {
+/// Creates a folder for a test's sender, with an empty state directory and an empty temporary directory.
+pub(super) fn create_test_folder(test: &str) -> PathBuf {
     let name = format!("martenlatch-{test}-{}", std::process::id());
     let folder = std::env::temp_dir().join(name);
     let _ = std::fs::remove_dir_all(&folder);
@@ -81,10 +82,10 @@
     folder
 }
 
-/// A loopback address for each sender: on a shared one, another test's peer may get the freed port.
-pub(super) fn own_ip() -> Ipv4Addr {
-    static STARTED: AtomicU32 = AtomicU32::new(0);
-    let number = STARTED.fetch_add(1, Ordering::Relaxed);
+/// A loopback address of its own for each sender. On a shared address, a freed port may be given to another test's peer.
+pub(super) fn next_loopback_ip() -> Ipv4Addr {
+    static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
+    let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
     let process = std::process::id();
     Ipv4Addr::new(
         127,
@@ -94,8 +95,8 @@
     )
 }
 
-/// Addresses where nobody listens. They are connected to, not bound: what this process binds, a process that another
-/// thread is just starting holds for a moment longer, and the program under test would find its address taken.
+/// Addresses on which nobody listens. Each is tried by connecting, not by binding: a process that another thread is just
+/// starting may briefly inherit a bound socket, and the program under test would find its address in use.
 pub(super) fn free_addresses(ip: IpAddr) -> impl Iterator<Item = SocketAddr> {
     (20_000..30_000)
         .map(move |port| SocketAddr::new(ip, port))
--- a/crates/martenlatch/tests/support/mod.rs
+++ b/crates/martenlatch/tests/support/mod.rs
@@ -1,6 +1,7 @@
-//! What the tests of the program share: the program under test as a process, and scripted peers, all on loopback.
+//! Shared by the tests of the program: the program under test as a process, and scripted endpoints, platforms, clients
+//! and peers, all on loopback.
 //!
-//! Timeouts here only end a test that hangs; no verdict depends on a clock. Each test file uses a part of this module.
+//! The timeouts here only end a test that hangs; no result depends on a clock. Each test file uses a part of this module.
 #![allow(dead_code, unused_imports)]
 
 mod endpoint;
@@ -13,28 +14,31 @@
 
 use std::time::{Duration, Instant};
 
-pub use endpoint::{Endpoint, Gate, endpoint_entry, endpoint_list, one_endpoint};
-pub use group::{Group, digest, log_line, number_in, scripted_peer, seal, secret};
+pub use endpoint::{Endpoint, ReplyGate, endpoint_and_list, endpoint_entry, endpoint_list};
+pub use group::{Group, digest, log_line, number_after, scripted_peer, seal, secret};
 pub use http::{
     HttpMessage, Reply, no_reply, read_message, read_status, reply, request, send, status_of,
 };
 pub use platform::{Platform, chunk};
-pub use sender::{Exit, Replacement, Sender, call_operator, sender_with_endpoint};
+pub use sender::{ProcessExit, Replacement, Sender, call_operator, sender_with_endpoint};
 pub use wall_clock::WallClock;
 
-/// How long a test waits for anything before it fails.
+/// How long a test waits for any single condition before it fails.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Waits until a condition holds.
-pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+/// Waits until a condition is true. `description` says which one, for the failure message.
+pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < TEST_TIMEOUT, "never seen: {what}");
+        assert!(
+            start.elapsed() < TEST_TIMEOUT,
+            "not reached in time: {description}"
+        );
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// A short name for a test case, from its text: each case needs a directory of its own.
+/// A short name for a test case, derived from its text, so that each case has a directory of its own.
 pub fn case_name(text: &str) -> String {
     let hash = text
         .bytes()
--- a/crates/martenlatch/tests/support/platform.rs
+++ b/crates/martenlatch/tests/support/platform.rs
@@ -9,22 +9,22 @@
 use super::TEST_TIMEOUT;
 use super::http::{read_message, write_in_pieces};
 
-/// The status with which a report is confirmed.
+/// The status that confirms a report.
 const CONFIRMED: u16 = 204;
 
 /// A scripted platform.
 pub struct Platform {
     pub address: SocketAddr,
-    /// The lines of the reports that were confirmed.
+    /// The lines of the confirmed reports.
     pub status_reports: Receiver<String>,
     watchers: Arc<Mutex<Vec<TcpStream>>>,
     watch_requests: Receiver<String>,
 }
 
-/// What the connections of a platform share.
+/// The state that the connections of a platform share.
 #[derive(Clone)]
 struct Connections {
-    /// The statuses of the first replies to reports; all others are confirmed.
+    /// The statuses of the replies to the first reports; all later ones are confirmed.
     first_statuses: &'static [u16],
     report_count: Arc<Mutex<usize>>,
     report_sender: Sender<String>,
@@ -33,8 +33,8 @@
 }
 
 impl Platform {
-    /// Replies to the first reports with the given statuses and confirms all others. Status 0 closes the connection
-    /// without a reply.
+    /// A platform that replies to the first reports with the given statuses and confirms all others. Status 0 closes the
+    /// connection without a reply.
     pub fn new(first_statuses: &'static [u16]) -> Platform {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -66,24 +66,24 @@
     pub fn next_status_report(&self) -> String {
         self.status_reports
             .recv_timeout(TEST_TIMEOUT)
-            .expect("no status report came")
+            .expect("no status report arrived")
     }
 
-    /// Waits for a watch, and sends it a line.
-    pub fn push(&self, line: &str) {
-        self.next_watch();
-        self.push_raw(&chunk(line));
+    /// Waits for the next watch, then sends a line to all watches.
+    pub fn push_line(&self, line: &str) {
+        self.next_watch_request();
+        self.push_bytes(&chunk(line));
     }
 
-    /// Waits for the next watch; its request line.
-    pub fn next_watch(&self) -> String {
+    /// Waits for the next watch and returns its request line.
+    pub fn next_watch_request(&self) -> String {
         self.watch_requests
             .recv_timeout(TEST_TIMEOUT)
-            .expect("nobody watches")
+            .expect("no watch was opened")
     }
 
     /// Sends bytes to all watches.
-    pub fn push_raw(&self, bytes: &str) {
+    pub fn push_bytes(&self, bytes: &str) {
         for stream in self.watchers.lock().unwrap().iter_mut() {
             write_in_pieces(stream, bytes);
         }
@@ -124,7 +124,7 @@
     }
 }
 
-/// A line of a watch, as the chunk that carries it.
+/// The HTTP chunk that contains one line of a watch.
 pub fn chunk(line: &str) -> String {
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
 }
--- a/crates/martenlatch/tests/support/sender.rs
+++ b/crates/martenlatch/tests/support/sender.rs
@@ -6,9 +6,11 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command};
 
-use super::endpoint::{Endpoint, one_endpoint};
+use super::endpoint::{Endpoint, endpoint_and_list};
 use super::http::{HttpMessage, Reply, read_message, request, status_of};
-use super::launch::{Launch, create_folder, free_addresses, own_ip, write_config};
+use super::launch::{
+    LaunchOptions, create_test_folder, free_addresses, next_loopback_ip, write_config,
+};
 use super::platform::Platform;
 use super::wall_clock::WallClock;
 use super::{TEST_TIMEOUT, wait_until};
@@ -18,76 +20,96 @@
 
 const HEALTH_CHECK: &str = "GET /healthz HTTP/1.1\r\n\r\n";
 
-/// How a process has ended.
-pub struct Exit {
+/// How a process ended.
+pub struct ProcessExit {
     pub code: Option<i32>,
-    /// What it wrote: its log or, if it could not start, its errors.
+    /// Its log or, if it could not start, its errors.
     pub output: String,
 }
 
 /// A process that is to replace the one that serves.
 pub struct Replacement {
     pub process: Child,
-    /// Where operators call it.
+    /// The address on which operators connect.
     pub operator: SocketAddr,
 }
 
-/// The program under test. It is killed, and its directories are removed, when this is dropped.
+/// A sender: a process of the program under test. Dropping it kills the process and removes its directories.
 pub struct Sender {
-    /// Where clients connect.
+    /// The address on which clients connect.
     pub address: SocketAddr,
-    /// Where operators call.
+    /// The address on which operators connect.
     pub operator: SocketAddr,
     process: Child,
-    launch: Launch,
+    launch: LaunchOptions,
 }
 
 impl Replacement {
-    /// Waits until it answers operators that it does not serve yet.
+    /// Waits until its answer to operators is that it is not serving yet.
     pub fn wait_until_not_serving(&self) {
-        wait_until("the replacement waits", || {
+        wait_until("the replacement waits for the serving process", || {
             call_operator(self.operator, "health\n") == "NAK not serving yet\n"
         });
     }
 }
 
 impl Sender {
-    /// Starts a sender that knows an endpoint list. `test` names its directory.
-    pub fn start(test: &str, platform: &Platform, known: &str) -> Sender {
-        Sender::start_as(test, platform, known, DISK_MB, "n0", None)
+    /// Starts a sender with an endpoint list. `test` becomes a part of the name of its directory.
+    pub fn start(test: &str, platform: &Platform, known_endpoints: &str) -> Sender {
+        Sender::start_with_options(test, platform, known_endpoints, DISK_MB, "n0", None)
     }
 
     /// Starts a sender with a disk limit in MB.
-    pub fn start_with_disk(test: &str, platform: &Platform, known: &str, disk_mb: f64) -> Sender {
-        Sender::start_as(test, platform, known, disk_mb, "n0", None)
+    pub fn start_with_disk(
+        test: &str,
+        platform: &Platform,
+        known_endpoints: &str,
+        disk_mb: f64,
+    ) -> Sender {
+        Sender::start_with_options(test, platform, known_endpoints, disk_mb, "n0", None)
     }
 
-    /// Starts one of several senders, by its name and with settings of its own.
+    /// Starts one of several senders, with a name and a settings file.
     pub fn start_named(
         test: &str,
         platform: &Platform,
-        known: &str,
+        known_endpoints: &str,
         name: &str,
         settings: &Path,
     ) -> Sender {
-        Sender::start_as(test, platform, known, DISK_MB, name, Some(settings))
+        Sender::start_with_options(
+            test,
+            platform,
+            known_endpoints,
+            DISK_MB,
+            name,
+            Some(settings),
+        )
     }
 
-    fn start_as(
+    fn start_with_options(
         test: &str,
         platform: &Platform,
-        known: &str,
+        known_endpoints: &str,
         disk_mb: f64,
         name: &str,
         settings: Option<&Path>,
     ) -> Sender {
-        let folder = create_folder(test);
-        // Below the ports that connections are given: one that tried this address too early could hold it itself.
-        let mut addresses = free_addresses(own_ip().into());
+        let folder = create_test_folder(test);
+        // Below the range of ports that the system gives to outgoing connections: a connection attempt to this address
+        // before the sender listens could otherwise get the same port and occupy the address itself.
+        let mut addresses = free_addresses(next_loopback_ip().into());
         let address = addresses.next().expect("a free port");
         let operator = addresses.next().expect("a free port");
-        write_config(&folder, address, operator, platform.address, known, disk_mb);
-        let launch = Launch {
+        write_config(
+            &folder,
+            address,
+            operator,
+            platform.address,
+            known_endpoints,
+            disk_mb,
+        );
+        let launch = LaunchOptions {
             folder,
             discovery: platform.address,
             name: name.to_string(),
@@ -101,12 +123,12 @@
             process: launch.spawn(None),
             launch,
         }
-        .when_healthy()
+        .wait_until_healthy()
     }
 
     fn restart(mut self) -> Sender {
         self.process = self.launch.spawn(self.launch.operator);
-        self.when_healthy()
+        self.wait_until_healthy()
     }
 
     fn kill_and_wait(&mut self) {
@@ -114,7 +136,7 @@
         self.process.wait().unwrap();
     }
 
-    /// Starts a process beside the one that serves, which it is to replace. Operators call it elsewhere.
+    /// Starts a process that replaces the serving one. It has another address for operators.
     pub fn start_replacement(&self) -> Replacement {
         let operator = free_addresses(self.address.ip())
             .next()
@@ -125,8 +147,8 @@
         }
     }
 
-    /// Waits until a replacement serves and the replaced process has ended.
-    pub fn be_replaced_by(&mut self, replacement: Replacement) -> Exit {
+    /// Waits until a replacement serves and the replaced process has exited.
+    pub fn wait_until_replaced_by(&mut self, replacement: Replacement) -> ProcessExit {
         let operator = replacement.operator;
         wait_until("the replacement serves", || {
             call_operator(operator, "health\n").starts_with("ACK")
@@ -135,16 +157,16 @@
         self.launch.operator = Some(operator);
         let mut replaced = std::mem::replace(&mut self.process, replacement.process);
         let output = read_stdout(&mut replaced);
-        Exit {
+        ProcessExit {
             code: replaced.wait().unwrap().code(),
             output,
         }
     }
 
-    /// Replaces the process by a new one, without anything in its way.
-    pub fn replace(&mut self) -> Exit {
+    /// Starts a replacement and waits until it has replaced the serving process.
+    pub fn replace(&mut self) -> ProcessExit {
         let replacement = self.start_replacement();
-        self.be_replaced_by(replacement)
+        self.wait_until_replaced_by(replacement)
     }
 
     /// The state directory.
@@ -152,7 +174,7 @@
         self.launch.folder.join("state")
     }
 
-    /// The socket where a process and its replacement meet.
+    /// The Unix socket on which the serving process accepts a replacement.
     pub fn replacement_socket(&self) -> PathBuf {
         std::fs::read_dir(self.launch.folder.join("tmp"))
             .unwrap()
@@ -162,13 +184,13 @@
             .path()
     }
 
-    fn when_healthy(self) -> Sender {
+    fn wait_until_healthy(self) -> Sender {
         wait_until("the sender serves", || self.is_healthy());
         self
     }
 
-    /// A socket that was only tried lives on for a moment in a process that another thread starts just then: a
-    /// connection may still come up there, and end without a response.
+    /// Whether the sender answers a health check. A process that another thread is just starting may briefly inherit a
+    /// socket of this address, so that a connection can be established there and end without a response.
     fn is_healthy(&self) -> bool {
         let Ok(mut stream) = TcpStream::connect(self.address) else {
             return false;
@@ -179,6 +201,7 @@
             .is_some_and(|response| status_of(&response) == 200)
     }
 
+    /// Kills it and removes its directories.
     pub fn kill(mut self) {
         self.kill_and_wait();
     }
@@ -188,7 +211,7 @@
         self.restart()
     }
 
-    /// Kills it, steps its wall clock, and starts it again.
+    /// Kills it and starts it again with a wall clock that `step` has set.
     pub fn restart_with_wall_clock(mut self, step: impl FnOnce(&WallClock)) -> Sender {
         self.kill_and_wait();
         let wall_clock = WallClock::build(&self.launch.folder);
@@ -197,13 +220,13 @@
         self.restart()
     }
 
-    /// Starts it again once it has ended.
+    /// Waits until it has exited, and starts it again.
     pub fn restart_after_exit(mut self) -> Sender {
         self.process.wait().unwrap();
         self.restart()
     }
 
-    /// Kills it, changes its state directory, and starts it again.
+    /// Kills it, lets `change` modify its state directory, and starts it again.
     pub fn restart_with_state(mut self, change: impl FnOnce(&Path)) -> Sender {
         self.kill_and_wait();
         change(&self.state_folder());
@@ -217,13 +240,13 @@
         self.restart()
     }
 
-    /// Starts it again with a configuration with which it cannot start: its exit code and its errors.
-    pub fn restart_with_bad_config(mut self, from: &str, to: &str) -> Exit {
+    /// Kills it and starts it again with an invalid configuration. Returns the exit code and the errors.
+    pub fn restart_with_bad_config(mut self, from: &str, to: &str) -> ProcessExit {
         self.kill_and_wait();
         self.change_config(from, to);
         let process = self.launch.spawn(self.launch.operator);
         let output = process.wait_with_output().unwrap();
-        Exit {
+        ProcessExit {
             code: output.status.code(),
             output: String::from_utf8(output.stderr).unwrap(),
         }
@@ -235,7 +258,7 @@
         assert!(status.success());
     }
 
-    /// Replaces a text in the configuration file, which a running process does not read again by itself.
+    /// Replaces a text in the configuration file. A running process does not read the file again by itself.
     pub fn change_config(&self, from: &str, to: &str) {
         let path = self.launch.folder.join("config.json");
         let config = std::fs::read_to_string(&path).unwrap();
@@ -243,21 +266,21 @@
         std::fs::write(&path, config.replace(from, to)).unwrap();
     }
 
-    /// Changes the configuration and tells the sender to read it again, which it has done when this returns.
+    /// Changes the configuration and waits until the sender has read it again.
     pub fn reload(&self, from: &str, to: &str) {
         self.change_config(from, to);
         self.signal("HUP");
-        self.complete_round();
+        self.wait_for_round_end();
     }
 
-    /// Waits for the end of the event loop's present round: the second of two requests is answered in a later one.
-    pub fn complete_round(&self) {
+    /// Waits for the end of the current round of the event loop: the second of two requests is answered in a later round.
+    pub fn wait_for_round_end(&self) {
         for _ in 0..2 {
             assert_eq!(self.exchange(HEALTH_CHECK), 200);
         }
     }
 
-    /// Its resident memory.
+    /// Its resident memory in KiB.
     pub fn memory_kb(&self) -> u64 {
         let file = format!("/proc/{}/status", self.process.id());
         let status = std::fs::read_to_string(file).unwrap();
@@ -267,38 +290,38 @@
     }
 
     /// Tells it to shut down, and waits until it has.
-    pub fn terminate(self) -> Exit {
+    pub fn terminate(self) -> ProcessExit {
         self.signal("TERM");
         self.wait_for_exit()
     }
 
-    /// Waits until it has ended by itself.
-    pub fn wait_for_exit(mut self) -> Exit {
+    /// Waits until it exits by itself.
+    pub fn wait_for_exit(mut self) -> ProcessExit {
         let output = read_stdout(&mut self.process);
-        Exit {
+        ProcessExit {
             code: self.process.wait().unwrap().code(),
             output,
         }
     }
 
-    /// Tells it to shut down, and returns the log line with its last counters.
+    /// Tells it to shut down, and returns the last log line with its counters.
     pub fn terminate_for_counters(self) -> String {
         let log = self.terminate().output;
         log.lines()
             .rfind(|line| line.contains(" counters held="))
-            .expect("counters at the exit")
+            .expect("counters logged at the exit")
             .to_string()
     }
 
-    /// Calls it as an operator does.
+    /// Sends it a text as an operator, and returns the answer.
     pub fn call_operator(&self, text: &str) -> String {
         call_operator(self.operator, text)
     }
 
-    /// The counters that it gives operators, by name and without their prefix. Operators' calls are answered before the
-    /// rest of a round, so the present round has to end first.
+    /// The counters that it reports to operators, by their names without the prefix. Within a round, operators are
+    /// answered before all other work, so this waits for the end of the current round first.
     pub fn operator_counters(&self) -> BTreeMap<String, u64> {
-        self.complete_round();
+        self.wait_for_round_end();
         let answer = self.call_operator("counters\n");
         let lines = answer
             .strip_prefix("ACK figures\n")
@@ -322,7 +345,7 @@
     pub fn exchange(&self, text: &str) -> u16 {
         let mut stream = self.connect();
         let _ = stream.get_mut().write_all(text.as_bytes());
-        status_of(&read_message(&mut stream, 0).expect("no response came"))
+        status_of(&read_message(&mut stream, 0).expect("no response arrived"))
     }
 
     /// Submits a message on a new connection, and returns the status of the response.
@@ -339,14 +362,14 @@
     }
 }
 
-/// An endpoint, a platform, and a sender that knows them.
+/// An endpoint, a platform, and a sender that uses both.
 pub fn sender_with_endpoint(
     test: &str,
     script: impl Fn(usize, &HttpMessage) -> Reply + Send + Sync + 'static,
 ) -> (Endpoint, Platform, Sender) {
-    let (endpoint, known) = one_endpoint(script);
+    let (endpoint, known_endpoints) = endpoint_and_list(script);
     let platform = Platform::new(&[]);
-    let sender = Sender::start(test, &platform, &known);
+    let sender = Sender::start(test, &platform, &known_endpoints);
     (endpoint, platform, sender)
 }
 
@@ -357,7 +380,8 @@
     output
 }
 
-/// Calls an operators' address: all that it answers until it closes the connection, or nothing where nobody listens.
+/// Sends a text to an address for operators. Returns the answer up to the end of the connection, which is empty if nobody
+/// listens.
 pub fn call_operator(address: SocketAddr, text: &str) -> String {
     let mut answer = String::new();
     if let Ok(mut stream) = TcpStream::connect(address) {
--- a/crates/martenlatch/tests/support/wall_clock.rs
+++ b/crates/martenlatch/tests/support/wall_clock.rs
@@ -1,4 +1,4 @@
-//! A wall clock that a test steps: the laboratory's library of system faults, loaded into the sender.
+//! A wall clock that a test can step, by the laboratory's fault-injection library, which is preloaded into the sender.
 
 use std::fs::File;
 use std::os::unix::fs::FileExt;
@@ -6,7 +6,7 @@
 use std::process::Command;
 use std::time::Duration;
 
-/// The size of the library's control block; the first field is the offset of the wall clock, in nanoseconds.
+/// Size of the library's control block in bytes. Its first field is the offset of the wall clock in nanoseconds.
 const CONTROL_BYTES: usize = 24;
 
 /// The wall clock of one sender.
@@ -17,7 +17,7 @@
 }
 
 impl WallClock {
-    /// Builds the library in a folder. The clock is right at first.
+    /// Builds the library in a folder. The offset of the clock is 0 at first.
     pub fn build(folder: &Path) -> WallClock {
         let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("../lab/shim/faults.c");
         let library = folder.join("libfaults.so");
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The environment of a process that goes by this clock.
+    /// The environment variables that make a process use this clock.
     pub fn environment(&self) -> Vec<(&'static str, PathBuf)> {
         vec![
             ("LD_PRELOAD", self.library.clone()),
@@ -46,12 +46,12 @@
         ]
     }
 
-    /// Sets it forward from the right time.
+    /// Sets the clock ahead of the system's time.
     pub fn set_forward(&self, by: Duration) {
         self.set_offset(by.as_nanos() as i64);
     }
 
-    /// Sets it back from the right time.
+    /// Sets the clock behind the system's time.
     pub fn set_back(&self, by: Duration) {
         self.set_offset(-(by.as_nanos() as i64));
     }
--- a/crates/martenlatch/tests/wall_clock.rs
+++ b/crates/martenlatch/tests/wall_clock.rs
@@ -1,4 +1,4 @@
-//! The wall clock is stepped while no process of the sender runs: what was accepted keeps its time.
+//! The wall clock is stepped while no process of the sender runs: accepted messages keep their deadlines.
 
 mod support;
 use support::*;
@@ -13,15 +13,19 @@
         0 => reply(429, "X-Backoff-Ms: 5000\r\n"),
         _ => reply(200, ""),
     });
-    // It has a key: it may be sent again whether or not the sender has read the first answer.
+    // The message has an idempotency key, so it is sent again whether or not the sender has read the first answer.
     assert_eq!(sender.submit("meter", "f1", "16.0"), 202);
     assert_eq!(endpoint.next_request().id(), "f1");
     let _sender = sender.restart_with_wall_clock(|clock| clock.set_forward(HOUR));
-    assert_eq!(endpoint.next_request().id(), "f1", "its time is not up");
+    assert_eq!(
+        endpoint.next_request().id(),
+        "f1",
+        "its deadline has not passed"
+    );
 }
 
 #[test]
-fn a_message_ends_in_its_time_after_the_wall_clock_was_set_back() {
+fn messages_end_at_their_deadline_after_the_wall_clock_was_set_back() {
     let (endpoint, platform, sender) = sender_with_endpoint("back", |_, _| no_reply());
     assert_eq!(sender.submit("debit", "b1", "3.0"), 202);
     assert_eq!(endpoint.next_request().id(), "b1");
