--- a/crates/martenlatch/tests/delivery.rs
+++ b/crates/martenlatch/tests/delivery.rs
@@ -42,8 +42,8 @@
         r#"{"id":"u1","status":"undeliverable"}"#
     );
     assert_eq!(endpoint.count_new_requests(), 0, "the attempt may have run");
-    // The final status is recorded: after another restart the message is neither reported nor sent again. The round must
-    // end before the kill, so that the confirmation of the report has been read and recorded.
+    // The final status is recorded: after another restart the message is neither reported nor sent again. The round
+    // must end before the kill, so that the confirmation of the report has been read and recorded.
     sender.wait_for_round_end();
     let sender = sender.kill_and_restart();
     assert_eq!(sender.submit("debit", "u2", "16.0"), 202);
--- a/crates/martenlatch/tests/late_answers.rs
+++ b/crates/martenlatch/tests/late_answers.rs
@@ -31,8 +31,8 @@
     reply(200, "")
 }
 
-/// Guards against a message that is completed by an answer from after its deadline without a status report: the platform
-/// does not count such an answer and needs the report to learn the final status.
+/// Guards against completing a message without a status report when its answer was written after the deadline: the
+/// platform does not count such an answer and learns the final status only from the report.
 #[test]
 fn a_message_whose_answer_was_written_after_its_deadline_is_reported() {
     let submission = SubmissionTime::default();
@@ -44,7 +44,7 @@
     let sender = Sender::start("late-answers", &platform, &known_endpoints);
     for number in 0..MESSAGES {
         let id = format!("late-{number}");
-        // Taken before the first byte is written: the platform may count from a later time, but not from an earlier one.
+        // Taken before the first byte is written: the platform counts from this time or from a later one.
         *submission.lock().unwrap() = Some(Instant::now());
         assert_eq!(sender.submit("debit", &id, TIMEOUT_HEADER), 202);
         thread::sleep(TIMEOUT + PAUSE);
--- a/crates/martenlatch/tests/lifecycle.rs
+++ b/crates/martenlatch/tests/lifecycle.rs
@@ -119,10 +119,10 @@
     old.next_watch_request();
     assert_eq!(sender.submit("debit", "l1", "0.3"), 202);
     // The old platform does not confirm the status report. An invalid configuration does not change the address.
-    sender.reload(r#""seed":"#, r#""seed":!"#);
+    sender.reload_config(r#""seed":"#, r#""seed":!"#);
     assert!(new.status_reports.try_recv().is_err());
-    sender.reload(r#""seed":!"#, r#""seed":"#);
-    sender.reload(&old.address.to_string(), &new.address.to_string());
+    sender.reload_config(r#""seed":!"#, r#""seed":"#);
+    sender.reload_config(&old.address.to_string(), &new.address.to_string());
     assert!(
         new.next_status_report()
             .starts_with(r#"{"id":"l1","status":"deferred""#)
@@ -171,7 +171,7 @@
         &platform,
         &endpoint_list(1, true, &[]),
     );
-    let exit = sender.restart_with_bad_config(from, to);
+    let exit = sender.restart_with_invalid_config(from, to);
     let errors = exit.output;
     assert!(exit.code.is_some_and(|code| code != 0));
     assert!(
@@ -180,8 +180,8 @@
     );
 }
 
-/// Guards against requests to endpoints that started to drain while the start of the sender was delayed: the endpoint list
-/// in its configuration is outdated by then.
+/// Guards against requests to endpoints that started to drain while the start of the sender was delayed: the endpoint
+/// list in its configuration is outdated by then.
 #[test]
 fn after_a_delayed_start_nothing_is_sent_before_discovery_pushes_an_endpoint_list() {
     let (endpoint, platform, sender) = sender_with_endpoint("delayed-start", |_, _| no_reply());
--- a/crates/martenlatch/tests/operation.rs
+++ b/crates/martenlatch/tests/operation.rs
@@ -123,7 +123,7 @@
         sender_with_endpoint("rejected-counters", |_, _| no_reply());
     let mut expected = ExpectedCounters::default();
     for number in 0..4 {
-        // Until discovery has pushed a list, an unlisted destination may be a new one, so the request is rejected with 503.
+        // Until discovery has pushed a list, an unlisted destination gets a 503 because it may be a new one.
         let unlisted =
             request("meter", &format!("d{number}"), "16.0", "x").replace("dest=7", "dest=8");
         assert_eq!(sender.exchange(&unlisted), 503);
@@ -201,7 +201,7 @@
     let platform = Platform::new(&[]);
     let sender = Sender::start("invalid-operator", &platform, &endpoint_list(1, true, &[]));
     let from = format!("\"operator\":\"{}\"", sender.operator);
-    let exit = sender.restart_with_bad_config(&from, "\"operator\":7");
+    let exit = sender.restart_with_invalid_config(&from, "\"operator\":7");
     let errors = exit.output;
     assert_eq!(exit.code, Some(1), "{errors}");
     assert!(
--- a/crates/martenlatch/tests/replacement.rs
+++ b/crates/martenlatch/tests/replacement.rs
@@ -13,8 +13,8 @@
 
 const HEALTH_CHECK: &str = "GET /healthz HTTP/1.1\r\n\r\n";
 
-/// Submits up to 200 messages on one connection, alternately debits and meter readings. Stops earlier if `stop` is set and
-/// more than 20 have been submitted. Returns the ids of the accepted ones.
+/// Submits up to 200 messages on one connection, alternately debits and meter readings. Stops earlier if `stop` is set
+/// and more than 20 have been submitted. Returns the ids of the accepted ones.
 fn submit_under_load(address: SocketAddr, client_number: usize, stop: &AtomicBool) -> Vec<String> {
     let stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -171,8 +171,8 @@
     assert!(platform.status_reports.try_recv().is_err());
 }
 
-/// Submits large debits, numbered from `first`, until one is rejected or 40 are accepted. Returns the number of accepted
-/// ones.
+/// Submits large debits, numbered from `first`, until one is rejected or 40 are accepted. Returns the number of
+/// accepted ones.
 fn fill_disk(sender: &Sender, first: usize) -> usize {
     let body = "x".repeat(2_000);
     let submit = |number: &usize| {
@@ -224,8 +224,8 @@
 fn idle_connections_over_the_limit_are_closed_and_partly_read_requests_are_passed_on() {
     let (endpoint, _platform, sender) =
         sender_with_endpoint("replace-limit", |_, _| reply(200, ""));
-    // Of 256 descriptors, clients may use 115. Connections that are passed on are open in two processes for a moment, so at
-    // most 104 are passed on.
+    // Of 256 descriptors, clients may use 115. Connections that are passed on are open in two processes for a moment,
+    // so at most 104 are passed on.
     sender.change_config("\"sockets\":1024", "\"sockets\":256");
     let mut sender = sender.kill_and_restart();
     let mut clients: Vec<_> = (0..113).map(|_| sender.connect()).collect();
--- a/crates/martenlatch/tests/replacement_failures.rs
+++ b/crates/martenlatch/tests/replacement_failures.rs
@@ -7,8 +7,8 @@
 use std::io::{Read, Write};
 use std::os::unix::net::UnixStream;
 
-/// The test connects as a replacement, sends `query`, reads `bytes` bytes, which must start with `expected`, and closes the
-/// connection.
+/// The test connects as a replacement, sends `query`, reads `bytes` bytes, which must start with `expected`, and closes
+/// the connection.
 #[rstest]
 #[case::silent("", 0, "")]
 #[case::closed_after_its_query("martenlatch 1 LISTEN\n", 0, "")]
@@ -200,10 +200,8 @@
 }
 
 #[test]
-fn a_process_that_gets_sigterm_during_a_replacement_ends_and_the_next_one_sends_its_status_reports()
-{
-    // The platform does not confirm the first three status reports, so that one is pending when the old process is
-    // told to shut down.
+fn a_process_that_gets_sigterm_during_a_replacement_ends_and_the_next_one_resumes_its_messages() {
+    // The platform rejects the first three status reports, so the sender repeats its report until it is confirmed.
     let platform = Platform::new(&[500; 3]);
     let mut sender = Sender::start("replace-sigterm", &platform, &endpoint_list(1, true, &[]));
     assert_eq!(sender.submit("debit", "pending-1", "0.3"), 202);
--- a/crates/martenlatch/tests/requests_at_shutdown.rs
+++ b/crates/martenlatch/tests/requests_at_shutdown.rs
@@ -65,8 +65,8 @@
     false
 }
 
-/// Sends requests on one connection until it ends, even after an answer with `Connection: close`. Returns the result of the
-/// last request and the number of requests that were answered after the shutdown began.
+/// Sends requests on one connection until it ends, even after an answer with `Connection: close`. Returns the result of
+/// the last request and the number of requests that were answered after the shutdown began.
 fn keep_busy(
     mut client: BufReader<TcpStream>,
     client_number: usize,
@@ -90,8 +90,10 @@
     unreachable!("the connection ends no later than the process")
 }
 
+/// Guards against requests that the sender reads after an answer with `Connection: close` and then drops: their clients
+/// see the end of the stream instead of a reset and cannot tell that the requests were not processed.
 #[test]
-fn a_request_sent_after_the_last_answer_of_a_connection_is_answered_or_reset_at_shutdown() {
+fn at_shutdown_each_request_on_a_busy_connection_is_answered_or_its_connection_reset() {
     let (_endpoint, _platform, sender) = sender_with_endpoint("last-answer", |_, _| reply(200, ""));
     let shutdown = AtomicBool::new(false);
     let ends: Vec<(RequestEnd, usize)> = thread::scope(|scope| {
@@ -116,11 +118,11 @@
         .count();
     assert_eq!(
         dropped, 0,
-        "connections of {CLIENTS} that ended after their last request was read and not answered"
+        "number of {CLIENTS} connections that ended after a request was read and not answered"
     );
     assert!(
         ends.iter().any(|(_, answered)| *answered > 1),
-        "at least one connection must have more than one answer after the shutdown began"
+        "requests after an answer with `Connection: close` must be answered, too"
     );
     assert_eq!(sender.wait_for_exit().code, Some(0));
 }
--- a/crates/martenlatch/tests/shared_knowledge.rs
+++ b/crates/martenlatch/tests/shared_knowledge.rs
@@ -1,5 +1,5 @@
-//! Knowledge that the senders of a group share: snapshots at the start, knowledge that is kept over a restart, and peers
-//! that answer incorrectly or not at all. Real processes on loopback.
+//! Knowledge that the senders of a group share: snapshots at the start, knowledge that is kept over a restart, and
+//! peers that answer incorrectly or not at all. Real processes on loopback.
 
 mod support;
 use support::*;
@@ -12,7 +12,7 @@
 use martenlatch_peers::wire::Page;
 
 #[test]
-fn a_backoff_requested_of_one_sender_is_observed_by_a_sender_that_joins_later() {
+fn a_backoff_requested_of_one_sender_is_observed_by_a_joining_sender_that_learns_of_it() {
     // The endpoint requests a backoff of one minute from the first sender. The sender that joins must observe it, too.
     let (endpoint, known_endpoints) =
         endpoint_and_list(|_, _| reply(429, "X-Backoff-Ms: 60000\r\n"));
--- a/crates/martenlatch/tests/support/endpoint.rs
+++ b/crates/martenlatch/tests/support/endpoint.rs
@@ -10,8 +10,8 @@
 use super::TEST_TIMEOUT;
 use super::http::{HttpMessage, Reply, read_message};
 
-/// An endpoint whose replies come from a script. The script gets each request with its number, which counts the requests
-/// of all connections from 0.
+/// An endpoint whose replies come from a script. The script gets each request with its number, which counts the
+/// requests of all connections from 0.
 pub struct Endpoint {
     pub address: SocketAddr,
     requests: Receiver<HttpMessage>,
--- a/crates/martenlatch/tests/support/group.rs
+++ b/crates/martenlatch/tests/support/group.rs
@@ -33,8 +33,8 @@
 impl Group {
     /// A group of `count` senders. `test` becomes a part of the name of its directory.
     pub fn new(test: &str, count: usize) -> Group {
-        let process = std::process::id();
-        let folder = std::env::temp_dir().join(format!("martenlatch-group-{test}-{process}"));
+        let process_id = std::process::id();
+        let folder = std::env::temp_dir().join(format!("martenlatch-group-{test}-{process_id}"));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).unwrap();
         std::fs::write(folder.join("secret"), SECRET).unwrap();
@@ -136,11 +136,11 @@
 fn free_address() -> SocketAddr {
     static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
     let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed) as u8 + 1;
-    let process = std::process::id();
+    let process_id = std::process::id();
     let ip = Ipv4Addr::new(
         127,
-        1 + (process % 200) as u8,
-        251 + (process / 200 % 4) as u8,
+        1 + (process_id % 200) as u8,
+        251 + (process_id / 200 % 4) as u8,
         number,
     );
     let port = (20_000..30_000).find(|port| {
@@ -149,8 +149,8 @@
     SocketAddr::from((ip, port.expect("a free port")))
 }
 
-/// Plays a sender of the group: accepts one connection and reads the query for a snapshot. The script gets the number of
-/// the query and writes the response.
+/// Plays a sender of the group: accepts one connection and reads the query for a snapshot. The script gets the number
+/// of the query and writes the response.
 pub fn scripted_peer(
     address: SocketAddr,
     script: impl FnOnce(u64, &mut TcpStream) + Send + 'static,
@@ -158,8 +158,8 @@
     let listener = bind(address);
     std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
-        let query = read_query(&mut stream);
-        script(query, &mut stream);
+        let query_number = read_query(&mut stream);
+        script(query_number, &mut stream);
     });
 }
 
@@ -180,6 +180,7 @@
     }
 }
 
+/// Reads the query for a snapshot and returns its number.
 fn read_query(stream: &mut TcpStream) -> u64 {
     let secret = secret();
     let mut received = Vec::new();
--- a/crates/martenlatch/tests/support/launch.rs
+++ b/crates/martenlatch/tests/support/launch.rs
@@ -82,21 +82,21 @@
     folder
 }
 
-/// A loopback address of its own for each sender. On a shared address, a freed port may be given to another test's peer.
+/// A separate loopback address for each sender. On a shared one, a freed port may be given to another test's peer.
 pub(super) fn next_loopback_ip() -> Ipv4Addr {
     static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
     let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
-    let process = std::process::id();
+    let process_id = std::process::id();
     Ipv4Addr::new(
         127,
-        1 + (process % 200) as u8,
-        (process / 200 % 250) as u8,
+        1 + (process_id % 200) as u8,
+        (process_id / 200 % 250) as u8,
         1 + number as u8,
     )
 }
 
-/// Addresses on which nobody listens. Each is tried by connecting, not by binding: a process that another thread is just
-/// starting may briefly inherit a bound socket, and the program under test would find its address in use.
+/// Addresses on which nobody listens. Each is tried by connecting, not by binding: a process that another thread is
+/// just starting may briefly inherit a bound socket, and the program under test would find its address in use.
 pub(super) fn free_addresses(ip: IpAddr) -> impl Iterator<Item = SocketAddr> {
     (20_000..30_000)
         .map(move |port| SocketAddr::new(ip, port))
--- a/crates/martenlatch/tests/support/mod.rs
+++ b/crates/martenlatch/tests/support/mod.rs
@@ -1,7 +1,7 @@
 //! Shared by the tests of the program: the program under test as a process, and scripted endpoints, platforms, clients
 //! and peers, all on loopback.
 //!
-//! The timeouts here only end a test that hangs; no result depends on a clock. Each test file uses a part of this module.
+//! The timeouts only end a test that hangs; no result depends on a clock. Each test file uses a part of this module.
 #![allow(dead_code, unused_imports)]
 
 mod endpoint;
--- a/crates/martenlatch/tests/support/platform.rs
+++ b/crates/martenlatch/tests/support/platform.rs
@@ -33,8 +33,8 @@
 }
 
 impl Platform {
-    /// A platform that replies to the first reports with the given statuses and confirms all others. Status 0 closes the
-    /// connection without a reply.
+    /// A platform that replies to the first reports with the given statuses and confirms all others. Status 0 closes
+    /// the connection without a reply.
     pub fn new(first_statuses: &'static [u16]) -> Platform {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
--- a/crates/martenlatch/tests/support/sender.rs
+++ b/crates/martenlatch/tests/support/sender.rs
@@ -241,7 +241,7 @@
     }
 
     /// Kills it and starts it again with an invalid configuration. Returns the exit code and the errors.
-    pub fn restart_with_bad_config(mut self, from: &str, to: &str) -> ProcessExit {
+    pub fn restart_with_invalid_config(mut self, from: &str, to: &str) -> ProcessExit {
         self.kill_and_wait();
         self.change_config(from, to);
         let process = self.launch.spawn(self.launch.operator);
@@ -267,13 +267,13 @@
     }
 
     /// Changes the configuration and waits until the sender has read it again.
-    pub fn reload(&self, from: &str, to: &str) {
+    pub fn reload_config(&self, from: &str, to: &str) {
         self.change_config(from, to);
         self.signal("HUP");
         self.wait_for_round_end();
     }
 
-    /// Waits for the end of the current round of the event loop: the second of two requests is answered in a later round.
+    /// Waits for the end of the event loop's current round: the second of two requests is answered in a later round.
     pub fn wait_for_round_end(&self) {
         for _ in 0..2 {
             assert_eq!(self.exchange(HEALTH_CHECK), 200);
@@ -380,8 +380,8 @@
     output
 }
 
-/// Sends a text to an address for operators. Returns the answer up to the end of the connection, which is empty if nobody
-/// listens.
+/// Sends a text to an address for operators. Returns the answer up to the end of the connection, which is empty if
+/// nobody listens.
 pub fn call_operator(address: SocketAddr, text: &str) -> String {
     let mut answer = String::new();
     if let Ok(mut stream) = TcpStream::connect(address) {
--- a/crates/martenlatch/tests/support/wall_clock.rs
+++ b/crates/martenlatch/tests/support/wall_clock.rs
@@ -21,13 +21,13 @@
     pub fn build(folder: &Path) -> WallClock {
         let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("../lab/shim/faults.c");
         let library = folder.join("libfaults.so");
-        let built = Command::new("cc")
+        let status = Command::new("cc")
             .args(["-shared", "-fPIC", "-o"])
             .arg(&library)
             .arg(source)
             .arg("-ldl")
             .status();
-        assert!(built.unwrap().success(), "cc builds the library");
+        assert!(status.unwrap().success(), "cc builds the library");
         let control_path = folder.join("control");
         let control = File::create(&control_path).unwrap();
         control.write_all_at(&[0; CONTROL_BYTES], 0).unwrap();
