--- a/crates/martenlatch/src/inspect.rs
+++ b/crates/martenlatch/src/inspect.rs
@@ -9,7 +9,7 @@
 
 /// Prints the messages that are not complete, one per line.
 pub fn show(folder: &Path, json: bool) -> Result<(), CommandError> {
-    let log = open(folder)?;
+    let log = open_log(folder)?;
     let now = Clock::after(&log.recovered.clock).now();
     for record in log.recovered.open.values() {
         let left_ms = record.deadline - now;
@@ -24,7 +24,7 @@
 
 /// Prints a summary of the log. Returns whether all of its bytes belong to complete records.
 pub fn verify(folder: &Path) -> Result<bool, CommandError> {
-    let log = open(folder)?;
+    let log = open_log(folder)?;
     let damaged_bytes = log.size - log.valid_bytes();
     let is_intact = damaged_bytes == 0;
     let messages = log.recovered.open.values();
@@ -42,7 +42,7 @@
     Ok(is_intact)
 }
 
-fn open(folder: &Path) -> Result<LogInspection, CommandError> {
+fn open_log(folder: &Path) -> Result<LogInspection, CommandError> {
     LogInspection::open(folder).map_err(|source| CommandError::OpenWriteAheadLog {
         folder: folder.to_path_buf(),
         source,
--- a/crates/martenlatch/tests/cli.rs
+++ b/crates/martenlatch/tests/cli.rs
@@ -15,7 +15,7 @@
 }
 
 /// Runs the program and returns its exit code, its output and its errors.
-fn run(args: &[&str]) -> (Option<i32>, String, String) {
+fn run_program(args: &[&str]) -> (Option<i32>, String, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_martenlatch"));
     for variable in ["PROXY_CONFIG", "PROXY_STATE", "MARTENLATCH_SETTINGS"] {
         command.env_remove(variable);
@@ -48,11 +48,11 @@
 ) {
     let file = create_folder(&format!("settings-{}", text.len())).join("own.textproto");
     std::fs::write(&file, text).unwrap();
-    let (code, out, err) = run(&["check", "--settings", file.to_str().unwrap()]);
-    assert_eq!((code, out.as_str()), (Some(1), ""));
+    let (code, stdout, stderr) = run_program(&["check", "--settings", file.to_str().unwrap()]);
+    assert_eq!((code, stdout.as_str()), (Some(1), ""));
     assert!(
-        err.contains(&format!("{}{expected}", file.display())) && err.lines().count() == 1,
-        "{err}"
+        stderr.contains(&format!("{}{expected}", file.display())) && stderr.lines().count() == 1,
+        "{stderr}"
     );
 }
 
@@ -63,35 +63,38 @@
     #[case] command: &str,
 ) {
     let state = create_folder(command);
-    let (code, out, _) = run(&[command, "verify", state.to_str().unwrap()]);
+    let (code, stdout, _) = run_program(&[command, "verify", state.to_str().unwrap()]);
     assert_eq!(
-        (code, out.starts_with("whole bytes=0")),
+        (code, stdout.starts_with("whole bytes=0")),
         (Some(0), true),
         "a folder without a log file is valid"
     );
     let file = state.join("ledger");
     std::fs::write(&file, b"mlatch1\n\x05\x00\x00\x00torn").unwrap();
     let before = std::fs::read(&file).unwrap();
-    let (code, out, _) = run(&[command, "verify", state.to_str().unwrap()]);
+    let (code, stdout, _) = run_program(&[command, "verify", state.to_str().unwrap()]);
     assert_eq!(
-        (code, out.trim_end().ends_with("damaged_bytes=8")),
+        (code, stdout.trim_end().ends_with("damaged_bytes=8")),
         (Some(3), true),
-        "{out}"
+        "{stdout}"
     );
-    let (code, out, _) = run(&[command, "show", state.to_str().unwrap()]);
-    assert_eq!((code, out.as_str()), (Some(0), ""));
+    let (code, stdout, _) = run_program(&[command, "show", state.to_str().unwrap()]);
+    assert_eq!((code, stdout.as_str()), (Some(0), ""));
     assert_eq!(std::fs::read(&file).unwrap(), before);
-    let (code, _, err) = run(&[command, "show", "/no/such/folder"]);
-    assert!(code == Some(1) && err.contains("/no/such/folder"), "{err}");
+    let (code, _, stderr) = run_program(&[command, "show", "/no/such/folder"]);
+    assert!(
+        code == Some(1) && stderr.contains("/no/such/folder"),
+        "{stderr}"
+    );
 }
 
 #[test]
 fn an_unknown_command_exits_with_code_2_and_the_help_lists_exit_codes_and_variables() {
-    assert_eq!(run(&["srve"]).0, Some(2));
-    let (code, out, _) = run(&["--help"]);
+    assert_eq!(run_program(&["srve"]).0, Some(2));
+    let (code, stdout, _) = run_program(&["--help"]);
     assert!(
-        code == Some(0) && out.contains("Exit codes:") && out.contains("PROXY_STATE"),
-        "{out}"
+        code == Some(0) && stdout.contains("Exit codes:") && stdout.contains("PROXY_STATE"),
+        "{stdout}"
     );
-    assert!(run(&["check"]).2.contains("PROXY_CONFIG"));
+    assert!(run_program(&["check"]).2.contains("PROXY_CONFIG"));
 }
--- a/crates/martenlatch/tests/lifecycle.rs
+++ b/crates/martenlatch/tests/lifecycle.rs
@@ -132,7 +132,7 @@
         "GET /v1/servers?watch=1&from=0 HTTP/1.1",
         "revisions of the old platform do not apply to the new one"
     );
-    new.push_bytes(&chunk(&endpoint_list(
+    new.push_bytes(&watch_chunk(&endpoint_list(
         3,
         true,
         &[endpoint_entry("s-1", endpoint.address, "in_service")],
--- a/crates/martenlatch/tests/members.rs
+++ b/crates/martenlatch/tests/members.rs
@@ -12,7 +12,7 @@
 fn members_that_join_die_leave_and_return_are_listed_in_that_state() {
     let (_endpoint, known_endpoints) = endpoint_and_list(|_, _| reply(200, ""));
     let platform = Platform::new(&[]);
-    let group = Group::new("members", 4);
+    let group = SenderGroup::new("members", 4);
     let first = group.start(0, &platform, &known_endpoints, "");
     let mut others: Vec<Sender> = (1..4)
         .map(|number| group.start(number, &platform, &known_endpoints, ""))
@@ -47,7 +47,7 @@
 fn unauthenticated_datagrams_and_idle_connections_are_dropped_and_counted_and_clients_are_served() {
     let (endpoint, known_endpoints) = endpoint_and_list(|_, _| reply(200, ""));
     let platform = Platform::new(&[]);
-    let group = Group::new("flood", 1);
+    let group = SenderGroup::new("flood", 1);
     let sender = group.start(0, &platform, &known_endpoints, "");
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let mut connections = Vec::new();
@@ -76,7 +76,7 @@
 fn a_query_with_another_secret_gets_no_response_and_a_short_secret_is_rejected() {
     let (_endpoint, known_endpoints) = endpoint_and_list(|_, _| reply(200, ""));
     let platform = Platform::new(&[]);
-    let group = Group::new("secret", 1);
+    let group = SenderGroup::new("secret", 1);
     let _sender = group.start(0, &platform, &known_endpoints, "");
     let mut stream = TcpStream::connect(group.addresses[0]).unwrap();
     let other_secret = Secret::new(b"the secret of another group");
--- a/crates/martenlatch/tests/operation.rs
+++ b/crates/martenlatch/tests/operation.rs
@@ -253,12 +253,12 @@
     /// Removes the cordoned endpoint from the list, and lists it again at another address.
     fn remove_and_list_again(&self, sender: &Sender, platform: &Platform) {
         let removed = endpoint_entry("s-a", self.cordoned.address, "terminated");
-        platform.push_bytes(&chunk(&endpoint_list(3, false, &[removed])));
+        platform.push_bytes(&watch_chunk(&endpoint_list(3, false, &[removed])));
         wait_until("one is listed", || {
             sender.operator_counters()["cluster_size"] == 1
         });
         let moved = endpoint_entry("s-a", self.moved.address, "in_service");
-        platform.push_bytes(&chunk(&endpoint_list(4, false, &[moved])));
+        platform.push_bytes(&watch_chunk(&endpoint_list(4, false, &[moved])));
         wait_until("both are listed", || {
             sender.operator_counters()["cluster_size"] == 2
         });
@@ -385,7 +385,7 @@
         false,
         &[endpoint_entry("s-2", endpoint.address, "in_service")],
     );
-    platform.push_bytes(&chunk(&change));
+    platform.push_bytes(&watch_chunk(&change));
     wait_until("both are listed", || {
         sender.operator_counters()["cluster_size"] == 2
     });
--- a/crates/martenlatch/tests/shared_knowledge.rs
+++ b/crates/martenlatch/tests/shared_knowledge.rs
@@ -17,7 +17,7 @@
     let (endpoint, known_endpoints) =
         endpoint_and_list(|_, _| reply(429, "X-Backoff-Ms: 60000\r\n"));
     let platform = Platform::new(&[]);
-    let group = Group::new("backoff", 2);
+    let group = SenderGroup::new("backoff", 2);
     let first = group.start(0, &platform, &known_endpoints, "");
     assert_eq!(first.submit("meter", "a", "1.0"), 202);
     endpoint.next_request();
@@ -41,7 +41,7 @@
 fn without_reachable_peers_a_sender_starts_without_knowledge_before_the_learning_timeout() {
     let (endpoint, known_endpoints) = endpoint_and_list(|_, _| reply(200, ""));
     let platform = Platform::new(&[]);
-    let group = Group::new("alone", 3);
+    let group = SenderGroup::new("alone", 3);
     let sender = group.start(0, &platform, &known_endpoints, "learn_ms: 10000");
     assert_eq!(sender.submit("meter", "a", "5.0"), 202);
     endpoint.next_request();
@@ -58,7 +58,7 @@
     let (_endpoint, known_endpoints) = endpoint_and_list(|_, _| reply(200, ""));
     for reachable in [1, 3, 6] {
         let platform = Platform::new(&[]);
-        let group = Group::new("seeds", 7);
+        let group = SenderGroup::new("seeds", 7);
         scripted_peer(group.addresses[reachable], |query, stream| {
             stream
                 .write_all(&seal(&Page::Digests {
@@ -87,20 +87,20 @@
 fn the_complete_pages_of_an_incomplete_snapshot_are_used() {
     let (_endpoint, known_endpoints) = endpoint_and_list(|_, _| reply(200, ""));
     let platform = Platform::new(&[]);
-    let group = Group::new("partial", 2);
+    let group = SenderGroup::new("partial", 2);
     scripted_peer(group.addresses[1], |query, stream| {
-        let complete_page = seal(&Page::Digests {
+        let complete = seal(&Page::Digests {
             no: query,
             page: 0,
             digests: vec![digest(7), digest(8)],
         });
-        let cut_page = seal(&Page::Digests {
+        let half = seal(&Page::Digests {
             no: query,
             page: 1,
             digests: vec![digest(9)],
         });
-        stream.write_all(&complete_page).unwrap();
-        stream.write_all(&cut_page[..cut_page.len() / 2]).unwrap();
+        stream.write_all(&complete).unwrap();
+        stream.write_all(&half[..half.len() / 2]).unwrap();
     });
     let sender = group.start(0, &platform, &known_endpoints, "");
     let log = sender.terminate().output;
@@ -126,7 +126,7 @@
         ("version", |bytes| bytes[0] = 9),
     ] {
         let platform = Platform::new(&[]);
-        let group = Group::new(test, 2);
+        let group = SenderGroup::new(test, 2);
         scripted_peer(group.addresses[1], move |query, stream| {
             let reported = Digest {
                 wait: 60_000.0,
@@ -158,7 +158,7 @@
 fn a_snapshot_that_is_not_complete_in_time_is_aborted_and_the_sender_serves() {
     let (endpoint, known_endpoints) = endpoint_and_list(|_, _| reply(200, ""));
     let platform = Platform::new(&[]);
-    let group = Group::new("slow", 2);
+    let group = SenderGroup::new("slow", 2);
     scripted_peer(group.addresses[1], |query, stream| {
         for number in 0..100_000 {
             let page = seal(&Page::Digests {
@@ -183,7 +183,7 @@
 fn a_snapshot_of_ten_thousand_destinations_stays_within_memory_and_time() {
     let (endpoint, known_endpoints) = endpoint_and_list(|_, _| reply(200, ""));
     let platform = Platform::new(&[]);
-    let group = Group::new("many", 2);
+    let group = SenderGroup::new("many", 2);
     scripted_peer(group.addresses[1], |query, stream| {
         let large_sketch = LatencySketch::of((0..40).map(|power| 100.0 * 1.05f64.powi(power)));
         let all: Vec<Digest> = (0..10_000)
@@ -224,7 +224,7 @@
 fn a_sender_serves_if_its_peer_snapshot_can_be_neither_read_nor_written() {
     let (endpoint, known_endpoints) = endpoint_and_list(|_, _| reply(200, ""));
     let platform = Platform::new(&[]);
-    let group = Group::new("nosave", 1);
+    let group = SenderGroup::new("nosave", 1);
     let sender = group.start(0, &platform, &known_endpoints, "keep: true");
     // Folders in the place of both files make them neither readable nor writable.
     let sender = sender.restart_with_state(|state| {
@@ -251,7 +251,7 @@
         }
     });
     let platform = Platform::new(&[]);
-    let group = Group::new("kept", 1);
+    let group = SenderGroup::new("kept", 1);
     let sender = group.start(0, &platform, &known_endpoints, "keep: true");
     assert_eq!(sender.submit("meter", "a", "0.5"), 202);
     endpoint.next_request();
--- a/crates/martenlatch/tests/support/group.rs
+++ b/crates/martenlatch/tests/support/group.rs
@@ -18,7 +18,7 @@
 const SECRET: &str = "a secret of these tests";
 
 /// A group of senders: a directory for their files, and the address of each for its peers.
-pub struct Group {
+pub struct SenderGroup {
     pub folder: PathBuf,
     pub addresses: Vec<SocketAddr>,
 }
@@ -30,15 +30,15 @@
     pub output: String,
 }
 
-impl Group {
+impl SenderGroup {
     /// A group of `count` senders. `test` becomes a part of the name of its directory.
-    pub fn new(test: &str, count: usize) -> Group {
+    pub fn new(test: &str, count: usize) -> SenderGroup {
         let process_id = std::process::id();
         let folder = std::env::temp_dir().join(format!("martenlatch-group-{test}-{process_id}"));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).unwrap();
         std::fs::write(folder.join("secret"), SECRET).unwrap();
-        Group {
+        SenderGroup {
             addresses: (0..count).map(|_| free_address()).collect(),
             folder,
         }
@@ -126,7 +126,7 @@
     }
 }
 
-impl Drop for Group {
+impl Drop for SenderGroup {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
--- a/crates/martenlatch/tests/support/mod.rs
+++ b/crates/martenlatch/tests/support/mod.rs
@@ -15,11 +15,11 @@
 use std::time::{Duration, Instant};
 
 pub use endpoint::{Endpoint, ReplyGate, endpoint_and_list, endpoint_entry, endpoint_list};
-pub use group::{Group, digest, log_line, number_after, scripted_peer, seal, secret};
+pub use group::{SenderGroup, digest, log_line, number_after, scripted_peer, seal, secret};
 pub use http::{
     HttpMessage, Reply, no_reply, read_message, read_status, reply, request, send, status_of,
 };
-pub use platform::{Platform, chunk};
+pub use platform::{Platform, watch_chunk};
 pub use sender::{ProcessExit, Replacement, Sender, call_operator, sender_with_endpoint};
 pub use wall_clock::WallClock;
 
--- a/crates/martenlatch/tests/support/platform.rs
+++ b/crates/martenlatch/tests/support/platform.rs
@@ -72,7 +72,7 @@
     /// Waits for the next watch, then sends a line to all watches.
     pub fn push_line(&self, line: &str) {
         self.next_watch_request();
-        self.push_bytes(&chunk(line));
+        self.push_bytes(&watch_chunk(line));
     }
 
     /// Waits for the next watch and returns its request line.
@@ -125,6 +125,6 @@
 }
 
 /// The HTTP chunk that contains one line of a watch.
-pub fn chunk(line: &str) -> String {
+pub fn watch_chunk(line: &str) -> String {
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
 }
