--- a/crates/martenlatch/src/inspect.rs
+++ b/crates/martenlatch/src/inspect.rs
@@ -1,4 +1,4 @@
-//! The commands that look into a write-ahead log. They change nothing, and print no message bodies or idempotency keys.
+//! The commands that inspect a write-ahead log. They do not change it, and print no message bodies or idempotency keys.
 
 use std::path::Path;
 
@@ -7,9 +7,9 @@
 
 use crate::error::CommandError;
 
-/// Prints the messages that are not complete, one a line.
+/// Prints the messages that are not complete, one per line.
 pub fn show(folder: &Path, json: bool) -> Result<(), CommandError> {
-    let log = open(folder)?;
+    let log = open_log(folder)?;
     let now = Clock::continuing(&log.recovered.clock_history).now();
     for record in log.recovered.open_messages.values() {
         let left_ms = record.deadline - now;
@@ -22,9 +22,9 @@
     Ok(())
 }
 
-/// Prints what the file holds. Returns whether all of it are complete records.
+/// Prints a summary of the log. Returns whether all of its bytes belong to complete records.
 pub fn verify(folder: &Path) -> Result<bool, CommandError> {
-    let log = open(folder)?;
+    let log = open_log(folder)?;
     let damaged_bytes = log.size - log.valid_bytes();
     let is_intact = damaged_bytes == 0;
     let messages = log.recovered.open_messages.values();
@@ -42,7 +42,7 @@
     Ok(is_intact)
 }
 
-fn open(folder: &Path) -> Result<LogInspection, CommandError> {
+fn open_log(folder: &Path) -> Result<LogInspection, CommandError> {
     LogInspection::open(folder).map_err(|source| CommandError::OpenWriteAheadLog {
         folder: folder.to_path_buf(),
         source,
--- a/crates/martenlatch/tests/cli.rs
+++ b/crates/martenlatch/tests/cli.rs
@@ -1,12 +1,12 @@
-//! The command line without a network: what each command prints about valid, invalid and damaged files, and its exit
-//! code.
+//! The commands that need no network: their output and exit codes for valid, invalid and damaged files.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
 use rstest::rstest;
 
-fn folder(name: &str) -> PathBuf {
+/// Creates an empty folder for a test.
+fn create_folder(name: &str) -> PathBuf {
     let folder =
         std::env::temp_dir().join(format!("martenlatch-cli-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
@@ -14,7 +14,8 @@
     folder
 }
 
-fn run(args: &[&str]) -> (Option<i32>, String, String) {
+/// Runs the program and returns its exit code, its output and its errors.
+fn run_program(args: &[&str]) -> (Option<i32>, String, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_martenlatch"));
     for variable in ["PROXY_CONFIG", "PROXY_STATE", "MARTENLATCH_SETTINGS"] {
         command.env_remove(variable);
@@ -32,62 +33,68 @@
 }
 
 #[rstest]
-#[case::unknown(
+#[case::unknown_field(
     "log {\n  levle: INFO\n}",
     ":2: log.levle: no such field; the nearest is \"level\""
 )]
-#[case::bounds(
+#[case::out_of_bounds(
     "clients {\n  request_ms: 9000\n}",
     ":2: clients.request_ms: 9000 is not within 100 and 2900"
 )]
-#[case::half("clients {\n  idle_ms: 600", ":2: clients.idle_ms: expected")]
-fn settings_are_read_completely_or_rejected(#[case] text: &str, #[case] want: &str) {
-    let file = folder(&format!("settings-{}", text.len())).join("own.textproto");
+#[case::incomplete("clients {\n  idle_ms: 600", ":2: clients.idle_ms: expected")]
+fn invalid_settings_are_rejected_with_one_line_that_names_file_line_and_field(
+    #[case] text: &str,
+    #[case] expected: &str,
+) {
+    let file = create_folder(&format!("settings-{}", text.len())).join("own.textproto");
     std::fs::write(&file, text).unwrap();
-    let (code, out, err) = run(&["check", "--settings", file.to_str().unwrap()]);
-    assert_eq!((code, out.as_str()), (Some(1), ""));
+    let (code, stdout, stderr) = run_program(&["check", "--settings", file.to_str().unwrap()]);
+    assert_eq!((code, stdout.as_str()), (Some(1), ""));
     assert!(
-        err.contains(&format!("{}{want}", file.display())) && err.lines().count() == 1,
-        "{err}"
+        stderr.contains(&format!("{}{expected}", file.display())) && stderr.lines().count() == 1,
+        "{stderr}"
     );
 }
 
 #[rstest]
 #[case::name("wal")]
 #[case::alias("ledger")]
-fn a_write_ahead_log_is_shown_and_verified_without_being_changed_and_damage_has_its_own_exit_code(
+fn inspecting_a_damaged_write_ahead_log_does_not_change_it_and_verify_exits_with_code_3(
     #[case] command: &str,
 ) {
-    let state = folder(command);
-    let (code, out, _) = run(&[command, "verify", state.to_str().unwrap()]);
+    let state = create_folder(command);
+    let (code, stdout, _) = run_program(&[command, "verify", state.to_str().unwrap()]);
     assert_eq!(
-        (code, out.starts_with("whole bytes=0")),
+        (code, stdout.starts_with("whole bytes=0")),
         (Some(0), true),
-        "never written to"
+        "a folder without a log file is valid"
     );
     let file = state.join("ledger");
     std::fs::write(&file, b"mlatch1\n\x05\x00\x00\x00torn").unwrap();
     let before = std::fs::read(&file).unwrap();
-    let (code, out, _) = run(&[command, "verify", state.to_str().unwrap()]);
+    let (code, stdout, _) = run_program(&[command, "verify", state.to_str().unwrap()]);
     assert_eq!(
-        (code, out.trim_end().ends_with("damaged_bytes=8")),
+        (code, stdout.trim_end().ends_with("damaged_bytes=8")),
         (Some(3), true),
-        "{out}"
+        "{stdout}"
     );
-    let (code, out, _) = run(&[command, "show", state.to_str().unwrap()]);
-    assert_eq!((code, out.as_str()), (Some(0), ""));
+    let (code, stdout, _) = run_program(&[command, "show", state.to_str().unwrap()]);
+    assert_eq!((code, stdout.as_str()), (Some(0), ""));
     assert_eq!(std::fs::read(&file).unwrap(), before);
-    let (code, _, err) = run(&[command, "show", "/no/such/folder"]);
-    assert!(code == Some(1) && err.contains("/no/such/folder"), "{err}");
+    let (code, _, stderr) = run_program(&[command, "show", "/no/such/folder"]);
+    assert!(
+        code == Some(1) && stderr.contains("/no/such/folder"),
+        "{stderr}"
+    );
 }
 
 #[test]
-fn an_invalid_command_line_does_not_start_the_sender() {
-    assert_eq!(run(&["srve"]).0, Some(2));
-    let (code, out, _) = run(&["--help"]);
+fn an_unknown_command_exits_with_code_2_and_the_help_lists_exit_codes_and_variables() {
+    assert_eq!(run_program(&["srve"]).0, Some(2));
+    let (code, stdout, _) = run_program(&["--help"]);
     assert!(
-        code == Some(0) && out.contains("Exit codes:") && out.contains("PROXY_STATE"),
-        "{out}"
+        code == Some(0) && stdout.contains("Exit codes:") && stdout.contains("PROXY_STATE"),
+        "{stdout}"
     );
-    assert!(run(&["check"]).2.contains("PROXY_CONFIG"));
+    assert!(run_program(&["check"]).2.contains("PROXY_CONFIG"));
 }
