--- a/crates/peers/src/partner_knowledge/digest.rs
+++ b/crates/peers/src/partner_knowledge/digest.rs
@@ -28,7 +28,9 @@
         match outage {
             Outage::Unresponsive => ReportedOutage::Unresponsive,
             Outage::Rejecting => ReportedOutage::Rejecting,
-            Outage::Recovering { since } => ReportedOutage::Recovering { since: span(since) },
+            Outage::Recovering { elapsed } => ReportedOutage::Recovering {
+                since: span(elapsed),
+            },
         }
     }
 }
@@ -86,12 +88,12 @@
         Digest {
             destination: observation.destination.0,
             endpoint,
-            age: span(observation.age),
-            wait: span(observation.wait),
-            gap: span(observation.gap),
-            limit: observation.limit.map(|limit| limit as f32),
-            served: observation.served as f32,
-            refused: observation.refused as f32,
+            age: span(observation.since_last_call),
+            wait: span(observation.remaining_retry_after),
+            gap: span(observation.pacing_interval),
+            limit: observation.rate_limit.map(|limit| limit as f32),
+            served: observation.successful_calls as f32,
+            refused: observation.rejected_calls as f32,
             latency: LatencySketch::of(latencies),
             outage: observation.outage.map(ReportedOutage::from),
         }
--- a/crates/peers/src/partner_knowledge/weighing.rs
+++ b/crates/peers/src/partner_knowledge/weighing.rs
@@ -35,15 +35,15 @@
         let prior = GossipedState {
             destination: DestinationId(destination),
             endpoint,
-            wait: nanos(self.wait()),
-            gap: self.gap(),
-            limit: self.limit(),
+            remaining_retry_after: nanos(self.wait()),
+            pacing_interval: self.gap(),
+            rate_limit: self.limit(),
             latencies: self.latencies(),
             outage: self.outage(),
         };
-        let empty = prior.wait == 0
-            && prior.gap == 0
-            && prior.limit.is_none()
+        let empty = prior.remaining_retry_after == 0
+            && prior.pacing_interval == 0
+            && prior.rate_limit.is_none()
             && prior.latencies.is_empty()
             && prior.outage.is_none();
         (!empty).then_some(prior)
@@ -68,7 +68,7 @@
         // A partner that failed and served later has been recovering since the failure at the earliest.
         let recovering_at = self.evidence.outage_at()?;
         Some(Outage::Recovering {
-            since: nanos((self.now - recovering_at).max(0.0)),
+            elapsed: nanos((self.now - recovering_at).max(0.0)),
         })
     }
 
--- a/crates/peers/tests/gossip/partner_knowledge.rs
+++ b/crates/peers/tests/gossip/partner_knowledge.rs
@@ -25,15 +25,18 @@
         ..digest(1)
     };
     assert_eq!(
-        priors(std::slice::from_ref(&waiting), 1_000.0)[0].wait,
+        priors(std::slice::from_ref(&waiting), 1_000.0)[0].remaining_retry_after,
         3_000 * MS
     );
-    assert_eq!(priors(std::slice::from_ref(&waiting), 4_001.0)[0].wait, 0);
+    assert_eq!(
+        priors(std::slice::from_ref(&waiting), 4_001.0)[0].remaining_retry_after,
+        0
+    );
     let (mut known, bounds) = (PartnerKnowledge::default(), Bounds::default());
     known.hear("t", &waiting, 0.0, &bounds);
     known.forget_waits();
     assert_eq!(
-        known.told(1.0, &bounds, listed)[0].wait,
+        known.told(1.0, &bounds, listed)[0].remaining_retry_after,
         0,
         "not over a restart"
     );
@@ -60,7 +63,9 @@
     assert_eq!(told(1e6), told(1e6 + 7_000.0));
     assert_eq!(
         told(1e6)[0].outage,
-        Some(Outage::Recovering { since: 3_000 * MS })
+        Some(Outage::Recovering {
+            elapsed: 3_000 * MS
+        })
     );
 }
 
@@ -76,7 +81,7 @@
             0.0,
         );
         told.first()
-            .map_or((0, 0), |t| (t.latencies.len(), t.gap / MS))
+            .map_or((0, 0), |t| (t.latencies.len(), t.pacing_interval / MS))
     };
     assert_eq!(told(0.0), (12, 400));
     assert_eq!(told(20_000.0), (6, 200));
@@ -124,7 +129,12 @@
         ..digest(1)
     };
     let outage = priors(&[down, well], 0.0)[0].outage;
-    assert_eq!(outage, Some(Outage::Recovering { since: 4_000 * MS }));
+    assert_eq!(
+        outage,
+        Some(Outage::Recovering {
+            elapsed: 4_000 * MS
+        })
+    );
 }
 
 #[test]
@@ -135,7 +145,7 @@
         ..digest(1)
     };
     assert_eq!(
-        priors(std::slice::from_ref(&before), 0.0)[0].limit,
+        priors(std::slice::from_ref(&before), 0.0)[0].rate_limit,
         Some(50.0)
     );
     let out = Digest {
@@ -143,7 +153,7 @@
         outage: Some(ReportedOutage::Unresponsive),
         ..digest(1)
     };
-    assert_eq!(priors(&[before, out], 0.0)[0].limit, None);
+    assert_eq!(priors(&[before, out], 0.0)[0].rate_limit, None);
 }
 
 #[test]
@@ -152,7 +162,10 @@
         limit: Some(l),
         ..digest(1)
     };
-    assert_eq!(priors(&[limit(9.0), limit(4.0)], 0.0)[0].limit, Some(4.0));
+    assert_eq!(
+        priors(&[limit(9.0), limit(4.0)], 0.0)[0].rate_limit,
+        Some(4.0)
+    );
 }
 
 #[test]
@@ -164,8 +177,8 @@
         ..digest(1)
     };
     let told = &priors(&[lie], 0.0)[0];
-    assert_eq!(told.wait, 120_000 * MS, "a wait of a year");
-    assert_eq!(told.gap, 1_000 * MS);
+    assert_eq!(told.remaining_retry_after, 120_000 * MS, "a wait of a year");
+    assert_eq!(told.pacing_interval, 1_000 * MS);
     assert!(told.latencies.iter().all(|l| *l == 20 * MS), "a p95 of 0");
 }
 
--- a/crates/peers/tests/gossip/properties.rs
+++ b/crates/peers/tests/gossip/properties.rs
@@ -55,7 +55,7 @@
     fn priors_stay_within_their_bounds(received in prop::collection::vec(any_received(), 0..12), later in 0u32..200) {
         let bounds = Bounds::default();
         for told in store(&received).told(20_000.0 + f64::from(later) * 500.0, &bounds, listed) {
-            prop_assert!(told.wait <= 120_000 * MS && told.gap <= 1_000 * MS);
+            prop_assert!(told.remaining_retry_after <= 120_000 * MS && told.pacing_interval <= 1_000 * MS);
             prop_assert!(told.latencies.len() <= 12);
             prop_assert!(told.latencies.is_sorted());
         }
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -141,7 +141,7 @@
     /// It responds again, within its recovery ramp.
     Recovering {
         /// Time since it responded again.
-        since: Nanos,
+        elapsed: Nanos,
     },
 }
 
@@ -153,17 +153,17 @@
     /// The endpoint, where it is a route of its own.
     pub endpoint: Option<EndpointId>,
     /// Time since the latest call.
-    pub age: Nanos,
+    pub since_last_call: Nanos,
     /// Remaining Retry-After: how long nothing may be sent to it.
-    pub wait: Nanos,
+    pub remaining_retry_after: Nanos,
     /// The pacing interval.
-    pub gap: Nanos,
+    pub pacing_interval: Nanos,
     /// Rate limit, in calls a second of all senders together; `None` if unknown or during an outage.
-    pub limit: Option<f64>,
+    pub rate_limit: Option<f64>,
     /// Number of successful calls, decaying with a half-life of 20 s.
-    pub served: f64,
+    pub successful_calls: f64,
     /// Number of rejected calls, decaying in the same way.
-    pub refused: f64,
+    pub rejected_calls: f64,
     /// Latencies of the latest successful calls, in ascending order.
     pub latencies: Vec<Nanos>,
     /// The observed outage, if any.
@@ -178,11 +178,11 @@
     /// The endpoint, where it is a route of its own.
     pub endpoint: Option<EndpointId>,
     /// Remaining Retry-After. It applies at once, whatever was observed here.
-    pub wait: Nanos,
+    pub remaining_retry_after: Nanos,
     /// The pacing interval to start with.
-    pub gap: Nanos,
+    pub pacing_interval: Nanos,
     /// Rate limit, in calls a second of all senders together.
-    pub limit: Option<f64>,
+    pub rate_limit: Option<f64>,
     /// Latencies; their number is the weight of the prior.
     pub latencies: Vec<Nanos>,
     /// An outage; this sender behaves as if it had observed it.
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -65,10 +65,8 @@
         Ok(Policy { settings, random, window_stagger, retry_success_rate, ..Policy::default() })
     }
 
-    /// Continues this state, passed on by an earlier process, under the settings of this one.
-    ///
-    /// # Errors
-    /// Where the settings are unusable, or have other kinds or fewer classes than the state speaks of.
+    /// Continues the state that an earlier process passed on, under the settings of this process. Fails if
+    /// they are invalid, have other destination kinds, or lack a message class that the state refers to.
     pub fn restore(mut self, settings: Settings) -> Result<Policy, SettingsError> {
         settings.check()?;
         let classes = self.messages.values().all(|message| message.class.0 < settings.classes.len());
--- a/crates/policy/src/policy/endpoints.rs
+++ b/crates/policy/src/policy/endpoints.rs
@@ -59,12 +59,13 @@
         let mut endpoints = self.endpoints_of.get(&gossip.destination).into_iter().flatten().copied();
         let Some(endpoint) = endpoints.find(|id| self.endpoints[id].route == key) else { return };
         let route = self.routes.get_mut(&key).expect("each listed endpoint has a route");
-        route.retry_after_until = route.retry_after_until.max(self.now.saturating_add(gossip.wait));
+        let retry_after = gossip.remaining_retry_after;
+        route.retry_after_until = route.retry_after_until.max(self.now.saturating_add(retry_after));
         if route.last_send.is_some() || route.latencies.has_priors() {
             return;
         }
-        route.pacing_interval.raise_to(gossip.gap.min(MAX_PACING_INTERVAL));
-        route.rate_limit = route.rate_limit.or(gossip.limit.filter(|limit| *limit > 0.0));
+        route.pacing_interval.raise_to(gossip.pacing_interval.min(MAX_PACING_INTERVAL));
+        route.rate_limit = route.rate_limit.or(gossip.rate_limit.filter(|limit| *limit > 0.0));
         for latency in gossip.latencies.iter().take(LatencyWindow::CAPACITY / 2) {
             route.latencies.learn(*latency);
             self.pooled_latencies.learn(*latency);
@@ -73,11 +74,11 @@
         match gossip.outage {
             Some(Outage::Unresponsive) => route.outcome_history.assume_failures(BREAKER_FAILURES),
             Some(Outage::Rejecting) => {
-                route.consecutive_rejections = if gossip.wait > 0 { 1 } else { BREAKER_FAILURES };
+                route.consecutive_rejections = if retry_after > 0 { 1 } else { BREAKER_FAILURES };
                 route.recovering_since = Some(self.now.max(route.retry_after_until));
             }
-            Some(Outage::Recovering { since }) => {
-                route.recovering_since = Some(self.now.saturating_sub(since))
+            Some(Outage::Recovering { elapsed }) => {
+                route.recovering_since = Some(self.now.saturating_sub(elapsed))
             }
             None => {}
         }
--- a/crates/policy/src/policy/route.rs
+++ b/crates/policy/src/policy/route.rs
@@ -146,22 +146,22 @@
         if suspected || waits || self.consecutive_rejections >= REJECTING_RUN {
             return Some(Outage::Rejecting);
         }
-        let since = now.saturating_sub(self.recovering_since?);
-        (since < settings.recovery.duration).then_some(Outage::Recovering { since })
+        let elapsed = now.saturating_sub(self.recovering_since?);
+        (elapsed < settings.recovery.duration).then_some(Outage::Recovering { elapsed })
     }
 
     pub(super) fn observe(&self, key: RouteKey, now: Nanos, settings: &Settings) -> Option<Observation> {
         let outage = self.outage(now, settings);
-        let (served, refused) = self.call_counts.at(now);
+        let (successful_calls, rejected_calls) = self.call_counts.at(now);
         Some(Observation {
             destination: key.destination,
             endpoint: key.endpoint,
-            age: now.saturating_sub(self.last_send?),
-            wait: self.retry_after_until.saturating_sub(now),
-            gap: self.pacing_interval.get(),
-            limit: self.rate_limit.filter(|_| outage.is_none()),
-            served,
-            refused,
+            since_last_call: now.saturating_sub(self.last_send?),
+            remaining_retry_after: self.retry_after_until.saturating_sub(now),
+            pacing_interval: self.pacing_interval.get(),
+            rate_limit: self.rate_limit.filter(|_| outage.is_none()),
+            successful_calls,
+            rejected_calls,
             latencies: self.latencies.own_sorted(),
             outage,
         })
--- a/crates/policy/tests/many.rs
+++ b/crates/policy/tests/many.rs
@@ -166,7 +166,7 @@
     assert_eq!(sends(&actions).len(), 1);
     rig.end(id, 0, Outcome::Success, MS);
     let outage = rig.policy.observations(rig.now, None, 1).0[0].outage;
-    assert_eq!(outage, Some(Outage::Recovering { since: 2 * S }));
+    assert_eq!(outage, Some(Outage::Recovering { elapsed: 2 * S }));
 }
 
 #[test]
--- a/crates/policy/tests/told.rs
+++ b/crates/policy/tests/told.rs
@@ -8,9 +8,9 @@
     GossipedState {
         destination: DestinationId(destination),
         endpoint: None,
-        wait: 0,
-        gap: 0,
-        limit: None,
+        remaining_retry_after: 0,
+        pacing_interval: 0,
+        rate_limit: None,
         latencies: vec![],
         outage: None,
     }
@@ -54,7 +54,7 @@
 
 #[test]
 fn a_wait_that_was_only_told_of_binds_wholly_and_no_longer() {
-    let mut rig = newcomer(GossipedState { wait: 3 * S, ..told(1) });
+    let mut rig = newcomer(GossipedState { remaining_retry_after: 3 * S, ..told(1) });
     let (id, actions) = rig.accept(1, 0);
     assert!(sends(&actions).is_empty());
     assert!(sends(&rig.advance(2_990 * MS)).is_empty());
@@ -67,8 +67,8 @@
     let mut rig = newcomer(told(2));
     rig.warm(1, 0, 3, 100 * MS);
     rig.turn(&[Event::Gossip(GossipedState {
-        wait: S,
-        gap: S,
+        remaining_retry_after: S,
+        pacing_interval: S,
         outage: Some(Outage::Unresponsive),
         ..told(1)
     })]);
@@ -98,7 +98,7 @@
 
 #[test]
 fn one_told_of_a_shut_partner_does_not_push_it_over_at_the_end_of_its_wait() {
-    let shut = GossipedState { wait: 4 * S, outage: Some(Outage::Rejecting), ..told(1) };
+    let shut = GossipedState { remaining_retry_after: 4 * S, outage: Some(Outage::Rejecting), ..told(1) };
     let sent = served(&mut newcomer(shut), 6 * S, 40 * MS, Outcome::Success);
     assert!(sent.iter().all(|at| *at >= 104 * S));
     // Twice what it can take in the two seconds after its wait.
@@ -107,8 +107,8 @@
 
 #[test]
 fn one_told_that_a_partner_is_just_back_keeps_within_its_ramp() {
-    let back = |since: Nanos| {
-        let told = GossipedState { outage: Some(Outage::Recovering { since }), ..told(1) };
+    let back = |elapsed: Nanos| {
+        let told = GossipedState { outage: Some(Outage::Recovering { elapsed }), ..told(1) };
         served(&mut newcomer(told), 2 * S, 40 * MS, Outcome::Success).len()
     };
     assert!(back(0) <= 25, "{}", back(0));
@@ -134,8 +134,12 @@
 
 #[test]
 fn a_told_gap_paces_from_the_first_call_and_falls_as_calls_are_served() {
-    let sent =
-        served(&mut newcomer(GossipedState { gap: 400 * MS, ..told(1) }), 4 * S, 100 * MS, Outcome::Success);
+    let sent = served(
+        &mut newcomer(GossipedState { pacing_interval: 400 * MS, ..told(1) }),
+        4 * S,
+        100 * MS,
+        Outcome::Success,
+    );
     assert!(sent[1] - sent[0] >= 200 * MS);
     let last = sent.len() - 1;
     assert!(sent[last] - sent[last - 1] <= 110 * MS, "it is gone by then");
@@ -171,14 +175,19 @@
 
 #[test]
 fn hearsay_of_what_is_not_listed_is_nothing() {
-    let mut rig = newcomer(GossipedState { wait: 10 * S, ..told(77) });
-    rig.turn(&[Event::Gossip(GossipedState { endpoint: Some(EndpointId(0)), wait: 10 * S, ..told(1) })]);
+    let mut rig = newcomer(GossipedState { remaining_retry_after: 10 * S, ..told(77) });
+    rig.turn(&[Event::Gossip(GossipedState {
+        endpoint: Some(EndpointId(0)),
+        remaining_retry_after: 10 * S,
+        ..told(1)
+    })]);
     assert_eq!(sends(&rig.accept(1, 0).1).len(), 1);
 }
 
 #[test]
 fn what_a_sender_has_seen_is_told_and_hearsay_is_not() {
-    let mut rig = newcomer(GossipedState { latencies: vec![300 * MS; 12], gap: 100 * MS, ..told(2) });
+    let mut rig =
+        newcomer(GossipedState { latencies: vec![300 * MS; 12], pacing_interval: 100 * MS, ..told(2) });
     rig.warm(1, 0, 8, 100 * MS);
     let (id, _) = rig.accept(1, 0);
     rig.end(id, 0, Outcome::Overloaded { retry_after: 4 * S }, 10 * MS);
@@ -186,12 +195,12 @@
     let (observations, next) = rig.policy.observations(rig.now, None, 100);
     assert_eq!((observations.len(), next), (1, None), "nothing was sent to the other");
     let s = &observations[0];
-    assert_eq!((s.destination, s.endpoint, s.age), (DestinationId(1), None, S));
-    assert!((3 * S..=3 * S + 100 * MS).contains(&s.wait), "with its own spread behind it");
+    assert_eq!((s.destination, s.endpoint, s.since_last_call), (DestinationId(1), None, S));
+    assert!((3 * S..=3 * S + 100 * MS).contains(&s.remaining_retry_after), "with its own spread behind it");
     assert_eq!(s.latencies, vec![100 * MS; 8]);
-    assert!(s.gap > 0 && s.served > 6.0 && s.refused > 0.9, "{s:?}");
+    assert!(s.pacing_interval > 0 && s.successful_calls > 6.0 && s.rejected_calls > 0.9, "{s:?}");
     assert_eq!(s.outage, Some(Outage::Rejecting), "a wait so long is an outage's");
-    assert_eq!(s.limit, None, "none is told over an outage");
+    assert_eq!(s.rate_limit, None, "none is told over an outage");
 }
 
 #[test]
@@ -203,7 +212,7 @@
     served(&mut rig, 4 * S, 100 * MS, Outcome::Unreachable);
     assert_eq!(outage(&rig), Some(Outage::Unresponsive));
     served(&mut rig, 4 * S, 100 * MS, Outcome::Success);
-    assert!(matches!(outage(&rig), Some(Outage::Recovering { since }) if since < 6 * S));
+    assert!(matches!(outage(&rig), Some(Outage::Recovering { elapsed }) if elapsed < 6 * S));
     served(&mut rig, 10 * S, 100 * MS, Outcome::Success);
     assert_eq!(outage(&rig), None);
 }
