--- a/crates/lab/src/sim/sender.rs
+++ b/crates/lab/src/sim/sender.rs
@@ -59,7 +59,7 @@
             class: ClassId(planned.class as usize),
             deadline: nanos(CLOCK_ORIGIN + self.deadline),
             attempts: self.attempts.len() as u32,
-            ran: self
+            may_have_run_since: self
                 .may_have_run_since()
                 .map(|sent_at| nanos(CLOCK_ORIGIN + sent_at)),
         }
--- a/crates/lab/tests/orders/fleet.rs
+++ b/crates/lab/tests/orders/fleet.rs
@@ -350,6 +350,6 @@
         class: ClassId(record.class.parse().unwrap()),
         deadline: nanos(record.deadline),
         attempts: record.attempts.len() as u32,
-        ran: ran.map(|attempt| nanos(attempt.sent)),
+        may_have_run_since: ran.map(|attempt| nanos(attempt.sent)),
     }
 }
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -222,7 +222,7 @@
         /// Number of its attempts so far, which is the number of its next one.
         attempts: u32,
         /// When the first attempt was sent that may have run.
-        ran: Option<Nanos>,
+        may_have_run_since: Option<Nanos>,
     },
     /// What other senders have observed of a listed route.
     Gossip(GossipedState),
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -106,9 +106,9 @@
             &Event::MessageAccepted { id, destination, class, deadline, key } => {
                 self.accept(id, Message { destination, class, deadline, key, ..Message::default() });
             }
-            &Event::MessageResumed { id, destination, class, deadline, attempts, ran } => {
+            &Event::MessageResumed { id, destination, class, deadline, attempts, may_have_run_since } => {
                 let message = Message { destination, class, deadline, ..Message::default() };
-                self.resume(id, message, attempts, ran);
+                self.resume(id, message, attempts, may_have_run_since);
             }
             Event::Gossip(gossip) => self.apply_gossip(gossip),
             Event::ShutdownDeadline(deadline) => self.shutdown_deadline = Some(*deadline),
--- a/crates/policy/src/policy/messages.rs
+++ b/crates/policy/src/policy/messages.rs
@@ -80,15 +80,15 @@
     }
 
     /// Accepts a message of an earlier process: the first of its attempts stands for all that may have run.
-    pub(super) fn resume(&mut self, id: MessageId, message: Message, attempts: u32, ran: Option<Nanos>) {
+    pub(super) fn resume(&mut self, id: MessageId, message: Message, attempts: u32, ran_at: Option<Nanos>) {
         let Message { destination, deadline, .. } = message;
         self.accept(id, message);
         let Some(message) = self.messages.get_mut(&id) else { return };
-        for number in 0..attempts.min(self.settings.max_attempts).max(u32::from(ran.is_some())) {
-            let ran = ran.filter(|_| number == 0);
-            let outcome = Some(if ran.is_some() { Outcome::ConnectionLost } else { Outcome::NotSent });
+        for number in 0..attempts.min(self.settings.max_attempts).max(u32::from(ran_at.is_some())) {
+            let sent_at = ran_at.filter(|_| number == 0);
+            let outcome = Some(if sent_at.is_some() { Outcome::ConnectionLost } else { Outcome::NotSent });
             // Its endpoint is not known any more: no zone that shares idempotency keys has it.
-            let (endpoint, sent_at) = (EndpointId(u32::MAX), ran.unwrap_or(0));
+            let (endpoint, sent_at) = (EndpointId(u32::MAX), sent_at.unwrap_or(0));
             message.attempts.push(Attempt { endpoint, sent_at, outcome, ..Attempt::default() });
         }
         // A fleet killed at once restarts at once: the first sends are spread, within half of the time left.
--- a/crates/policy/tests/many.rs
+++ b/crates/policy/tests/many.rs
@@ -242,7 +242,14 @@
     let list = (0..9).map(|n| EndpointEntry { weight, ..entry(n, u64::from(n)) }).collect();
     rig.turn(&[Event::EndpointList(list)]);
     let (id, destination, class, deadline) = (MessageId(900), DestinationId(0), ClassId(0), rig.now + 12 * S);
-    rig.turn(&[Event::MessageResumed { id, destination, class, deadline, attempts: 0, ran: None }]);
+    rig.turn(&[Event::MessageResumed {
+        id,
+        destination,
+        class,
+        deadline,
+        attempts: 0,
+        may_have_run_since: None,
+    }]);
     for round in 0..9 {
         for destination in 0..9 {
             let (id, actions) = rig.accept(destination, 0);
@@ -277,10 +284,16 @@
         rig.turn(&[Event::EndpointList(vec![EndpointEntry { weight: 60.0, ..entry(0, 1) }])]);
         let (id, destination, class, deadline) =
             (MessageId(1), DestinationId(1), ClassId(0), rig.now + 12 * S);
-        let ran = ran_ago.map(|ago| rig.now - ago);
-        let (from, attempts) = (rig.now, u32::from(ran.is_some()));
-        let mut sent =
-            sends(&rig.turn(&[Event::MessageResumed { id, destination, class, deadline, attempts, ran }]));
+        let may_have_run_since = ran_ago.map(|ago| rig.now - ago);
+        let (from, attempts) = (rig.now, u32::from(may_have_run_since.is_some()));
+        let mut sent = sends(&rig.turn(&[Event::MessageResumed {
+            id,
+            destination,
+            class,
+            deadline,
+            attempts,
+            may_have_run_since,
+        }]));
         while sent.is_empty() && rig.now < deadline {
             sent = sends(&rig.advance(5 * MS));
         }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -229,10 +229,13 @@
     assert_eq!(day(5), day(5));
 }
 
-fn resumed(rig: &mut Rig, id: u64, class: usize, attempts: u32, ran: Option<Nanos>) -> Vec<Action> {
+fn resumed(
+    rig: &mut Rig, id: u64, class: usize, attempts: u32, may_have_run_since: Option<Nanos>,
+) -> Vec<Action> {
     let (id, destination, class, deadline) =
         (MessageId(id), DestinationId(1), ClassId(class), rig.now + 10 * S);
-    let at_once = rig.turn(&[Event::MessageResumed { id, destination, class, deadline, attempts, ran }]);
+    let at_once =
+        rig.turn(&[Event::MessageResumed { id, destination, class, deadline, attempts, may_have_run_since }]);
     // An even share of a lone sender at ten calls a second.
     [at_once, rig.advance(100 * MS)].concat()
 }
--- a/crates/policy/tests/sparse.rs
+++ b/crates/policy/tests/sparse.rs
@@ -173,7 +173,14 @@
 /// What an earlier life took on and never tried.
 fn untried(id: u64, destination: u64, deadline: Nanos) -> Event {
     let (id, destination) = (MessageId(id), DestinationId(destination));
-    Event::MessageResumed { id, destination, class: ClassId(0), deadline, attempts: 0, ran: None }
+    Event::MessageResumed {
+        id,
+        destination,
+        class: ClassId(0),
+        deadline,
+        attempts: 0,
+        may_have_run_since: None,
+    }
 }
 
 #[rstest]
--- a/crates/sender/src/pipeline/admission.rs
+++ b/crates/sender/src/pipeline/admission.rs
@@ -198,7 +198,7 @@
             class: ClassId(class),
             deadline: nanos(record.deadline),
             attempts: record.attempts.len() as u32,
-            ran: first_run.map(|attempt| nanos(attempt.sent)),
+            may_have_run_since: first_run.map(|attempt| nanos(attempt.sent)),
         })
     }
 }
