--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -259,7 +259,7 @@
         /// Timeout of the attempt.
         timeout: Nanos,
         /// Latest start (an instant): after it a second delivery would take effect again.
-        latest: Nanos,
+        latest_start: Nanos,
     },
     /// Cancel an attempt in flight.
     Cancel {
--- a/crates/policy/src/policy/dispatch.rs
+++ b/crates/policy/src/policy/dispatch.rs
@@ -75,7 +75,7 @@
     pub(super) fn send(&mut self, id: MessageId, at: EndpointId, actions: &mut Vec<Action>) {
         let now = self.now;
         let timeout = self.attempt_timeout(id, at);
-        let latest = self.retry_deadline(&self.messages[&id]);
+        let latest_start = self.retry_deadline(&self.messages[&id]);
         let message = self.messages.get_mut(&id).expect("the caller holds the id of a stored message");
         let endpoint = self.endpoints.get_mut(&at).expect("the caller chose a listed endpoint");
         let route = self.routes.get_mut(&endpoint.route).expect("each listed endpoint has a route");
@@ -88,7 +88,7 @@
         route.in_flight.start((id, attempt), now);
         route.recent_sends.record(now, self.window_stagger + self.settings.recovery.overload_window);
         self.in_flight += 1;
-        actions.push(Action::Send { id, endpoint: at, timeout, latest });
+        actions.push(Action::Send { id, endpoint: at, timeout, latest_start });
     }
 
     /// Patient where a retry cannot follow; else long enough for a slow call, as one timed out may run on.
--- a/crates/sender/src/pipeline/actions.rs
+++ b/crates/sender/src/pipeline/actions.rs
@@ -27,8 +27,8 @@
                 id,
                 endpoint,
                 timeout,
-                latest,
-            } => self.start_attempt(id, endpoint, timeout, latest, now),
+                latest_start,
+            } => self.start_attempt(id, endpoint, timeout, latest_start, now),
             Action::Cancel { id, attempt } => self.egress.cancel(id, attempt, now),
             Action::Reject { id, retry_after } => {
                 let retry_after_ms = retry_after.map(|span| millis(span).round() as u64);
@@ -46,7 +46,7 @@
         id: MessageId,
         endpoint: EndpointId,
         timeout: Nanos,
-        latest: Nanos,
+        latest_start: Nanos,
         now: Millis,
     ) {
         let attempt = Attempt {
@@ -56,7 +56,7 @@
             kind: self.directory.kind(endpoint),
             address: self.directory.address(endpoint),
             timeout: millis(timeout),
-            latest_start: millis(latest),
+            latest_start: millis(latest_start),
         };
         dispatch::start_attempt(&attempt, &mut self.store, &mut self.egress, now);
     }
--- a/crates/sender/src/pipeline/tests/attempts.rs
+++ b/crates/sender/src/pipeline/tests/attempts.rs
@@ -180,7 +180,7 @@
         id: MessageId(4),
         endpoint: EndpointId(0),
         timeout: nanos(500.0),
-        latest: u64::MAX,
+        latest_start: u64::MAX,
     };
     let cancel = Action::Cancel {
         id: MessageId(3),
@@ -241,7 +241,7 @@
         id: MessageId(3),
         endpoint: EndpointId(0),
         timeout: nanos(1_000.0),
-        latest: nanos(now + 1_000.0),
+        latest_start: nanos(now + 1_000.0),
     }
 }
 
