--- a/crates/lab/src/sim/clients.rs
+++ b/crates/lab/src/sim/clients.rs
@@ -91,7 +91,7 @@
         let sender = &self.senders[sender as usize];
         sender.is_draining(self.now)
             || self.environment.faults.disk_full(self.now)
-            || sender.open_messages >= self.settings.max_held
+            || sender.open_messages >= self.settings.max_open_messages
     }
 
     /// A status report has come to the platform, which tells the client.
--- a/crates/lab/src/sim/variant_settings.rs
+++ b/crates/lab/src/sim/variant_settings.rs
@@ -54,7 +54,7 @@
         decay: Decay::Halving,
         weight_meaning: EndpointWeights::Approximate,
         max_in_flight: variant.max_in_flight.unwrap_or(in_flight),
-        max_held: variant.max_held.unwrap_or(held),
+        max_open_messages: variant.max_held.unwrap_or(held),
         max_attempts: variant.max_attempts,
         may_cancel: variant.may_cancel,
         may_hedge: variant.may_hedge,
--- a/crates/lab/src/sockets/platform_settings.rs
+++ b/crates/lab/src/sockets/platform_settings.rs
@@ -50,7 +50,7 @@
 
 fn limits(settings: &Settings) -> Value {
     json!({
-        "OpenCap": settings.max_held,
+        "OpenCap": settings.max_open_messages,
         "AttemptsCap": settings.max_attempts,
         "Cancel": settings.may_cancel,
         "SecondCopies": settings.may_hedge,
--- a/crates/lab/tests/orders/fleet.rs
+++ b/crates/lab/tests/orders/fleet.rs
@@ -126,7 +126,7 @@
         decay: Decay::Halving,
         weight_meaning: EndpointWeights::Nominal,
         max_in_flight: 4,
-        max_held: 8,
+        max_open_messages: 8,
         max_attempts: ATTEMPTS,
         may_cancel: true,
         may_hedge: true,
--- a/crates/martenlatch/src/commands.rs
+++ b/crates/martenlatch/src/commands.rs
@@ -64,7 +64,7 @@
         config.discovery,
         config.platform_settings.classes.len(),
         config.platform_settings.settings.max_in_flight,
-        config.platform_settings.settings.max_held
+        config.platform_settings.settings.max_open_messages
     );
     Ok(())
 }
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -162,7 +162,7 @@
     /// In-flight limit: calls at a time, over all destinations.
     pub max_in_flight: usize,
     /// Accepted messages without a final answer at a time, in flight or waiting.
-    pub max_held: usize,
+    pub max_open_messages: usize,
     /// Most attempts of one message, hedges included.
     pub max_attempts: u32,
     /// Whether [`Action::Cancel`](super::Action::Cancel) may be used.
@@ -199,7 +199,7 @@
         if self.max_in_flight == 0 {
             return Err(SettingsError::NoInFlightLimit);
         }
-        if self.max_held == 0 || self.max_attempts == 0 {
+        if self.max_open_messages == 0 || self.max_attempts == 0 {
             return Err(SettingsError::NothingHeldOrSent);
         }
         if self.classes.is_empty() || self.kinds.is_empty() || self.zone_prices.is_empty() {
@@ -228,7 +228,7 @@
     /// [`Settings::max_in_flight`] is 0.
     #[error("unusable settings: slots: at least one is needed")]
     NoInFlightLimit,
-    /// [`Settings::max_held`] or [`Settings::max_attempts`] is 0.
+    /// [`Settings::max_open_messages`] or [`Settings::max_attempts`] is 0.
     #[error("unusable settings: hold_limit and max_attempts: at least one is needed")]
     NothingHeldOrSent,
     /// [`Settings::classes`], [`Settings::kinds`] or [`Settings::zone_prices`] is empty.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -30,7 +30,7 @@
 //!     decay: Decay::Halving,
 //!     weight_meaning: EndpointWeights::Ignored,
 //!     max_in_flight: 4,
-//!     max_held: 100,
+//!     max_open_messages: 100,
 //!     max_attempts: 4,
 //!     may_cancel: true,
 //!     may_hedge: true,
--- a/crates/policy/src/policy/messages.rs
+++ b/crates/policy/src/policy/messages.rs
@@ -156,11 +156,11 @@
                 waiting.entry(message.destination).or_default().push((self.value_at_risk(message), *id));
             }
         }
-        let max_held = self.settings.max_held;
-        let share = |share: f64| (max_held as f64 * share) as usize;
+        let max_open_messages = self.settings.max_open_messages;
+        let share = |share: f64| (max_open_messages as f64 * share) as usize;
         let max_waiting = share(MAX_WAITING_SHARE).max(1);
         let held = self.messages.values().filter(|message| !message.finished).count() - ending.len();
-        let missing = (held + share(FREE_SHARE) + 1).saturating_sub(max_held);
+        let missing = (held + share(FREE_SHARE) + 1).saturating_sub(max_open_messages);
         for values in waiting.values_mut() {
             let over = |limit: usize| values.len().saturating_sub(limit);
             let excess = missing.min(over(max_waiting / 2)).max(over(max_waiting));
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -28,7 +28,7 @@
         decay: Decay::Halving,
         weight_meaning: EndpointWeights::Nominal,
         max_in_flight: 8,
-        max_held: 100,
+        max_open_messages: 100,
         max_attempts: 6,
         may_cancel: true,
         may_hedge: true,
@@ -175,7 +175,7 @@
     Settings {
         senders: SENDERS as u32,
         max_in_flight: 3,
-        max_held: 12,
+        max_open_messages: 12,
         ..settings(vec![class(Idempotency::Idempotent)])
     }
 }
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -159,7 +159,7 @@
 /// so many messages every 5 ms with so long left, which that partner never answers.
 fn beside_a_flood(seed: u64, flood: usize, left: Nanos) -> (usize, usize) {
     let set = settings(vec![class(Idempotency::Idempotent)]);
-    let (slots, hold) = (set.max_in_flight, set.max_held);
+    let (slots, hold) = (set.max_in_flight, set.max_open_messages);
     let mut rig = Rig::seeded(set, seed);
     rig.list(&[(0, 1, 0, 0), (1, 1, 0, 0), (2, 2, 0, 0)]);
     rig.warm(1, 0, 8, 100 * MS);
--- a/crates/sender/src/pipeline/builder.rs
+++ b/crates/sender/src/pipeline/builder.rs
@@ -351,7 +351,7 @@
 
 fn build_admission(config: &Config, settings: &Settings, class_rules: ClassRules) -> Admission {
     Admission {
-        max_held: settings.max_held,
+        max_held: settings.max_open_messages,
         classes: config.platform_settings.classes.clone(),
         class_rules,
     }
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -257,7 +257,7 @@
         decay: read_decay(family)?,
         weight_meaning: read_weight_meaning(root)?,
         max_in_flight: family.integer("CallsOut")? as usize,
-        max_held: limits.integer("OpenCap")? as usize,
+        max_open_messages: limits.integer("OpenCap")? as usize,
         max_attempts: limits.integer_of_32_bits("AttemptsCap")?,
         may_cancel: limits.flag("Cancel")?,
         may_hedge: limits.flag("SecondCopies")?,
