--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -1,21 +1,22 @@
-//! Settings of a sender: the classes of messages, the kinds of destinations and the limits, fixed for its lifetime.
+//! Settings of a sender: its message classes, destination kinds and limits.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
 use super::{Nanos, ZoneId};
 
-/// What a second delivery of a message does at its destination.
+/// Effect of a second delivery of a message at its destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Idempotency {
     /// Idempotent: a second delivery has no further effect, at any time.
     Idempotent,
-    /// The message carries an idempotency key: a second delivery is dropped for `window` after the first attempt that
-    /// may have run was sent, by all endpoints of the destination or only by those of that attempt's zone.
+    /// The message carries an idempotency key. A second delivery is dropped if it arrives within `window`
+    /// after the first attempt that may have run was sent.
     IdempotencyKey {
-        /// Whether only the endpoints of one zone share their idempotency keys.
+        /// Whether only the endpoints in the zone of that first attempt drop the second delivery. Otherwise
+        /// all endpoints of the destination do.
         per_zone: bool,
-        /// How long a second delivery is dropped, in nanoseconds.
+        /// Idempotency window: how long a second delivery is dropped, in nanoseconds.
         window: Nanos,
     },
     /// Non-idempotent: a second delivery takes effect again.
@@ -23,26 +24,26 @@
 }
 
 impl Idempotency {
-    /// Whether a repeat is harmless, or dropped by all endpoints of the destination.
+    /// Whether a second delivery is harmless, or dropped by all endpoints of the destination.
     pub(crate) fn covers_all_endpoints(self) -> bool {
         matches!(self, Idempotency::Idempotent | Idempotency::IdempotencyKey { per_zone: false, .. })
     }
 }
 
-/// A class of message.
+/// A message class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MessageClass {
-    /// Latency objective, in nanoseconds from acceptance: a delivery within it has the full priority weight.
+    /// Latency objective, in nanoseconds after acceptance. A delivery within it has the full priority weight.
     pub latency_objective: Nanos,
-    /// Time from acceptance to the deadline, in nanoseconds.
+    /// Deadline, in nanoseconds after acceptance.
     pub deadline: Nanos,
-    /// Value of a delivery within the latency objective, relative to other classes.
+    /// Value of a delivery within the latency objective, relative to other classes. It is at least 0.
     pub priority_weight: f64,
-    /// Share (0 to 1) of the priority weight that a delivery at the deadline still has.
+    /// Share (0 to 1) of the priority weight that a late delivery still has at least, up to the deadline.
     pub late_weight_share: f64,
-    /// What a second delivery does.
+    /// Effect of a second delivery.
     pub idempotency: Idempotency,
-    /// Whether messages of one key are sent one at a time, in the order of acceptance.
+    /// Whether messages with the same ordering key are sent one at a time, in the order of acceptance.
     pub ordered: bool,
 }
 
@@ -58,84 +59,90 @@
         Ok(())
     }
 
-    /// What a message with this deadline (an instant) is worth if it is delivered at an instant.
-    pub(crate) fn value_at(&self, at: Nanos, deadline: Nanos, decay: Decay) -> f64 {
-        if at > deadline {
+    /// Value of a message with this deadline if it is delivered at `delivered_at`; both are instants.
+    pub(crate) fn value_at(&self, delivered_at: Nanos, deadline: Nanos, decay: Decay) -> f64 {
+        if delivered_at > deadline {
             return 0.0;
         }
         let accepted_at = deadline.saturating_sub(self.deadline);
-        let late = at.saturating_sub(accepted_at).saturating_sub(self.latency_objective) as f64;
-        let left = match decay {
+        let lateness = delivered_at.saturating_sub(accepted_at).saturating_sub(self.latency_objective) as f64;
+        let share = match decay {
             Decay::Linear => {
-                let late_span = (self.deadline - self.latency_objective).max(1) as f64;
-                1.0 - (1.0 - self.late_weight_share) * late / late_span
+                let max_lateness = (self.deadline - self.latency_objective).max(1) as f64;
+                1.0 - (1.0 - self.late_weight_share) * lateness / max_lateness
             }
-            Decay::Halving => 0.5f64.powf(late / self.latency_objective as f64),
+            Decay::Halving => 0.5f64.powf(lateness / self.latency_objective as f64),
         };
-        self.priority_weight * left.max(self.late_weight_share)
+        self.priority_weight * share.max(self.late_weight_share)
     }
 }
 
 /// A kind of destination.
+///
+/// A route is the unit that has its own rate limit, pacing and outages: an endpoint or a whole destination.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DestinationKind {
-    /// Whether each endpoint is a route of its own, with its own rate limit, pacing and outages.
+    /// Whether each endpoint is a route. Otherwise all endpoints of a destination together are one route.
     pub per_endpoint: bool,
 }
 
 /// How the value of a delivery falls after the latency objective.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Decay {
-    /// Linearly, down to the late share at the deadline.
+    /// Linearly, down to [`MessageClass::late_weight_share`] at the deadline.
     #[default]
     Linear,
-    /// By half with each further latency objective, but not below the late share.
+    /// By half with each further latency objective, but not below [`MessageClass::late_weight_share`].
     Halving,
 }
 
-/// What the weights in the endpoint list mean.
+/// Meaning of the weights in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointWeights {
-    /// Nothing.
+    /// They have no meaning.
     #[default]
     Ignored,
-    /// Rate limit: calls a second that the route takes from all senders together.
+    /// The rate limit of the route, in calls a second from all senders together.
     Nominal,
-    /// The same, but up to half too high or too low.
+    /// The rate limit of the route, but up to half too high or too low.
     Approximate,
 }
 
 impl EndpointWeights {
-    /// Calls a second that a weight stands for, if any; an approximate one is divided by its possible `error`.
-    pub(crate) fn rate_limit(self, weight: f64, error: f64) -> Option<f64> {
+    /// Rate limit that a weight stands for, if any. An approximate weight is divided by `max_error`, the
+    /// factor by which it may be too high.
+    pub(crate) fn rate_limit(self, weight: f64, max_error: f64) -> Option<f64> {
         match self {
             EndpointWeights::Ignored => None,
             EndpointWeights::Nominal => Some(weight),
-            EndpointWeights::Approximate => Some(weight / error),
+            EndpointWeights::Approximate => Some(weight / max_error),
         }
     }
 }
 
-/// Recovery ramp: the load that a destination bears while it recovers from an outage.
+/// Recovery ramp: the load that a destination can take while it recovers from an outage.
+///
+/// Its capacity rises linearly from `initial_share` to all of its full capacity within `duration`. It fails
+/// again if it is sent more than `overload_factor` times its present capacity for `overload_window`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RecoveryRamp {
-    /// A recovering destination fails again if it is sent more than this many times its present capacity ...
+    /// Multiple of the present capacity above which a recovering destination fails again.
     pub overload_factor: f64,
-    /// ... for this long, in nanoseconds.
+    /// How long the overload has to last until the destination fails again, in nanoseconds.
     pub overload_window: Nanos,
-    /// Share (0 to 1) of its full capacity that it has at least when it starts to recover.
+    /// Share (0 to 1) of the full capacity that the destination has at least when it starts to recover.
     pub initial_share: f64,
-    /// Time until it has its full capacity again, in nanoseconds.
+    /// Time from the start of the recovery until the destination has its full capacity again, in nanoseconds.
     pub duration: Nanos,
 }
 
 impl RecoveryRamp {
-    fn is_usable(&self) -> bool {
+    fn is_valid(&self) -> bool {
         let is_factor = self.overload_factor > 0.0 && self.overload_factor.is_finite();
         self.overload_window > 0 && is_factor && is_share(self.initial_share)
     }
 
-    /// Share of its capacity that a destination has at least when it has been back for `elapsed`.
+    /// Share of its full capacity that a destination has at least, `elapsed` after it started to recover.
     pub(crate) fn capacity_share(&self, elapsed: Nanos) -> f64 {
         let progress = (elapsed as f64 / self.duration.max(1) as f64).min(1.0);
         self.initial_share + (1.0 - self.initial_share) * progress
@@ -143,55 +150,58 @@
 }
 
 /// Settings of a sender, fixed for its lifetime. The default is empty, and [`Settings::check`] rejects it.
+///
+/// Costs of attempts are shares of the value of a message: 1 is its whole value.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
-    /// Number of senders, which share the rate limits.
+    /// Number of senders that share the rate limits, this one included.
     pub senders: u32,
     /// This sender's zone.
     pub zone: ZoneId,
-    /// For each zone, the cost of an attempt at an endpoint there that is a route of its own, in message values.
+    /// For each zone, the cost of an attempt at one of its endpoints. It applies only if each endpoint is a
+    /// route; see [`DestinationKind::per_endpoint`].
     pub zone_prices: Vec<f64>,
-    /// Kinds of destination.
+    /// Destination kinds.
     pub kinds: Vec<DestinationKind>,
-    /// Classes of message.
+    /// Message classes.
     pub classes: Vec<MessageClass>,
     /// How the value of a delivery falls after the latency objective.
     pub decay: Decay,
-    /// What the weights in the endpoint list mean.
+    /// Meaning of the weights in the endpoint list.
     pub weight_meaning: EndpointWeights,
-    /// In-flight limit: calls at a time, over all destinations.
+    /// In-flight limit: most attempts in flight at a time, to all destinations together.
     pub max_in_flight: usize,
-    /// Accepted messages without a final answer at a time, in flight or waiting.
+    /// Most accepted messages without a final answer at a time, in flight or waiting.
     pub max_open_messages: usize,
     /// Most attempts of one message, hedges included.
     pub max_attempts: u32,
     /// Whether [`Action::Cancel`](super::Action::Cancel) may be used.
     pub may_cancel: bool,
-    /// Whether a message may have two attempts in flight at a time.
+    /// Whether a message may have two attempts in flight at a time, so that it can be hedged.
     pub may_hedge: bool,
-    /// Longest Retry-After that clients follow, in nanoseconds; `None` if none may be sent.
+    /// Longest Retry-After that clients follow, in nanoseconds; `None` if no Retry-After may be sent.
     pub max_retry_after: Option<Nanos>,
     /// Recovery ramp of the destinations.
     pub recovery: RecoveryRamp,
     /// How long an ordering key is paused after an attempt that may still be running, in nanoseconds.
     pub key_quiet_period: Nanos,
-    /// Timeout of a new connection, in nanoseconds.
+    /// Timeout for opening a connection, in nanoseconds.
     pub connect_timeout: Nanos,
-    /// Idle connections are closed after this long, in nanoseconds.
+    /// How long a connection may be idle before it is closed, in nanoseconds.
     pub idle_timeout: Nanos,
     /// Shortest time between two turns, in nanoseconds.
     pub turn_interval: Nanos,
-    /// Cost of an attempt that crosses zones, in message values.
+    /// Cost of an attempt at an endpoint in another zone.
     pub cross_zone_price: f64,
-    /// Cost of a new connection, as a share of a message's value.
+    /// Cost of an attempt that needs a new connection.
     pub handshake_price: f64,
 }
 
 impl Settings {
-    /// Checks each setting.
+    /// Checks that each setting is in range.
     ///
     /// # Errors
-    /// The first setting found that is out of range.
+    /// Returns an error for the first setting that is out of range.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.senders == 0 {
             return Err(SettingsError::NoSenders);
@@ -200,7 +210,7 @@
             return Err(SettingsError::NoInFlightLimit);
         }
         if self.max_open_messages == 0 || self.max_attempts == 0 {
-            return Err(SettingsError::NothingHeldOrSent);
+            return Err(SettingsError::NoOpenMessagesOrAttempts);
         }
         if self.classes.is_empty() || self.kinds.is_empty() || self.zone_prices.is_empty() {
             return Err(SettingsError::NoClassKindOrZone);
@@ -208,7 +218,7 @@
         if self.zone.0 >= self.zone_prices.len() {
             return Err(SettingsError::UnknownZone);
         }
-        if !self.recovery.is_usable() {
+        if !self.recovery.is_valid() {
             return Err(SettingsError::RecoveryOutOfRange);
         }
         self.classes.iter().try_for_each(MessageClass::check)
@@ -219,34 +229,38 @@
     (0.0..=1.0).contains(&number)
 }
 
-/// The setting that makes settings unusable.
+/// Reason why settings are rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
     /// [`Settings::senders`] is 0.
-    #[error("unusable settings: senders: at least one is needed")]
+    #[error("invalid settings: senders must be at least 1")]
     NoSenders,
     /// [`Settings::max_in_flight`] is 0.
-    #[error("unusable settings: slots: at least one is needed")]
+    #[error("invalid settings: max_in_flight must be at least 1")]
     NoInFlightLimit,
     /// [`Settings::max_open_messages`] or [`Settings::max_attempts`] is 0.
-    #[error("unusable settings: hold_limit and max_attempts: at least one is needed")]
-    NothingHeldOrSent,
+    #[error("invalid settings: max_open_messages and max_attempts must be at least 1")]
+    NoOpenMessagesOrAttempts,
     /// [`Settings::classes`], [`Settings::kinds`] or [`Settings::zone_prices`] is empty.
-    #[error("unusable settings: classes, kinds and zones: at least one of each is needed")]
+    #[error("invalid settings: classes, kinds and zone_prices must not be empty")]
     NoClassKindOrZone,
-    /// [`Settings::zone`] is not among the zones of [`Settings::zone_prices`].
-    #[error("unusable settings: zone: it is not among the zones")]
+    /// [`Settings::zone`] has no entry in [`Settings::zone_prices`].
+    #[error("invalid settings: zone has no entry in zone_prices")]
     UnknownZone,
-    /// A figure of [`Settings::recovery`] is out of range.
-    #[error("unusable settings: fail_back: span and factor must be above zero, cold_from a share")]
+    /// A value of [`Settings::recovery`] is out of range.
+    #[error(
+        "invalid settings: recovery: overload_factor and overload_window must be > 0, initial_share 0 to 1"
+    )]
     RecoveryOutOfRange,
-    /// The latency objective of a class is 0, or after the class's deadline.
-    #[error("unusable settings: classes: the aim must be above zero and not past the deadline")]
+    /// The latency objective of a class is 0, or longer than the class's deadline.
+    #[error("invalid settings: classes: latency_objective must be above 0 and not longer than deadline")]
     LatencyObjectiveOutOfRange,
-    /// The priority weight of a class is negative or infinite, or its late share is not a share.
-    #[error("unusable settings: classes: worth must not be negative, late_worth a share")]
+    /// The priority weight of a class is negative or infinite, or its late weight share is not from 0 to 1.
+    #[error(
+        "invalid settings: classes: priority_weight must be finite and at least 0, late_weight_share 0 to 1"
+    )]
     PriorityWeightOutOfRange,
-    /// A restored state has other kinds of destination, or more classes, than the settings.
-    #[error("unusable settings: classes and kinds: not those of the state that was passed")]
-    NotThoseOfRestoredState,
+    /// The restored state has other destination kinds than the settings, or refers to a class they lack.
+    #[error("invalid settings: classes and kinds do not fit the restored state")]
+    RestoredStateMismatch,
 }
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -72,7 +72,7 @@
         let classes = self.messages.values().all(|message| message.class.0 < settings.classes.len());
         let kinds = self.endpoints.values().all(|endpoint| endpoint.kind.0 < settings.kinds.len());
         if !classes || !kinds || self.retry_success_rate.len() != settings.kinds.len() {
-            return Err(SettingsError::NotThoseOfRestoredState);
+            return Err(SettingsError::RestoredStateMismatch);
         }
         self.settings = settings;
         Ok(self)
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -316,10 +316,10 @@
 }
 
 #[test]
-fn unusable_settings_say_which() {
-    let mut none = settings(vec![class(IDEMPOTENT)]);
-    none.max_in_flight = 0;
-    assert!(Policy::new(none, 1).unwrap_err().to_string().contains("slots"));
+fn an_error_for_invalid_settings_names_the_setting() {
+    let mut no_calls = settings(vec![class(IDEMPOTENT)]);
+    no_calls.max_in_flight = 0;
+    assert!(Policy::new(no_calls, 1).unwrap_err().to_string().contains("max_in_flight"));
     assert!(Policy::new(settings(vec![]), 1).unwrap_err().to_string().contains("classes"));
 }
 
