--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -1,7 +1,7 @@
-//! The types between a sender and its [`Policy`](crate::Policy): settings, events and actions.
+//! Types that a sender exchanges with its [`Policy`](crate::Policy): settings, events and actions.
 //!
-//! All times are in nanoseconds. Instants count from an origin that the caller picks, and never go back. Ids are small
-//! integers that the caller assigns: equal ids stand for the same thing for the lifetime of a policy.
+//! All times are in nanoseconds. Instants are counted from an origin that the caller chooses, and never go
+//! back. Ids are integers that the caller assigns; an id has the same meaning for the lifetime of a policy.
 
 use serde::{Deserialize, Serialize};
 
@@ -20,7 +20,7 @@
     )*};
 }
 id! {
-    /// An accepted message; never used twice.
+    /// An accepted message. No id is used for two messages.
     MessageId(u64);
     /// A destination: the partner that messages are sent to.
     DestinationId(u64);
@@ -32,15 +32,16 @@
     KindId(usize);
     /// Index into [`Settings::classes`].
     ClassId(usize);
-    /// An ordering key: messages of one key are sent one at a time.
+    /// An ordering key. Messages with the same key are sent one at a time.
     KeyId(u64);
 }
 
-/// What a rate limit and an outage apply to: one endpoint, or all those of a destination.
+/// Identifies a route, the unit that has a rate limit, pacing and outages: one endpoint, or all endpoints of
+/// a destination.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct RouteKey {
     pub(crate) destination: DestinationId,
-    /// Set where each endpoint is a route of its own.
+    /// Set if each endpoint of the destination is a route.
     pub(crate) endpoint: Option<EndpointId>,
 }
 
@@ -56,13 +57,13 @@
     }
 }
 
-/// State of an endpoint in the endpoint list, which says nothing of its health.
+/// State of an endpoint in the endpoint list. It does not include the health of the endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointState {
-    /// May be sent to.
+    /// Attempts may be sent to it.
     #[default]
     Active,
-    /// Draining: no new attempt may be sent to it.
+    /// No new attempt may be sent to it.
     Draining,
     /// Removed from the list.
     Removed,
@@ -81,40 +82,41 @@
     pub destination: DestinationId,
     /// Its state.
     pub state: EndpointState,
-    /// Its weight; [`EndpointWeights`] says what it means.
+    /// Its weight; for the meaning see [`EndpointWeights`].
     pub weight: f64,
 }
 
 /// Outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Delivered.
+    /// The endpoint responded with a success.
     Success,
-    /// An error response; it may have taken effect.
+    /// The endpoint responded with an error. The attempt may have taken effect.
     Failure,
-    /// An overloaded response: rejected before it ran.
+    /// The endpoint rejected the attempt as overloaded. It never ran.
     Overloaded {
-        /// How long nothing may be sent to the route; 0 without a Retry-After.
+        /// How long nothing may be sent to the route; 0 if the response has no Retry-After.
         retry_after: Nanos,
     },
-    /// Timed out; it may still be running.
+    /// The attempt timed out. It may still be running.
     TimedOut,
-    /// No connection was established; it never ran.
+    /// No connection was established. The attempt never ran.
     Unreachable,
-    /// The connection was lost; it may have run.
+    /// The connection was lost. The attempt may have run.
     ConnectionLost,
-    /// A reused connection had gone stale; it may have run. Says nothing of the endpoint's health.
+    /// A reused connection was stale. The attempt may have run. This does not count against the endpoint's
+    /// health.
     StaleConnection,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled. It may have run.
     Cancelled,
-    /// Not sent; it never ran, and counts as an attempt.
+    /// The attempt was not sent. It never ran, but it counts as one of the message's attempts.
     NotSent,
-    /// Not sent, since the message has had all its attempts; it never ran, and none can follow.
+    /// The attempt was not sent, as the message has no attempts left. It never ran, and none can follow.
     AttemptsExhausted,
 }
 
 impl Outcome {
-    /// True if this outcome proves that the attempt never ran.
+    /// Whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -122,7 +124,7 @@
         )
     }
 
-    /// True if the endpoint may still be working on the attempt.
+    /// Whether the endpoint may still be working on the attempt.
     pub(crate) fn may_still_run(self) -> bool {
         matches!(
             self,
@@ -131,70 +133,71 @@
     }
 }
 
-/// A fault of a route: a destination, or an endpoint that is a route of its own.
+/// An outage of a route, or the recovery from one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outage {
-    /// It does not respond.
+    /// The route does not respond.
     Unresponsive,
-    /// It rejects all calls.
+    /// The route rejects all calls.
     Rejecting,
-    /// It responds again, within its recovery ramp.
+    /// The route responds again, and its recovery ramp has not ended.
     Recovering {
-        /// Time since it responded again.
+        /// Time since the route started to recover.
         elapsed: Nanos,
     },
 }
 
-/// What this sender has itself observed of a route, for other senders; see [`Policy::observations`](crate::Policy::observations).
+/// Own observations of a route, to be passed to other senders; see
+/// [`Policy::observations`](crate::Policy::observations).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Observation {
     /// The destination.
     pub destination: DestinationId,
-    /// The endpoint, where it is a route of its own.
+    /// The endpoint, if each endpoint of the destination is a route.
     pub endpoint: Option<EndpointId>,
-    /// Time since the latest call.
+    /// Time since the latest attempt was sent.
     pub since_last_call: Nanos,
-    /// Remaining Retry-After: how long nothing may be sent to it.
+    /// Remaining Retry-After: how long nothing may be sent to the route.
     pub remaining_retry_after: Nanos,
-    /// The pacing interval.
+    /// Pacing interval: least time between two sends of this sender.
     pub pacing_interval: Nanos,
-    /// Rate limit, in calls a second of all senders together; `None` if unknown or during an outage.
+    /// Rate limit, in calls a second from all senders together; `None` if it is unknown or during an outage.
     pub rate_limit: Option<f64>,
-    /// Number of successful calls, decaying with a half-life of 20 s.
+    /// Number of successful calls, which decays with a half-life of 20 s.
     pub successful_calls: f64,
-    /// Number of rejected calls, decaying in the same way.
+    /// Number of rejected calls, which decays in the same way.
     pub rejected_calls: f64,
     /// Latencies of the latest successful calls, in ascending order.
     pub latencies: Vec<Nanos>,
-    /// The observed outage, if any.
+    /// The outage, if this sender has observed one.
     pub outage: Option<Outage>,
 }
 
-/// What other senders have observed of a route, already weighed: a prior, which own observations replace.
+/// Observations of a route by other senders, weighed into one prior. Own observations replace it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GossipedState {
     /// The destination.
     pub destination: DestinationId,
-    /// The endpoint, where it is a route of its own.
+    /// The endpoint, if each endpoint of the destination is a route.
     pub endpoint: Option<EndpointId>,
-    /// Remaining Retry-After. It applies at once, whatever was observed here.
+    /// Remaining Retry-After. It applies at once, even if this sender has observations of its own.
     pub remaining_retry_after: Nanos,
-    /// The pacing interval to start with.
+    /// Pacing interval to start with.
     pub pacing_interval: Nanos,
-    /// Rate limit, in calls a second of all senders together.
+    /// Rate limit, in calls a second from all senders together.
     pub rate_limit: Option<f64>,
-    /// Latencies; their number is the weight of the prior.
+    /// Latencies of successful calls. The more there are, the more own latencies it takes to replace them.
     pub latencies: Vec<Nanos>,
-    /// An outage; this sender behaves as if it had observed it.
+    /// The outage, if any. This sender behaves as if it had observed the outage itself.
     pub outage: Option<Outage>,
 }
 
 /// An input of a turn.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The complete endpoint list; endpoints that it does not name are removed.
+    /// The complete endpoint list. Endpoints that are not in it are removed.
     EndpointList(Vec<EndpointEntry>),
-    /// The changed entries of the endpoint list.
+    /// The entries of the endpoint list that have changed.
     EndpointChanges(Vec<EndpointEntry>),
     /// A message was accepted.
     MessageAccepted {
@@ -209,7 +212,7 @@
         /// Its ordering key, if its class is ordered.
         key: Option<KeyId>,
     },
-    /// A message that an earlier process of this sender accepted and did not finish.
+    /// A message was resumed: an earlier process of this sender accepted it and did not finish it.
     MessageResumed {
         /// Its id.
         id: MessageId,
@@ -219,31 +222,31 @@
         class: ClassId,
         /// Its deadline (an instant).
         deadline: Nanos,
-        /// Number of its attempts so far, which is the number of its next one.
+        /// How many attempts it has had. The next attempt has this number.
         attempts: u32,
-        /// When the first attempt was sent that may have run.
+        /// When the first attempt that may have run was sent; `None` if no attempt can have run.
         may_have_run_since: Option<Nanos>,
     },
-    /// What other senders have observed of a listed route.
+    /// Observations by other senders of a route that has an endpoint in the endpoint list.
     Gossip(GossipedState),
-    /// Graceful shutdown: no call may be in flight after this instant.
+    /// Graceful shutdown: no attempt may be in flight after this instant.
     ShutdownDeadline(Nanos),
-    /// The end of an attempt; exactly one for each [`Action::Send`].
+    /// An attempt has ended. There is exactly one such event for each [`Action::Send`].
     AttemptEnded {
         /// The message.
         id: MessageId,
-        /// Number of the attempt; the first is 0.
+        /// Number of the attempt; the first attempt of a message has number 0.
         attempt: u32,
         /// Its outcome.
         outcome: Outcome,
         /// Its duration.
         took: Nanos,
-        /// Whether the message has its final answer.
+        /// Whether the message is finished: its final answer is known.
         finished: bool,
     },
-    /// The client has disconnected; no answer is needed.
+    /// The client has disconnected, and no answer is needed.
     ClientLeft(MessageId),
-    /// The wake-up that [`Action::WakeAfter`] asked for.
+    /// The time of the latest [`Action::WakeAfter`] has passed.
     Wake,
 }
 
@@ -258,7 +261,8 @@
         endpoint: EndpointId,
         /// Timeout of the attempt.
         timeout: Nanos,
-        /// Latest start (an instant): after it a second delivery would take effect again.
+        /// Latest instant at which the attempt may start. After it, a second delivery would take effect
+        /// again.
         latest_start: Nanos,
     },
     /// Cancel an attempt in flight.
@@ -268,14 +272,14 @@
         /// Number of the attempt.
         attempt: u32,
     },
-    /// Final answer: not delivered, and the client may retry without harm.
+    /// Final answer: the message was not delivered, and the client may safely retry.
     Reject {
         /// The message.
         id: MessageId,
-        /// Retry-After for the client, if one may be sent.
+        /// Retry-After for the client; `None` if none may be sent.
         retry_after: Option<Nanos>,
     },
-    /// Final answer: failed; it may have taken effect.
+    /// Final answer: the message failed, and may have taken effect.
     Fail {
         /// The message.
         id: MessageId,
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,13 +1,13 @@
-//! Decisions of an outbound HTTP gateway: dispatch, hedged requests, retries, pacing, backoff, circuit breaking,
-//! slow start after an outage, in-flight limits and load shedding.
+//! Decisions of an outbound HTTP gateway: dispatch, hedged requests, retries, pacing, backoff, circuit
+//! breaking, slow start after an outage, in-flight limits and load shedding.
 //!
-//! When an idempotent message has no response at its destination's p95 latency, one hedge is sent, preferably to
-//! another endpoint, and the first success counts.
+//! If an idempotent message has no response after its destination's p95 latency, one hedged request is sent,
+//! preferably to another endpoint, and the first success counts.
 //!
-//! The crate has no clock, network or threads. A sender calls [`Policy::turn`] with all events in the order in which
-//! they happened, and carries out the returned actions in their order.
+//! The crate has no clock, network or threads. A sender calls [`Policy::turn`] with the events since the last
+//! turn, in the order in which they happened, and carries out the returned actions in their order.
 //!
-//! # A sender's loop
+//! # Event loop of a sender
 //!
 //! ```
 //! use martenlatch_policy::Policy;
@@ -36,7 +36,12 @@
 //!     may_hedge: true,
 //!     idle_timeout: 15_000_000_000,
 //!     max_retry_after: None,
-//!     recovery: RecoveryRamp { overload_factor: 2.0, overload_window: 2 * second, initial_share: 0.2, duration: 10 * second },
+//!     recovery: RecoveryRamp {
+//!         overload_factor: 2.0,
+//!         overload_window: 2 * second,
+//!         initial_share: 0.2,
+//!         duration: 10 * second,
+//!     },
 //!     key_quiet_period: 0,
 //!     connect_timeout: second,
 //!     turn_interval: 5_000_000,
@@ -45,7 +50,7 @@
 //! };
 //! let mut policy = Policy::new(settings, 7)?;
 //!
-//! // One turn for all that has come in: the list of endpoints and a message.
+//! // One turn with all events so far: the endpoint list and a message.
 //! let now = 1_000;
 //! let entry = EndpointEntry {
 //!     endpoint: EndpointId(0),
@@ -65,22 +70,22 @@
 //! let mut actions = Vec::new();
 //! policy.turn(now, &[Event::EndpointList(vec![entry]), message], &mut actions);
 //!
-//! // Carry the actions out, in their order.
+//! // Carry out the actions in their order.
 //! let mut sent = 0;
 //! for action in &actions {
 //!     match action {
 //!         Action::Send { id, endpoint, timeout, .. } => {
 //!             assert_eq!((*id, *endpoint), (MessageId(0), EndpointId(0)));
 //!             assert!(*timeout <= 8 * second);
-//!             sent += 1; // call the endpoint; its outcome comes back as `Event::AttemptEnded`
+//!             sent += 1; // call the endpoint, and report the outcome with `Event::AttemptEnded`
 //!         }
-//!         Action::WakeAfter(_) => {} // start a timer; call a turn with `Event::Wake` when it is due
+//!         Action::WakeAfter(_) => {} // start a timer, and run a turn with `Event::Wake` when it expires
 //!         _ => {}
 //!     }
 //! }
 //! assert_eq!(sent, 1);
 //!
-//! // Later: the answer. A success that came first finishes its message.
+//! // Later the endpoint responds. The first success finishes the message.
 //! let ended = Event::AttemptEnded {
 //!     id: MessageId(0),
 //!     attempt: 0,
@@ -96,14 +101,16 @@
 //!
 //! # Requirements on the caller
 //!
-//! * Each [`Action::Send`] ends in exactly one [`Event::AttemptEnded`]; attempts of a message are counted from 0 in the
-//!   order of the sends. The first success finishes the message: say so in `finished`.
-//! * [`Action::Reject`] and [`Action::Fail`] are the final answer to the client; outcomes of attempts still in flight are
-//!   reported as usual, with `finished` set.
-//! * After a restart a sender reports the messages that it had accepted with [`Event::MessageResumed`], after the endpoint
-//!   list. At a graceful shutdown it reports the deadline with [`Event::ShutdownDeadline`].
-//! * [`Action::WakeAfter`] asks for one later turn with [`interface::Event::Wake`] and replaces all earlier ones. A turn may
-//!   come at any time.
+//! * Each [`Action::Send`] ends in exactly one [`Event::AttemptEnded`]. The attempts of a message are
+//!   numbered from 0 in the order of the sends. The first success finishes the message: set `finished` in its
+//!   event.
+//! * [`Action::Reject`] and [`Action::Fail`] are the final answer to the client. Attempts that are still in
+//!   flight are reported as usual when they end, with `finished` set.
+//! * After a restart, a sender first reports the endpoint list and then, with [`Event::MessageResumed`], the
+//!   messages that it had accepted and not finished. At a graceful shutdown it reports the deadline with
+//!   [`Event::ShutdownDeadline`].
+//! * [`Action::WakeAfter`] asks for one later turn with [`interface::Event::Wake`], and replaces all earlier
+//!   requests. A turn may also run at any other time.
 //! * Events about unknown or finished messages, attempts or endpoints, and repeated outcomes, are ignored.
 //!
 //! [`Action::Send`]: interface::Action::Send
