--- a/crates/policy/src/collections.rs
+++ b/crates/policy/src/collections.rs
@@ -1,4 +1,4 @@
-//! Data structures of the decision state. They know nothing of messages, endpoints or thresholds.
+//! Data structures of the decision state. They have no knowledge of messages, endpoints or thresholds.
 
 mod adaptive_interval;
 mod call_counts;
@@ -22,7 +22,7 @@
 pub(crate) use latency_window::LatencyWindow;
 pub(crate) use moving_average::{SmoothedLatency, SuccessRate};
 pub(crate) use outcome_history::OutcomeHistory;
-pub(crate) use page::page;
+pub(crate) use page::read_page;
 pub(crate) use random::Random;
 pub(crate) use send_window::SendWindow;
 pub(crate) use start_times::StartTimes;
--- a/crates/policy/src/collections/adaptive_interval.rs
+++ b/crates/policy/src/collections/adaptive_interval.rs
@@ -1,4 +1,4 @@
-//! An interval that grows and shrinks by factors.
+//! An interval that is increased and decreased by factors.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,31 +12,31 @@
 }
 
 impl AdaptiveInterval {
-    /// The present interval.
+    /// The current interval.
     pub(crate) fn get(&self) -> Nanos {
         self.interval
     }
 
-    /// When the interval was last increased; 0 if it never was.
+    /// Time of the latest [`AdaptiveInterval::increase`]; 0 if there was none.
     pub(crate) fn last_increase(&self) -> Nanos {
         self.last_increase
     }
 
-    /// Raises the interval to at least `least`.
-    pub(crate) fn raise_to(&mut self, least: Nanos) {
-        self.interval = self.interval.max(least);
+    /// Sets the interval to `min` if it is shorter.
+    pub(crate) fn raise_to(&mut self, min: Nanos) {
+        self.interval = self.interval.max(min);
     }
 
-    /// Doubles the interval, to at least `least` and at most `most`.
-    pub(crate) fn increase(&mut self, now: Nanos, least: Nanos, most: Nanos) {
+    /// Doubles the interval, to at least `min` and at most `max`.
+    pub(crate) fn increase(&mut self, now: Nanos, min: Nanos, max: Nanos) {
         self.last_increase = now;
-        self.interval = (self.interval * 2).max(least).min(most);
+        self.interval = (self.interval * 2).max(min).min(max);
     }
 
-    /// Takes a share (0 to 1) off the interval; what is left under `least` becomes 0.
-    pub(crate) fn decrease(&mut self, share: f64, least: Nanos) {
+    /// Decreases the interval by this share (0 to 1) of itself, and sets it to 0 if it is then below `min`.
+    pub(crate) fn decrease(&mut self, share: f64, min: Nanos) {
         self.interval = (self.interval as f64 * (1.0 - share)) as Nanos;
-        if self.interval < least {
+        if self.interval < min {
             self.interval = 0;
         }
     }
--- a/crates/policy/src/collections/connection_use.rs
+++ b/crates/policy/src/collections/connection_use.rs
@@ -1,10 +1,10 @@
-//! Whether calls come often enough to reuse a connection.
+//! Tells whether calls follow each other soon enough to reuse a connection.
 
 use serde::{Deserialize, Serialize};
 
 use crate::interface::Nanos;
 
-/// The latest use of a connection that is closed when it idles for too long.
+/// The latest use of a connection that is closed after an idle timeout.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct ConnectionUse {
     /// 0 before the first use.
@@ -13,18 +13,18 @@
 }
 
 impl ConnectionUse {
-    /// Counts a use.
+    /// Records a use.
     pub(crate) fn record(&mut self, now: Nanos, idle_timeout: Nanos) {
         self.is_reused = self.last_use == 0 || self.is_open(now, idle_timeout);
         self.last_use = now;
     }
 
-    /// Whether the connection was used before and has not idled out since.
+    /// Whether the connection has been used, and its idle timeout has not passed since.
     pub(crate) fn is_open(&self, now: Nanos, idle_timeout: Nanos) -> bool {
         self.last_use > 0 && now < self.last_use.saturating_add(idle_timeout)
     }
 
-    /// Whether the latest use came before the connection idled out, or was the first.
+    /// Whether the latest use came before the idle timeout had passed, or was the first use.
     pub(crate) fn is_reused(&self) -> bool {
         self.is_reused
     }
--- a/crates/policy/src/collections/fifo_queues.rs
+++ b/crates/policy/src/collections/fifo_queues.rs
@@ -1,4 +1,4 @@
-//! First-in, first-out queues, one for each key, that can be paused.
+//! First-in, first-out queues by key, which can be paused.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -39,14 +39,14 @@
         self.0.get(&key).is_some_and(|queue| now < queue.paused_until)
     }
 
-    /// Pauses an existing queue up to an instant, or longer if it already is.
+    /// Pauses a queue, if it exists, at least until an instant.
     pub(crate) fn pause_until(&mut self, key: K, until: Nanos) {
         if let Some(queue) = self.0.get_mut(&key) {
             queue.paused_until = queue.paused_until.max(until);
         }
     }
 
-    /// Removes an item, and then all queues that are empty and not paused any more.
+    /// Removes an item, and then all queues that are empty and no longer paused.
     pub(crate) fn remove(&mut self, key: K, item: &T, now: Nanos) {
         if let Some(queue) = self.0.get_mut(&key) {
             queue.items.retain(|queued| queued != item);
--- a/crates/policy/src/collections/latency_window.rs
+++ b/crates/policy/src/collections/latency_window.rs
@@ -1,7 +1,7 @@
-//! A sliding window of latencies that answers quantiles.
+//! A sliding window of latencies, with their quantiles.
 //!
-//! The first entries may be priors: latencies that other senders reported. Each latency measured here replaces one of
-//! them.
+//! The oldest entries may be priors: latencies that other senders reported. Each latency that this sender
+//! measures replaces one of them.
 
 use std::collections::VecDeque;
 
@@ -9,24 +9,26 @@
 
 use crate::interface::Nanos;
 
-/// The latest latencies, in order of arrival and sorted by size.
+/// The latest latencies, by age and by size.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct LatencyWindow {
+    /// Oldest first.
     by_age: VecDeque<Nanos>,
+    /// The same latencies in ascending order.
     by_size: Vec<Nanos>,
-    /// How many of the oldest entries are priors.
+    /// Number of the oldest entries that are priors.
     priors: usize,
 }
 
 impl LatencyWindow {
-    /// Entries kept: enough for a p95, few enough to follow a change of pace.
+    /// Number of entries: enough for a p95, and few enough to follow a change of latency.
     pub(crate) const CAPACITY: usize = 40;
 
-    /// Adds a latency. The oldest entry leaves when the window is full or holds priors.
-    pub(crate) fn learn(&mut self, latency: Nanos) {
+    /// Adds a latency. It replaces the oldest entry if the window is full or has priors.
+    pub(crate) fn record(&mut self, latency: Nanos) {
         self.by_age.push_back(latency);
-        let place = self.by_size.partition_point(|other| *other < latency);
-        self.by_size.insert(place, latency);
+        let position = self.by_size.partition_point(|other| *other < latency);
+        self.by_size.insert(position, latency);
         if self.by_age.len() > Self::CAPACITY || self.priors > 0 {
             self.priors = self.priors.saturating_sub(1);
             self.remove_oldest();
@@ -35,8 +37,8 @@
 
     fn remove_oldest(&mut self) {
         if let Some(oldest) = self.by_age.pop_front() {
-            let place = self.by_size.partition_point(|other| *other < oldest);
-            self.by_size.remove(place);
+            let position = self.by_size.partition_point(|other| *other < oldest);
+            self.by_size.remove(position);
         }
     }
 
@@ -47,22 +49,23 @@
         self.by_size.get(rank).copied().unwrap_or(0)
     }
 
-    /// The median, blended with a default in proportion to the entries that are missing of `enough`.
-    pub(crate) fn blended_median(&self, default: Nanos, enough: usize) -> Nanos {
-        let enough = enough as Nanos;
-        let present = enough.min(self.len() as Nanos);
-        (self.quantile(0.5) * present + default * (enough - present)) / enough
+    /// The median. With fewer than `min_entries` entries, it is averaged with a default, which has the weight
+    /// of the missing entries.
+    pub(crate) fn blended_median(&self, default: Nanos, min_entries: usize) -> Nanos {
+        let min_entries = min_entries as Nanos;
+        let present = min_entries.min(self.len() as Nanos);
+        (self.quantile(0.5) * present + default * (min_entries - present)) / min_entries
     }
 
-    /// A quantile of this window if it has enough entries; else that of the other window, scaled from its median to the
-    /// given one; `None` if neither has enough.
+    /// A quantile of this window if it has at least `min_entries` entries. Else that of the other window,
+    /// scaled from that window's median to `median`; `None` if the other window has too few entries as well.
     pub(crate) fn quantile_or_scaled(
-        &self, quantile: f64, enough: usize, other: &LatencyWindow, median: impl Fn() -> Nanos,
+        &self, quantile: f64, min_entries: usize, other: &LatencyWindow, median: impl Fn() -> Nanos,
     ) -> Option<Nanos> {
-        if self.len() >= enough {
+        if self.len() >= min_entries {
             return Some(self.quantile(quantile));
         }
-        if other.len() < enough {
+        if other.len() < min_entries {
             return None;
         }
         let ratio = other.quantile(quantile) as f64 / other.quantile(0.5).max(1) as f64;
@@ -79,7 +82,7 @@
         self.by_age.is_empty()
     }
 
-    /// Declares all present entries to be priors.
+    /// Marks all present entries as priors.
     pub(crate) fn mark_as_priors(&mut self) {
         self.priors = self.by_age.len();
     }
--- a/crates/policy/src/collections/moving_average.rs
+++ b/crates/policy/src/collections/moving_average.rs
@@ -4,10 +4,10 @@
 
 use crate::interface::Nanos;
 
-/// Weight of the newest trial in a [`SuccessRate`].
-const TRIAL_WEIGHT: f64 = 0.25;
+/// Weight of the latest outcome in a [`SuccessRate`].
+const OUTCOME_WEIGHT: f64 = 0.25;
 
-/// The share of trials that succeed, as a moving average between 0 and 1.
+/// The share of successes, as a moving average between 0 and 1.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(crate) struct SuccessRate(f64);
 
@@ -19,26 +19,26 @@
 
     /// Counts a success.
     pub(crate) fn record_success(&mut self) {
-        self.0 += (1.0 - self.0) * TRIAL_WEIGHT;
+        self.0 += (1.0 - self.0) * OUTCOME_WEIGHT;
     }
 
     /// Counts a failure.
     pub(crate) fn record_failure(&mut self) {
-        self.0 *= 1.0 - TRIAL_WEIGHT;
+        self.0 *= 1.0 - OUTCOME_WEIGHT;
     }
 
-    /// The present average.
+    /// The current average.
     pub(crate) fn get(&self) -> f64 {
         self.0
     }
 }
 
-/// A moving average of latencies in nanoseconds, in which the newest weighs an eighth.
+/// A moving average of latencies in nanoseconds, in which the latest has a weight of an eighth.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct SmoothedLatency(Nanos);
 
 impl SmoothedLatency {
-    /// Adds a latency; the first one is taken as it is.
+    /// Adds a latency. The first one becomes the average.
     pub(crate) fn record(&mut self, latency: Nanos) {
         self.0 = if self.0 == 0 { latency } else { (self.0 * 7 + latency) / 8 };
     }
--- a/crates/policy/src/collections/outcome_history.rs
+++ b/crates/policy/src/collections/outcome_history.rs
@@ -1,4 +1,4 @@
-//! A short history of good and bad outcomes.
+//! A short history of successes and failures.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,27 +7,27 @@
 pub(crate) struct OutcomeHistory(u8);
 
 impl OutcomeHistory {
-    /// Replaces the history by this many failures (seven at most) after good outcomes.
+    /// Replaces the history by successes followed by this many failures, at most seven.
     pub(crate) fn assume_failures(&mut self, failures: u32) {
         self.0 = (1 << failures) - 1;
     }
 
-    /// Adds a good outcome; the oldest outcome is forgotten.
+    /// Adds a success, and removes the oldest outcome.
     pub(crate) fn record_success(&mut self) {
         self.0 <<= 1;
     }
 
-    /// Adds a bad outcome; the oldest outcome is forgotten.
+    /// Adds a failure, and removes the oldest outcome.
     pub(crate) fn record_failure(&mut self) {
         self.0 = self.0 << 1 | 1;
     }
 
-    /// Failures since the latest good outcome, up to eight.
+    /// Number of failures since the latest success, at most eight.
     pub(crate) fn consecutive_failures(&self) -> u32 {
         self.0.trailing_ones()
     }
 
-    /// Failures among the last eight outcomes.
+    /// Number of failures among the last eight outcomes.
     pub(crate) fn failures(&self) -> u32 {
         self.0.count_ones()
     }
--- a/crates/policy/src/collections/page.rs
+++ b/crates/policy/src/collections/page.rs
@@ -1,18 +1,19 @@
-//! Reading a large map page by page.
+//! Reads a large map page by page.
 
 use std::collections::BTreeMap;
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// Reads up to `most` entries after a key, and returns what `read` made of them; and the last key read, if more follow.
+/// Reads up to `max_entries` entries that follow the key `after`. Returns the results of `read`, and the last
+/// key that was read if more entries follow.
 ///
-/// The limit counts the entries for which `read` gives nothing, so that a page costs the same however many these are.
-pub(crate) fn page<K: Ord + Copy, V, T>(
-    map: &BTreeMap<K, V>, after: Option<K>, most: usize, read: impl Fn(K, &V) -> Option<T>,
+/// Entries for which `read` returns `None` count towards the limit, so that each page costs the same.
+pub(crate) fn read_page<K: Ord + Copy, V, T>(
+    map: &BTreeMap<K, V>, after: Option<K>, max_entries: usize, read: impl Fn(K, &V) -> Option<T>,
 ) -> (Vec<T>, Option<K>) {
     let mut entries = map.range((after.map_or(Unbounded, Excluded), Unbounded));
     let mut items = Vec::new();
     let mut last = None;
-    for (key, value) in entries.by_ref().take(most) {
+    for (key, value) in entries.by_ref().take(max_entries) {
         last = Some(*key);
         items.extend(read(*key, value));
     }
--- a/crates/policy/src/collections/start_times.rs
+++ b/crates/policy/src/collections/start_times.rs
@@ -1,4 +1,4 @@
-//! Start times of what is under way, by id.
+//! Start times of operations in progress, by id.
 
 use std::ops::RangeBounds;
 
@@ -6,7 +6,7 @@
 
 use crate::interface::Nanos;
 
-/// Ids with their start times, in the order in which they were added.
+/// Ids of operations in progress with their start times, in the order in which they were added.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct StartTimes<Id>(Vec<(Id, Nanos)>);
 
@@ -17,32 +17,32 @@
 }
 
 impl<Id: PartialEq> StartTimes<Id> {
-    /// Adds an id that starts at an instant.
+    /// Adds an operation that starts at an instant.
     pub(crate) fn start(&mut self, id: Id, at: Nanos) {
         self.0.push((id, at));
     }
 
-    /// Removes an id.
+    /// Removes an operation.
     pub(crate) fn end(&mut self, id: &Id) {
         self.0.retain(|(other, _)| other != id);
     }
 
-    /// Number of ids.
+    /// Number of operations in progress.
     pub(crate) fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there is no id.
+    /// Whether no operation is in progress.
     pub(crate) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Number of ids that started within a range of instants.
+    /// Number of operations that started within a range of instants.
     pub(crate) fn count_in(&self, range: impl RangeBounds<Nanos>) -> usize {
         self.0.iter().filter(|(_, at)| range.contains(at)).count()
     }
 
-    /// Whether any id started within a range of instants.
+    /// Whether any operation started within a range of instants.
     pub(crate) fn any_in(&self, range: impl RangeBounds<Nanos>) -> bool {
         self.0.iter().any(|(_, at)| range.contains(at))
     }
--- a/crates/policy/src/collections/wakeup_timer.rs
+++ b/crates/policy/src/collections/wakeup_timer.rs
@@ -1,10 +1,10 @@
-//! A timer that is moved to earlier instants only.
+//! A timer that can only be moved to an earlier instant.
 
 use serde::{Deserialize, Serialize};
 
 use crate::interface::Nanos;
 
-/// When the next wake-up is due, if one was asked for.
+/// Due time of the next wake-up, if one is set.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct WakeupTimer(Option<Nanos>);
 
@@ -14,14 +14,14 @@
         self.0.is_some_and(|due| now > due + tolerance)
     }
 
-    /// Forgets a wake-up that was due by an instant.
+    /// Clears the wake-up if it is due by an instant.
     pub(crate) fn expire(&mut self, by: Nanos) {
         self.0 = self.0.filter(|due| *due > by);
     }
 
-    /// Moves the wake-up to an earlier instant, or sets it; false if one is due before that.
+    /// Sets the wake-up if none is set or `due` is earlier, and returns whether it did.
     pub(crate) fn set(&mut self, due: Nanos) -> bool {
-        let is_earlier = self.0.is_none_or(|present| due < present);
+        let is_earlier = self.0.is_none_or(|current| due < current);
         if is_earlier {
             self.0 = Some(due);
         }
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,6 +1,5 @@
-//! The state of one sender's decisions, the steps of a turn and the intake of events.
-//!
-//! Each submodule has the rules of one concern. The events, actions and settings are in [`crate::interface`].
+//! The decision state of one sender, the steps of a turn and the processing of events.
+//! Each submodule covers one concern. The events, actions and settings are in [`crate::interface`].
 
 use crate::collections::*;
 use crate::interface::*;
@@ -18,15 +17,15 @@
 mod route;
 
 const MILLISECOND: Nanos = 1_000_000;
-/// How soon a message that waits for capacity, its turn or a budget is checked again, if no outcome comes.
+/// Interval at which a message that waits for capacity, its ordering key or a budget is checked again.
 const RECHECK_INTERVAL: Nanos = 20 * MILLISECOND;
-/// A turn that comes this much after its due time follows a stall of the process.
+/// A turn that runs this long after its due time follows a stall of the process.
 const STALL_THRESHOLD: Nanos = 100 * MILLISECOND;
-/// The overload windows of senders with one history end apart by up to this, each sender's by its seed.
+/// Largest extension of a sender's overload windows. It depends on the seed, so that senders act apart.
 const MAX_WINDOW_STAGGER: Nanos = 100 * MILLISECOND;
-/// In-flight limits up to which one free slot is enough for a hedge, and a lone hung call is cancelled.
+/// In-flight limit up to which a hedge needs only one free slot, and even a single hung call is cancelled.
 const SMALL_IN_FLIGHT_LIMIT: usize = 3;
-/// Share of retries after a rejection that succeed, as long as none was seen.
+/// Assumed share of retries after a rejection that succeed, before any was observed.
 const INITIAL_RETRY_SUCCESS: f64 = 0.5;
 
 /// The decisions of one sender.
@@ -34,29 +33,27 @@
 pub struct Policy {
     settings: Settings,
     now: Nanos,
-    /// No call may be in flight past this: the sender shuts down.
+    /// Set at a graceful shutdown: no call may be in flight after this instant.
     shutdown_deadline: Option<Nanos>,
     random: Random,
-    /// Extends each overload window of this sender.
-    window_stagger: Nanos,
+    window_stagger: Nanos, // extends each overload window of this sender
     endpoints: BTreeMap<EndpointId, Endpoint>,
     endpoints_of: BTreeMap<DestinationId, Vec<EndpointId>>,
     routes: BTreeMap<RouteKey, RouteState>,
     messages: BTreeMap<MessageId, Message>,
     ordering_queues: FifoQueues<KeyId, MessageId>,
-    /// Calls in flight, over all routes.
-    in_flight: usize,
+    in_flight: usize, // over all routes
     wakeup: WakeupTimer,
-    no_hedges_until: Nanos,
-    /// Latencies over all routes: what is known of a route that this sender has hardly called.
+    no_hedges_until: Nanos, // set after a stall
+    /// Latencies of all routes together: the estimate for a route that this sender has hardly called.
     pooled_latencies: LatencyWindow,
-    stalled: bool,
-    /// For each kind of destination: how often a retry after a rejection succeeds.
+    stalled: bool, // whether the present turn follows a stall
+    /// For each destination kind, the share of retries after a rejection that succeed.
     retry_success_rate: Vec<SuccessRate>,
 }
 
 impl Policy {
-    /// A sender that has just started and knows nothing but its settings.
+    /// The state of a sender that starts without any observations.
     pub fn new(settings: Settings, seed: u64) -> Result<Policy, SettingsError> {
         settings.check()?;
         let random = Random::new(seed);
@@ -69,19 +66,19 @@
     /// they are invalid, have other destination kinds, or lack a message class that the state refers to.
     pub fn restore(mut self, settings: Settings) -> Result<Policy, SettingsError> {
         settings.check()?;
-        let classes = self.messages.values().all(|message| message.class.0 < settings.classes.len());
-        let kinds = self.endpoints.values().all(|endpoint| endpoint.kind.0 < settings.kinds.len());
-        if !classes || !kinds || self.retry_success_rate.len() != settings.kinds.len() {
+        let classes_exist = self.messages.values().all(|message| message.class.0 < settings.classes.len());
+        let kinds_exist = self.endpoints.values().all(|endpoint| endpoint.kind.0 < settings.kinds.len());
+        if !classes_exist || !kinds_exist || self.retry_success_rate.len() != settings.kinds.len() {
             return Err(SettingsError::RestoredStateMismatch);
         }
         self.settings = settings;
         Ok(self)
     }
 
-    /// Takes in what happened and says what to do now. Call it once for all that has come in by `now`.
+    /// Processes the events up to `now` and appends the resulting actions. Call it once for all these events.
     pub fn turn(&mut self, now: Nanos, events: &[Event], actions: &mut Vec<Action>) {
         self.now = now.max(self.now);
-        // A stalled sender finds every call past its hedge delay at once; hedges would leave in a wave.
+        // After a stall, all calls are past their hedge delay, and their hedges would be sent at once.
         self.stalled = self.wakeup.is_late(self.now, STALL_THRESHOLD);
         if self.stalled {
             self.no_hedges_until = self.now + STALL_THRESHOLD;
@@ -119,7 +116,7 @@
     }
 
     fn schedule_wakeup(&mut self, actions: &mut Vec<Action>) {
-        // The caller's timers may be a little early.
+        // The caller's timer may expire a little early.
         self.wakeup.expire(self.now + self.settings.turn_interval);
         let Some(next) = self.messages.values().map(|message| self.next_check(message)).min() else { return };
         let delay = next.saturating_sub(self.now).max(self.settings.turn_interval.max(MILLISECOND));
@@ -147,8 +144,8 @@
         if ready > self.now { ready.min(last) } else { (self.now + RECHECK_INTERVAL).min(last) }
     }
 
-    fn min_over_routes(&self, of: DestinationId, figure: impl Fn(&RouteState) -> Nanos) -> Option<Nanos> {
+    fn min_over_routes(&self, of: DestinationId, value: impl Fn(&RouteState) -> Nanos) -> Option<Nanos> {
         let endpoints = self.endpoints_of.get(&of)?.iter();
-        endpoints.map(|endpoint| figure(&self.routes[&self.endpoints[endpoint].route])).min()
+        endpoints.map(|endpoint| value(&self.routes[&self.endpoints[endpoint].route])).min()
     }
 }
--- a/crates/policy/src/policy/dispatch.rs
+++ b/crates/policy/src/policy/dispatch.rs
@@ -1,24 +1,24 @@
-//! Sends: order of waiting messages, choice of an endpoint, hedged requests, and estimates of latency.
+//! Sending: order of the waiting messages, choice of an endpoint, hedged requests and latency estimates.
 
 use super::*;
 
-/// Quantile of successful latencies at which a call is slow: the delay of a hedge.
+/// Quantile of the latencies of successful calls at which a call is slow and may be hedged.
 const HEDGE_QUANTILE: f64 = 0.95;
-/// Latencies before a quantile is believed; under these the hedge delay would wobble low.
+/// Least number of samples for a quantile: with fewer, the hedge delay would at times be too short.
 const MIN_LATENCY_SAMPLES: usize = 6;
-/// Assumed latency while none was measured: long for a call and short for a client.
+/// Assumed latency before any was measured: long for a call, but short for a client.
 const DEFAULT_LATENCY: Nanos = 1000 * MILLISECOND;
-/// A call in flight for this many p95 latencies is overdue: a bad outcome, and possibly lost.
+/// A call in flight for this many p95 latencies is overdue: it counts as a failure, and may be lost.
 const OVERDUE_P95_FACTOR: f64 = 4.0;
-/// Least age of an overdue call, so that a quick partner's hiccup makes none.
+/// Least age of an overdue call, so that a short pause of a fast partner makes no call overdue.
 const MIN_OVERDUE_AGE: Nanos = 1200 * MILLISECOND;
-/// Weight of a delivery's value now, against the value that waiting would cost.
+/// Weight of the value of a delivery now, relative to the value that is lost by waiting.
 const DELIVERY_VALUE_WEIGHT: f64 = 0.3;
 /// Timeout of an attempt that can be followed by another, in p95 latencies.
 const TIMEOUT_P95_FACTOR: Nanos = 6;
 
 impl Policy {
-    /// Sends what waits: first what an earlier process accepted and never sent, then the most value at risk.
+    /// Sends waiting messages: first those that an earlier process never sent, then by value at risk.
     pub(super) fn dispatch_waiting(&mut self, actions: &mut Vec<Action>) {
         let due = self.messages.iter().filter(|(_, message)| message.is_ready(self.now));
         let mut ready: Vec<_> =
@@ -38,13 +38,13 @@
         soon - later + DELIVERY_VALUE_WEIGHT * soon
     }
 
-    /// The endpoint that delivers a message at the least cost, among those that admit it.
-    pub(super) fn best_endpoint(&mut self, id: MessageId, hedged: Option<EndpointId>) -> Option<EndpointId> {
+    /// The endpoint with the least cost among those that a message may be sent to. A hedge avoids `slow`.
+    pub(super) fn best_endpoint(&mut self, id: MessageId, slow: Option<EndpointId>) -> Option<EndpointId> {
         let candidates = self.endpoints_of.get(&self.messages[&id].destination)?.clone();
         let mut best: Option<(f64, EndpointId)> = None;
         for endpoint in candidates {
             if self.may_send(id, endpoint) {
-                let same_endpoint = f64::from(hedged == Some(endpoint));
+                let same_endpoint = f64::from(slow == Some(endpoint));
                 let cost = self.cost(id, endpoint) + same_endpoint + self.random.unit() * 1e-3;
                 if best.is_none_or(|(least, _)| cost < least) {
                     best = Some((cost, endpoint));
@@ -72,44 +72,44 @@
         loss + zone_fee + cross_zone + handshake + faults + slowness
     }
 
-    pub(super) fn send(&mut self, id: MessageId, at: EndpointId, actions: &mut Vec<Action>) {
+    pub(super) fn send(&mut self, id: MessageId, endpoint_id: EndpointId, actions: &mut Vec<Action>) {
         let now = self.now;
-        let timeout = self.attempt_timeout(id, at);
+        let timeout = self.attempt_timeout(id, endpoint_id);
         let latest_start = self.retry_deadline(&self.messages[&id]);
-        let message = self.messages.get_mut(&id).expect("the caller holds the id of a stored message");
-        let endpoint = self.endpoints.get_mut(&at).expect("the caller chose a listed endpoint");
+        let message = self.messages.get_mut(&id).expect("the caller passes the id of a stored message");
+        let endpoint = self.endpoints.get_mut(&endpoint_id).expect("the caller chose a listed endpoint");
         let route = self.routes.get_mut(&endpoint.route).expect("each listed endpoint has a route");
         let attempt = message.attempts.len() as u32;
         let zone = Some(endpoint.zone);
-        message.attempts.push(Attempt { endpoint: at, zone, sent_at: now, ..Attempt::default() });
+        message.attempts.push(Attempt { endpoint: endpoint_id, zone, sent_at: now, ..Attempt::default() });
         endpoint.in_flight += 1;
         endpoint.connection.record(now, self.settings.idle_timeout);
-        route.last_send = Some(now);
+        route.last_sent_at = Some(now);
         route.in_flight.start((id, attempt), now);
         route.recent_sends.record(now, self.window_stagger + self.settings.recovery.overload_window);
         self.in_flight += 1;
-        actions.push(Action::Send { id, endpoint: at, timeout, latest_start });
+        actions.push(Action::Send { id, endpoint: endpoint_id, timeout, latest_start });
     }
 
-    /// Patient where a retry cannot follow; else long enough for a slow call, as one timed out may run on.
+    /// All the time left if no retry can follow; else enough for a slow call, which may outlast its timeout.
     fn attempt_timeout(&self, id: MessageId, endpoint: EndpointId) -> Nanos {
         let message = &self.messages[&id];
         let deadline = self.shutdown_deadline.unwrap_or(Nanos::MAX).min(message.deadline);
         let left = deadline.saturating_sub(self.now).max(1);
         let limit =
             (TIMEOUT_P95_FACTOR * self.p95_latency(self.endpoints[&endpoint].route)).max(MIN_OVERDUE_AGE);
-        let may_repeat = self.class_of(message).idempotency != Idempotency::NonIdempotent;
-        if may_repeat { limit.min(left) } else { left }
+        let may_retry = self.class_of(message).idempotency != Idempotency::NonIdempotent;
+        if may_retry { limit.min(left) } else { left }
     }
 
-    /// Hedges each idempotent message that has no answer at its destination's p95 latency, once.
+    /// Hedges each idempotent message once, if it has no response after the p95 latency of its route.
     pub(super) fn hedge_slow(&mut self, actions: &mut Vec<Action>) {
         if !self.settings.may_hedge || self.now < self.no_hedges_until {
             return;
         }
         let ids: Vec<MessageId> = self.messages.keys().copied().collect();
         for id in ids {
-            if let Some(slow_endpoint) = self.needs_hedge(&self.messages[&id])
+            if let Some(slow_endpoint) = self.endpoint_to_hedge(&self.messages[&id])
                 && let Some(endpoint) = self.best_endpoint(id, Some(slow_endpoint))
             {
                 self.message_mut(id).hedged = true;
@@ -118,7 +118,7 @@
         }
     }
 
-    fn needs_hedge(&self, message: &Message) -> Option<EndpointId> {
+    fn endpoint_to_hedge(&self, message: &Message) -> Option<EndpointId> {
         let non_idempotent = self.class_of(message).idempotency == Idempotency::NonIdempotent;
         if message.finished || message.hedged || non_idempotent {
             return None;
@@ -130,27 +130,27 @@
         let delay = self.p95_latency(key);
         let is_slow = !attempt.cancelled && self.now >= attempt.sent_at + delay;
         let in_time = message.deadline.saturating_sub(self.now) > self.typical_latency(key);
-        let slots = if self.settings.max_in_flight > SMALL_IN_FLIGHT_LIMIT { 2 } else { 1 };
-        let has_capacity = self.in_flight + slots <= self.settings.max_in_flight;
-        let calm_since = route.pacing_interval.last_increase() + MAX_PACING_INTERVAL;
-        let is_paced = route.pacing_interval.get() > 0 || self.now <= calm_since;
-        let is_well = route.has_recovered(self.now, &self.settings) && route.suspicion < SUSPICION_THRESHOLD;
+        let needed_slots = if self.settings.max_in_flight > SMALL_IN_FLIGHT_LIMIT { 2 } else { 1 };
+        let has_capacity = self.in_flight + needed_slots <= self.settings.max_in_flight;
+        let calm_after = route.pacing_interval.last_increase() + MAX_PACING_INTERVAL;
+        let is_paced = route.pacing_interval.get() > 0 || self.now <= calm_after;
+        let healthy = route.has_recovered(self.now, &self.settings) && route.suspicion < SUSPICION_THRESHOLD;
         let has_samples = self.pooled_latencies.len() >= MIN_LATENCY_SAMPLES;
-        if !is_slow || !in_time || !has_capacity || is_paced || !is_well || !has_samples {
+        if !is_slow || !in_time || !has_capacity || is_paced || !healthy || !has_samples {
             return None;
         }
         let slow = route.in_flight.count_in(..=self.now - delay);
         (slow <= 1 + route.in_flight.len() / 4).then_some(attempt.endpoint)
     }
 
-    /// The median latency of a route: at first that of all routes, which gives way to its own samples.
+    /// The median latency of a route: at first that of all routes, which its own samples replace.
     pub(super) fn typical_latency(&self, route: RouteKey) -> Nanos {
         let pooled = &self.pooled_latencies;
         let default = if pooled.is_empty() { DEFAULT_LATENCY } else { pooled.quantile(0.5) };
         self.routes[&route].latencies.blended_median(default, MIN_LATENCY_SAMPLES)
     }
 
-    /// A route that was hardly called has the spread of all routes around its typical latency.
+    /// The p95 latency of a route. With few samples it is the typical latency with the spread of all routes.
     pub(super) fn p95_latency(&self, route: RouteKey) -> Nanos {
         let (own, pooled) = (&self.routes[&route].latencies, &self.pooled_latencies);
         let typical = || self.typical_latency(route);
--- a/crates/policy/src/policy/endpoints.rs
+++ b/crates/policy/src/policy/endpoints.rs
@@ -1,8 +1,8 @@
-//! Endpoints, as the endpoint list names them; gossip about their routes; and what was observed of them here.
+//! Endpoints of the endpoint list, gossip about their routes, and own observations of the routes.
 
 use super::*;
 
-/// The true limit may be lower than an approximate weight by this factor.
+/// Factor by which an approximate weight may be higher than the true rate limit.
 const APPROXIMATE_WEIGHT_ERROR: f64 = 1.5;
 
 #[derive(Debug, Default, Serialize, Deserialize)]
@@ -12,7 +12,7 @@
     pub(super) kind: KindId,
     pub(super) state: EndpointState,
     pub(super) route: RouteKey,
-    pub(super) smoothed_latency: SmoothedLatency,
+    pub(super) smoothed_latency: SmoothedLatency, // of successful calls
     pub(super) consecutive_failures: u32,
     pub(super) in_flight: usize,
     pub(super) connection: ConnectionUse,
@@ -31,7 +31,7 @@
         let route_was_unserved = !siblings.into_iter().any(serves_route);
         let new = Endpoint { destination, zone, kind: kind_id, route, ..Endpoint::default() };
         let endpoint = self.endpoints.entry(id).or_insert(new);
-        // Active again after draining it was restarted, and is cold: alone, it is all that its route has.
+        // Active again after draining: restarted and cold. Without other active endpoints, so is its route.
         let was_restarted = endpoint.state == EndpointState::Draining && entry.state == EndpointState::Active;
         endpoint.state = entry.state;
         let route = self.routes.entry(route).or_default();
@@ -42,18 +42,18 @@
         }
     }
 
-    /// Endpoints are replaced all day long: one that has gone is removed once nothing is in flight there.
+    /// Forgets removed endpoints that have nothing in flight, since endpoints are replaced all day long.
     pub(super) fn remove_departed_endpoints(&mut self) {
         let departed = |e: &Endpoint| e.state == EndpointState::Removed && e.in_flight == 0;
         if self.endpoints.values().any(departed) {
             self.endpoints.retain(|_, endpoint| !departed(endpoint));
-            let left = &self.endpoints;
-            self.endpoints_of.values_mut().for_each(|ids| ids.retain(|id| left.contains_key(id)));
-            self.routes.retain(|key, _| key.endpoint.is_none_or(|id| left.contains_key(&id)));
+            let kept = &self.endpoints;
+            self.endpoints_of.values_mut().for_each(|ids| ids.retain(|id| kept.contains_key(id)));
+            self.routes.retain(|key, _| key.endpoint.is_none_or(|id| kept.contains_key(&id)));
         }
     }
 
-    /// A wait binds at once; the rest stands for a route where nothing was sent yet.
+    /// A Retry-After applies at once; the rest is used only for a route to which nothing was sent yet.
     pub(super) fn apply_gossip(&mut self, gossip: &GossipedState) {
         let key = RouteKey { destination: gossip.destination, endpoint: gossip.endpoint };
         let mut endpoints = self.endpoints_of.get(&gossip.destination).into_iter().flatten().copied();
@@ -61,14 +61,14 @@
         let route = self.routes.get_mut(&key).expect("each listed endpoint has a route");
         let retry_after = gossip.remaining_retry_after;
         route.retry_after_until = route.retry_after_until.max(self.now.saturating_add(retry_after));
-        if route.last_send.is_some() || route.latencies.has_priors() {
+        if route.last_sent_at.is_some() || route.latencies.has_priors() {
             return;
         }
         route.pacing_interval.raise_to(gossip.pacing_interval.min(MAX_PACING_INTERVAL));
         route.rate_limit = route.rate_limit.or(gossip.rate_limit.filter(|limit| *limit > 0.0));
         for latency in gossip.latencies.iter().take(LatencyWindow::CAPACITY / 2) {
-            route.latencies.learn(*latency);
-            self.pooled_latencies.learn(*latency);
+            route.latencies.record(*latency);
+            self.pooled_latencies.record(*latency);
         }
         route.latencies.mark_as_priors();
         match gossip.outage {
@@ -82,25 +82,25 @@
             }
             None => {}
         }
-        // One of those that saw it: it backs off, probes and recovers as they do.
+        // This sender backs off, probes and recovers like the senders that observed the outage.
         if let Some(Outage::Unresponsive | Outage::Rejecting) = gossip.outage {
             self.record_fault(endpoint, SUSPICION_THRESHOLD);
         }
     }
 
-    /// Whether an endpoint gets nothing now by choice: its route is down, rejects all, or is backed off from.
+    /// Whether an endpoint is avoided now: its route is down, rejects all calls, or is in backoff.
     pub fn is_avoided(&self, endpoint: EndpointId) -> bool {
         let route = self.endpoints.get(&endpoint).and_then(|endpoint| self.routes.get(&endpoint.route));
         route.is_some_and(|route| route.is_half_open() || route.backoff_until > self.now)
     }
 
-    /// Own observations of up to `most` routes after `after`, in order, as of the latest turn; and the route
-    /// to go on from, if any. Gossip is left out, except for a wait at a route that was called here too.
+    /// Own observations of up to `max_routes` routes after `after`, in order, as of the latest turn; and the
+    /// `after` of the next page, if any. Gossip is left out, except a Retry-After at a route called here too.
     pub fn observations(
-        &self, now: Nanos, after: Option<(DestinationId, Option<EndpointId>)>, most: usize,
+        &self, now: Nanos, after: Option<(DestinationId, Option<EndpointId>)>, max_routes: usize,
     ) -> (Vec<Observation>, Option<(DestinationId, Option<EndpointId>)>) {
         let read = |key, route: &RouteState| route.observe(key, now, &self.settings);
-        let (observations, last) = page(&self.routes, after.map(RouteKey::from), most, read);
+        let (observations, last) = read_page(&self.routes, after.map(RouteKey::from), max_routes, read);
         (observations, last.map(RouteKey::into))
     }
 }
--- a/crates/policy/src/policy/messages.rs
+++ b/crates/policy/src/policy/messages.rs
@@ -1,22 +1,22 @@
-//! Messages, from acceptance to the end: attempts, order, what may be sent again, and load shedding.
+//! Messages from acceptance to their final answer: attempts, ordering, permitted retries and load shedding.
 
 use super::*;
 
-/// Share of a deduplication window that is used: the rest is for the way there and into the queue.
-const DEDUPLICATION_WINDOW_SHARE: f64 = 0.85;
-/// Share of the held messages that may wait for one destination.
+/// Share of an idempotency window in which attempts start. The rest is for the way into the endpoint's queue.
+const IDEMPOTENCY_WINDOW_SHARE: f64 = 0.85;
+/// Share of [`Settings::max_open_messages`] that may wait for one destination.
 const MAX_WAITING_SHARE: f64 = 0.6;
-/// Share kept free for what comes until the next turn: a flood brings more than one message a turn.
+/// Share of the same limit that is kept free until the next turn: a flood brings several messages a turn.
 const FREE_SHARE: f64 = 0.06;
 
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(super) struct Attempt {
     pub(super) endpoint: EndpointId,
-    pub(super) zone: Option<ZoneId>,
+    pub(super) zone: Option<ZoneId>, // `None` for an attempt of an earlier process
     pub(super) sent_at: Nanos,
-    pub(super) outcome: Option<Outcome>,
-    pub(super) cancelled: bool,
-    pub(super) overdue: bool,
+    pub(super) outcome: Option<Outcome>, // `None` while in flight
+    pub(super) cancelled: bool,          // an `Action::Cancel` was returned
+    pub(super) overdue: bool,            // already recorded as timed out, though still in flight
 }
 
 #[derive(Debug, Default, Serialize, Deserialize)]
@@ -24,12 +24,12 @@
     pub(super) destination: DestinationId,
     pub(super) class: ClassId,
     pub(super) deadline: Nanos,
-    pub(super) key: Option<KeyId>,
+    pub(super) key: Option<KeyId>, // the ordering key, if the class is ordered
     pub(super) attempts: Vec<Attempt>,
-    pub(super) not_before: Nanos,
+    pub(super) not_before: Nanos, // earliest start of the next attempt
     pub(super) hedged: bool,
-    pub(super) attempts_exhausted: bool,
-    pub(super) finished: bool,
+    pub(super) attempts_exhausted: bool, // an attempt ended with `Outcome::AttemptsExhausted`
+    pub(super) finished: bool,           // it has its final answer, or needs none
 }
 
 impl Message {
@@ -49,11 +49,12 @@
         !self.finished && self.is_idle()
     }
 
+    /// Only resumed messages have a `not_before` without an attempt.
     pub(super) fn is_resumed_unsent(&self) -> bool {
         self.attempts.is_empty() && self.not_before > 0
     }
 
-    /// The first attempt that is not proven never to have run.
+    /// The first attempt that may have run: no outcome proves that it never ran.
     pub(super) fn first_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.outcome.is_none_or(|outcome| !outcome.never_ran()))
     }
@@ -65,7 +66,7 @@
     }
 
     pub(super) fn message_mut(&mut self, id: MessageId) -> &mut Message {
-        self.messages.get_mut(&id).expect("the caller holds the id of a stored message")
+        self.messages.get_mut(&id).expect("the caller passes the id of a stored message")
     }
 
     pub(super) fn accept(&mut self, id: MessageId, mut message: Message) {
@@ -79,7 +80,7 @@
         self.messages.insert(id, message);
     }
 
-    /// Accepts a message of an earlier process: the first of its attempts stands for all that may have run.
+    /// Accepts a message of an earlier process. Its first attempt stands for all attempts that may have run.
     pub(super) fn resume(&mut self, id: MessageId, message: Message, attempts: u32, ran_at: Option<Nanos>) {
         let Message { destination, deadline, .. } = message;
         self.accept(id, message);
@@ -87,11 +88,11 @@
         for number in 0..attempts.min(self.settings.max_attempts).max(u32::from(ran_at.is_some())) {
             let sent_at = ran_at.filter(|_| number == 0);
             let outcome = Some(if sent_at.is_some() { Outcome::ConnectionLost } else { Outcome::NotSent });
-            // Its endpoint is not known any more: no zone that shares idempotency keys has it.
+            // Its endpoint and zone are no longer known, so no zone is sure to drop a second delivery.
             let (endpoint, sent_at) = (EndpointId(u32::MAX), sent_at.unwrap_or(0));
             message.attempts.push(Attempt { endpoint, sent_at, outcome, ..Attempt::default() });
         }
-        // A fleet killed at once restarts at once: the first sends are spread, within half of the time left.
+        // Senders killed together restart together: first sends are spread over at most half the time left.
         let end = self.retry_deadline(&self.messages[&id]).min(deadline);
         let fair_interval = self.min_over_routes(destination, |route| route.fair_interval(&self.settings));
         let longest = fair_interval.unwrap_or(0).min(end.saturating_sub(self.now) / 2);
@@ -103,7 +104,7 @@
         !message.attempts_exhausted && message.attempts.len() < self.settings.max_attempts as usize
     }
 
-    /// Whether one more attempt at an endpoint cannot take effect twice, after those that may have run.
+    /// Whether another attempt at an endpoint cannot take effect again after those that may have run.
     pub(super) fn may_retry_at(&self, message: &Message, endpoint: &Endpoint) -> bool {
         let idempotency = self.class_of(message).idempotency;
         let per_zone = matches!(idempotency, Idempotency::IdempotencyKey { per_zone: true, .. });
@@ -111,8 +112,9 @@
         self.now < self.retry_deadline(message) && in_zone
     }
 
+    /// Latest start of another attempt: after it, a second delivery could take effect.
     pub(super) fn retry_deadline(&self, message: &Message) -> Nanos {
-        let used_part = |window: Nanos| (window as f64 * DEDUPLICATION_WINDOW_SHARE) as Nanos;
+        let used_part = |window: Nanos| (window as f64 * IDEMPOTENCY_WINDOW_SHARE) as Nanos;
         match (message.first_run(), self.class_of(message).idempotency) {
             (None, _) | (_, Idempotency::Idempotent) => Nanos::MAX,
             (_, Idempotency::NonIdempotent) => 0,
@@ -120,7 +122,7 @@
         }
     }
 
-    /// Whether it is the head of its ordering key, and the key's quiet period is over.
+    /// Whether a message is the first of its ordering key, and is not held back by the key's quiet period.
     pub(super) fn is_next_in_order(&self, id: MessageId, message: &Message) -> bool {
         let is_paused = |key| message.attempts.is_empty() && self.ordering_queues.is_paused(key, self.now);
         message.key.is_none_or(|key| self.ordering_queues.is_first(key, &id) && !is_paused(key))
@@ -145,7 +147,7 @@
         }
     }
 
-    /// Ends at once what cannot be delivered any more; sheds where one destination fills the held messages.
+    /// Ends messages that can no longer be delivered, and sheds load where too many wait for one destination.
     pub(super) fn shed_load(&mut self, actions: &mut Vec<Action>) {
         let mut ending: Vec<MessageId> = Vec::new();
         let mut waiting: BTreeMap<DestinationId, Vec<(f64, MessageId)>> = BTreeMap::new();
@@ -157,26 +159,26 @@
             }
         }
         let max_open_messages = self.settings.max_open_messages;
-        let share = |share: f64| (max_open_messages as f64 * share) as usize;
-        let max_waiting = share(MAX_WAITING_SHARE).max(1);
-        let held = self.messages.values().filter(|message| !message.finished).count() - ending.len();
-        let missing = (held + share(FREE_SHARE) + 1).saturating_sub(max_open_messages);
+        let share_of_limit = |share: f64| (max_open_messages as f64 * share) as usize;
+        let max_waiting = share_of_limit(MAX_WAITING_SHARE).max(1);
+        let open = self.messages.values().filter(|message| !message.finished).count() - ending.len();
+        let missing = (open + share_of_limit(FREE_SHARE) + 1).saturating_sub(max_open_messages);
         for values in waiting.values_mut() {
-            let over = |limit: usize| values.len().saturating_sub(limit);
-            let excess = missing.min(over(max_waiting / 2)).max(over(max_waiting));
+            let excess_over = |limit: usize| values.len().saturating_sub(limit);
+            let excess = missing.min(excess_over(max_waiting / 2)).max(excess_over(max_waiting));
             values.sort_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1)));
             ending.extend(values.iter().take(excess).map(|(_, id)| *id));
         }
         ending.into_iter().for_each(|id| self.reject_or_fail(id, actions));
     }
 
-    /// No attempt can follow that would still deliver.
+    /// Whether no further attempt can deliver the message before its deadline.
     fn is_undeliverable(&self, message: &Message) -> bool {
         let margin = 2 * self.settings.turn_interval.max(RECHECK_INTERVAL);
-        let opens_at = |route: &RouteState| route.backoff_until.max(route.retry_after_until);
-        let opens = self.min_over_routes(message.destination, opens_at).unwrap_or(0);
+        let route_opens_at = |route: &RouteState| route.backoff_until.max(route.retry_after_until);
+        let opens_at = self.min_over_routes(message.destination, route_opens_at).unwrap_or(0);
         let may_retry = self.has_attempts_left(message) && self.now < self.retry_deadline(message);
-        !may_retry || opens.max(self.now) + margin >= message.deadline
+        !may_retry || opens_at.max(self.now) + margin >= message.deadline
     }
 
     fn reject_or_fail(&mut self, id: MessageId, actions: &mut Vec<Action>) {
@@ -190,15 +192,15 @@
         self.finish(id, actions);
     }
 
-    /// When a route is likely to take the message, as far as clients follow advice.
+    /// Retry-After for a client: when a route is likely to accept the message, up to what clients follow.
     fn advise_retry_after(&mut self, destination: DestinationId) -> Option<Nanos> {
-        // Clients rejected together come back spread out, and none before the route opens.
-        let opens = self.min_over_routes(destination, RouteState::ready_at).unwrap_or(0);
-        let wait = opens.saturating_sub(self.now).max(MAX_PACING_INTERVAL);
+        // Clients rejected together return at different times, and none before the route opens.
+        let opens_at = self.min_over_routes(destination, RouteState::ready_at).unwrap_or(0);
+        let delay = opens_at.saturating_sub(self.now).max(MAX_PACING_INTERVAL);
         let spread = self.random.unit();
         let longest = self.settings.max_retry_after?;
-        let least = if wait < longest { wait } else { longest * 3 / 4 };
-        let most = longest.min(wait + wait / 4);
+        let least = if delay < longest { delay } else { longest * 3 / 4 };
+        let most = longest.min(delay + delay / 4);
         Some(least + ((most - least) as f64 * spread) as Nanos)
     }
 }
--- a/crates/policy/src/policy/route.rs
+++ b/crates/policy/src/policy/route.rs
@@ -1,56 +1,54 @@
-//! The state of a route: pacing, circuit breaker and slow start after an outage; and what is observed of it.
+//! State of a route: pacing, circuit breaker, slow start after an outage, and the observations passed on.
 
 use super::*;
 
-/// First pacing interval where no rate limit is known; a few calls' worth of a small partner's second.
+/// First pacing interval if no rate limit is known: the time of a few calls at a small partner.
 pub(super) const PACING_STEP: Nanos = 50 * MILLISECOND;
 /// Longest pacing interval.
 pub(super) const MAX_PACING_INTERVAL: Nanos = 1000 * MILLISECOND;
-/// Share of the pacing interval that a success takes off: rejections, which use up limits, level at 1 in 17.
+/// Share by which a success shortens the pacing interval. Rejections, which use up limits, level at 1 in 17.
 const PACING_DECREASE: f64 = 0.04;
-/// The same where the interval is wider than two steps: the sender's whole fair share of a known limit.
+/// The same for an interval above two steps, which are the fair interval where a rate limit is known.
 const FAST_PACING_DECREASE: f64 = 0.5;
-/// Share of the slow-start budget that is used; the rest is for chance and for calls of the same instant.
+/// Share of the slow-start budget that is used; the rest covers random variation and simultaneous calls.
 const BUDGET_UTILIZATION: f64 = 0.8;
-/// Longest backoff, in recovery durations: with one, 200 senders returned from an outage too close together.
+/// Longest backoff, in recovery durations. With 1, 200 senders returned from an outage too close together.
 const MAX_BACKOFF_RECOVERIES: Nanos = 2;
-/// Bad outcomes in a row that open the circuit breaker.
+/// Consecutive failures that open the circuit breaker.
 pub(super) const BREAKER_FAILURES: u32 = 4;
-/// Bad outcomes among the last eight that start the slow-start budget.
+/// Failures among the last eight outcomes from which on sends keep to the slow-start budget.
 pub(super) const SLOW_START_FAILURES: u32 = 5;
-/// Rejections in a row, over so many overload windows, that mean closed: a busy partner would serve some.
-pub(super) const REJECTING_RUN: u32 = 5;
-pub(super) const REJECTING_WINDOWS: Nanos = 2;
-/// Suspicion at which a sender backs off for its share of what a cold route takes: one loss is no outage.
+/// Consecutive rejections, over this many overload windows, of an outage: a busy partner would accept some.
+pub(super) const OUTAGE_REJECTIONS: u32 = 5;
+pub(super) const OUTAGE_REJECTION_WINDOWS: Nanos = 2;
+/// Suspicion from which on a sender backs off to its share of a cold route's capacity. One loss is no outage.
 pub(super) const SUSPICION_THRESHOLD: f64 = 2.0;
-/// Delay between single probes of a route whose breaker is open, doubled up to the longest.
+/// Delay between single probes of a route whose circuit breaker is open, doubled up to the longest.
 pub(super) const FIRST_PROBE_DELAY: Nanos = 500 * MILLISECOND;
 pub(super) const MAX_PROBE_DELAY: Nanos = 2000 * MILLISECOND;
 
+/// State of a route: of an endpoint or a whole destination, see [`DestinationKind`].
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(super) struct RouteState {
-    /// Back from an outage, or failing in part: within the slow-start budget, which ramps up from then.
+    /// Start of the recovery ramp, after an outage or partial failure. It is in the future while the
+    /// Retry-After of an outage lasts. Until the ramp ends, sends keep to the slow-start budget.
     pub(super) recovering_since: Option<Nanos>,
-    pub(super) latencies: LatencyWindow,
-    /// Weight of the faults seen since the latest success.
-    pub(super) suspicion: f64,
-    pub(super) last_failure: Nanos,
-    pub(super) backoff_until: Nanos,
-    pub(super) pacing_interval: AdaptiveInterval,
-    pub(super) last_send: Option<Nanos>,
-    pub(super) retry_after_until: Nanos,
-    /// Calls a second that the route takes from all senders together.
-    pub(super) rate_limit: Option<f64>,
-    /// When calls were sent in the overload window.
-    pub(super) recent_sends: SendWindow,
-    pub(super) outcome_history: OutcomeHistory,
+    pub(super) latencies: LatencyWindow, // of successful calls
+    pub(super) suspicion: f64,           // total weight of the faults since the latest success
+    pub(super) last_fault_at: Nanos,
+    pub(super) backoff_until: Nanos, // set by faults, cleared by a success
+    pub(super) pacing_interval: AdaptiveInterval, // least time between two sends
+    pub(super) last_sent_at: Option<Nanos>,
+    pub(super) retry_after_until: Nanos, // end of the latest Retry-After
+    pub(super) rate_limit: Option<f64>,  // calls a second from all senders together
+    pub(super) recent_sends: SendWindow, // in the overload window
+    pub(super) outcome_history: OutcomeHistory, // successes and failures, without rejections
     pub(super) consecutive_rejections: u32,
-    pub(super) rejecting_since: Nanos,
-    /// When the latest of the successful calls was sent.
+    pub(super) rejecting_since: Nanos, // first of the consecutive rejections
+    /// Of the successful calls, the one sent last: earlier calls that are still in flight may be lost.
     pub(super) latest_success_sent_at: Nanos,
-    pub(super) call_counts: CallCounts,
-    /// By message and number of the attempt.
-    pub(super) in_flight: StartTimes<(MessageId, u32)>,
+    pub(super) call_counts: CallCounts, // for observations only
+    pub(super) in_flight: StartTimes<(MessageId, u32)>, // by message and number of the attempt
 }
 
 impl RouteState {
@@ -58,7 +56,7 @@
         self.outcome_history.consecutive_failures() >= BREAKER_FAILURES
     }
 
-    /// What is sent there now is likely to be lost or rejected, and mostly shows how the route is.
+    /// Whether a call is likely to be lost or rejected, so that it mainly serves as a probe.
     pub(super) fn is_half_open(&self) -> bool {
         self.is_down() || self.consecutive_rejections >= BREAKER_FAILURES
     }
@@ -69,7 +67,7 @@
 
     pub(super) fn record_success(&mut self, now: Nanos, sent_at: Nanos, settings: &Settings) {
         let step = self.pacing_step(settings);
-        // The cap suits a slow partner: at a call a second, a quick one's backlog would run out of time.
+        // The longest interval suits slow partners: at a call a second, a fast one's backlog would expire.
         let decrease =
             if self.pacing_interval.get() > 2 * step { FAST_PACING_DECREASE } else { PACING_DECREASE };
         self.pacing_interval.decrease(decrease, step.min(MAX_PACING_INTERVAL) / 4);
@@ -79,9 +77,9 @@
         self.backoff_until = 0;
         self.latest_success_sent_at = self.latest_success_sent_at.max(sent_at);
         if returned {
-            // Since it last failed, or the end of a wait: half way, in the mean over senders.
-            let late = (now - self.last_failure.max(self.retry_after_until).min(now)) / 2;
-            self.recovering_since = Some(now - late.min(settings.recovery.overload_window));
+            // It returned since the last fault or the end of its Retry-After: on average half way from there.
+            let elapsed = (now - self.last_fault_at.max(self.retry_after_until).min(now)) / 2;
+            self.recovering_since = Some(now - elapsed.min(settings.recovery.overload_window));
         }
         self.suspicion = 0.0;
     }
@@ -100,7 +98,7 @@
         !self.is_down() && self.recovering_since.is_none_or(|since| now >= since + settings.recovery.duration)
     }
 
-    /// Calls that may go out in an overload window: of many senders, each may have far under one.
+    /// Calls that may be sent in an overload window. With many senders, the share of each is far below 1.
     pub(super) fn slow_start_budget(&self, now: Nanos, settings: &Settings) -> f64 {
         let recovering_since = self.recovering_since.filter(|_| !self.is_down());
         let elapsed = recovering_since.map_or(0, |since| now.saturating_sub(since));
@@ -109,26 +107,26 @@
 
     pub(super) fn budget_after(&self, elapsed: Nanos, settings: &Settings) -> f64 {
         let recovery = &settings.recovery;
-        // Without a known limit a lone call tells nothing of a rate.
+        // Without a known rate limit, a single call says nothing about a rate.
         let interval = self.rate_limit.map_or(recovery.duration, |_| self.fair_interval(settings));
         let fair_calls = recovery.overload_window as f64 / interval.max(1) as f64;
         BUDGET_UTILIZATION * recovery.overload_factor * recovery.capacity_share(elapsed) * fair_calls
     }
 
-    /// Interval of this sender's calls at a fair share of the rate limit; if unknown, one that suits a fleet.
+    /// Interval of this sender's calls at its fair share of the rate limit; if unknown, one by fleet size.
     pub(super) fn fair_interval(&self, settings: &Settings) -> Nanos {
         let default = (PACING_STEP * Nanos::from(settings.senders)).min(MAX_PACING_INTERVAL);
         self.rate_limit.map_or(default, |limit| (settings.senders as f64 / limit * 1e9) as Nanos)
     }
 
-    /// Interval at which all senders together keep to a budget; a few recovery durations are enough.
+    /// Interval of sends at which all senders together keep to a budget; a few recovery durations are enough.
     pub(super) fn budget_interval(&self, budget: f64, settings: &Settings) -> Nanos {
         let interval = (settings.recovery.overload_window as f64 / budget.max(1e-9)) as Nanos;
         interval.min(MAX_BACKOFF_RECOVERIES * settings.recovery.duration)
     }
 
     pub(super) fn ready_at(&self) -> Nanos {
-        let paced = self.last_send.map_or(0, |sent_at| sent_at + self.pacing_interval.get());
+        let paced = self.last_sent_at.map_or(0, |sent_at| sent_at + self.pacing_interval.get());
         paced.max(self.retry_after_until).max(self.backoff_until)
     }
 
@@ -141,9 +139,9 @@
         if self.is_down() || (suspected && self.consecutive_rejections == 0) {
             return Some(Outage::Unresponsive);
         }
-        // A wait of an outage still runs, or everything is rejected.
-        let waits = self.recovering_since.is_some_and(|since| since > now);
-        if suspected || waits || self.consecutive_rejections >= REJECTING_RUN {
+        // The Retry-After of an outage has not ended, or everything is rejected.
+        let opens_later = self.recovering_since.is_some_and(|since| since > now);
+        if suspected || opens_later || self.consecutive_rejections >= OUTAGE_REJECTIONS {
             return Some(Outage::Rejecting);
         }
         let elapsed = now.saturating_sub(self.recovering_since?);
@@ -152,11 +150,11 @@
 
     pub(super) fn observe(&self, key: RouteKey, now: Nanos, settings: &Settings) -> Option<Observation> {
         let outage = self.outage(now, settings);
-        let (successful_calls, rejected_calls) = self.call_counts.at(now);
+        let (successful_calls, rejected_calls) = self.call_counts.decayed_to(now);
         Some(Observation {
             destination: key.destination,
             endpoint: key.endpoint,
-            since_last_call: now.saturating_sub(self.last_send?),
+            since_last_call: now.saturating_sub(self.last_sent_at?),
             remaining_retry_after: self.retry_after_until.saturating_sub(now),
             pacing_interval: self.pacing_interval.get(),
             rate_limit: self.rate_limit.filter(|_| outage.is_none()),
