--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small hand-driven sender for the tests.
+//! A sender for the tests, which run its turns and report its outcomes by hand.
 #![allow(dead_code)]
 
 use martenlatch_policy::Policy;
@@ -48,20 +48,26 @@
     }
 }
 
-pub struct Rig {
+pub struct TestSender {
     pub policy: Policy,
     pub now: Nanos,
-    next: u64,
+    latest_id: u64,
+    /// Number of attempts sent, by message.
     pub attempts: std::collections::BTreeMap<u64, u32>,
 }
 
-impl Rig {
-    pub fn new(settings: Settings) -> Rig {
-        Rig::seeded(settings, 1)
+impl TestSender {
+    pub fn new(settings: Settings) -> TestSender {
+        TestSender::seeded(settings, 1)
     }
 
-    pub fn seeded(settings: Settings, seed: u64) -> Rig {
-        Rig { policy: Policy::new(settings, seed).unwrap(), now: S, next: 0, attempts: Default::default() }
+    pub fn seeded(settings: Settings, seed: u64) -> TestSender {
+        TestSender {
+            policy: Policy::new(settings, seed).unwrap(),
+            now: S,
+            latest_id: 0,
+            attempts: Default::default(),
+        }
     }
 
     pub fn turn(&mut self, events: &[Event]) -> Vec<Action> {
@@ -75,9 +81,9 @@
         actions
     }
 
-    /// Turns every 5 ms for a span, and gathers the actions.
-    pub fn advance(&mut self, span: Nanos) -> Vec<Action> {
-        let (until, mut all) = (self.now + span, Vec::new());
+    /// Runs a turn every 5 ms for a duration, and returns all actions.
+    pub fn advance(&mut self, duration: Nanos) -> Vec<Action> {
+        let (until, mut all) = (self.now + duration, Vec::new());
         while self.now < until {
             self.now += 5 * MS;
             all.extend(self.turn(&[Event::Wake]));
@@ -85,7 +91,8 @@
         all
     }
 
-    pub fn list(&mut self, endpoints: &[(u32, u64, usize, usize)]) {
+    /// Sends a complete endpoint list. Each entry is an endpoint, its destination, zone and destination kind.
+    pub fn list_endpoints(&mut self, endpoints: &[(u32, u64, usize, usize)]) {
         let entry = |&(endpoint, destination, zone, kind): &(u32, u64, usize, usize)| EndpointEntry {
             endpoint: EndpointId(endpoint),
             zone: ZoneId(zone),
@@ -97,41 +104,45 @@
         self.turn(&[Event::EndpointList(endpoints.iter().map(entry).collect())]);
     }
 
-    pub fn message(&mut self, destination: u64, class: usize, span: Nanos, key: Option<u64>) -> Event {
-        self.next += 1;
+    /// The event of a new message, whose deadline is `time_left` from now.
+    pub fn new_message(
+        &mut self, destination: u64, class: usize, time_left: Nanos, key: Option<u64>,
+    ) -> Event {
+        self.latest_id += 1;
         Event::MessageAccepted {
-            id: MessageId(self.next),
+            id: MessageId(self.latest_id),
             destination: DestinationId(destination),
             class: ClassId(class),
-            deadline: self.now + span,
+            deadline: self.now + time_left,
             key: key.map(KeyId),
         }
     }
 
-    /// Hands in a message and runs a turn.
+    /// Accepts a message and runs a turn.
     pub fn accept(&mut self, destination: u64, class: usize) -> (MessageId, Vec<Action>) {
-        let event = self.message(destination, class, 20 * S, None);
-        let id = MessageId(self.next);
+        let event = self.new_message(destination, class, 20 * S, None);
+        let id = MessageId(self.latest_id);
         let actions = self.turn(&[event]);
         (id, actions)
     }
 
-    pub fn end(&mut self, id: MessageId, attempt: u32, outcome: Outcome, took: Nanos) -> Vec<Action> {
+    pub fn end_attempt(&mut self, id: MessageId, attempt: u32, outcome: Outcome, took: Nanos) -> Vec<Action> {
         let finished = outcome == Outcome::Success;
         self.turn(&[Event::AttemptEnded { id, attempt, outcome, took, finished }])
     }
 
-    /// Serves messages so that the destination's usual pace is known.
-    pub fn warm(&mut self, destination: u64, class: usize, count: usize, took: Nanos) {
+    /// Sends messages that succeed, so that the destination's latency is known.
+    pub fn warm_up(&mut self, destination: u64, class: usize, count: usize, took: Nanos) {
         for _ in 0..count {
             let (id, actions) = self.accept(destination, class);
-            assert_eq!(sends(&actions).len(), 1, "a well destination is sent to at once");
+            assert_eq!(sends(&actions).len(), 1, "a healthy destination is sent to at once");
             self.now += took;
-            self.end(id, 0, Outcome::Success, took);
+            self.end_attempt(id, 0, Outcome::Success, took);
         }
     }
 }
 
+/// Message, endpoint and timeout of each send.
 pub fn sends(actions: &[Action]) -> Vec<(MessageId, EndpointId, Nanos)> {
     let send = |a: &Action| match a {
         Action::Send { id, endpoint, timeout, .. } => Some((*id, *endpoint, *timeout)),
@@ -140,25 +151,27 @@
     actions.iter().filter_map(send).collect()
 }
 
-pub fn rejected(actions: &[Action], id: MessageId) -> bool {
+pub fn is_rejected(actions: &[Action], id: MessageId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { id: i, .. } if *i == id))
 }
 
-pub fn failed(actions: &[Action], id: MessageId) -> bool {
+pub fn is_failed(actions: &[Action], id: MessageId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { id: i } if *i == id))
 }
 
 pub const IDEMPOTENT: Idempotency = Idempotency::Idempotent;
 pub const OVERLOADED: Outcome = Outcome::Overloaded { retry_after: 0 };
 
-pub fn two_endpoints(classes: Vec<MessageClass>) -> Rig {
-    let mut rig = Rig::new(settings(classes));
-    rig.list(&[(0, 1, 0, 0), (1, 1, 1, 0)]);
-    rig
+pub fn two_endpoints(classes: Vec<MessageClass>) -> TestSender {
+    let mut sender = TestSender::new(settings(classes));
+    sender.list_endpoints(&[(0, 1, 0, 0), (1, 1, 1, 0)]);
+    sender
 }
 
+/// Number of senders in [`sparse_traffic`].
 pub const SENDERS: usize = 200;
-pub const LIMIT: f64 = 10.0;
+/// Rate limit of the endpoints of [`entry`], in calls a second.
+pub const RATE_LIMIT: f64 = 10.0;
 
 pub fn entry(endpoint: u32, destination: u64) -> EndpointEntry {
     EndpointEntry {
@@ -167,11 +180,12 @@
         kind: KindId(0),
         destination: DestinationId(destination),
         state: EndpointState::Active,
-        weight: LIMIT,
+        weight: RATE_LIMIT,
     }
 }
 
-pub fn sparse() -> Settings {
+/// Settings of one of many senders, each with little traffic.
+pub fn sparse_traffic() -> Settings {
     Settings {
         senders: SENDERS as u32,
         max_in_flight: 3,
