--- a/crates/adapter/src/adapter.rs
+++ b/crates/adapter/src/adapter.rs
@@ -1,6 +1,6 @@
 //! Reads batches of event lines and writes a reply of action lines to each.
 //!
-//! A batch begins with a `frame` line, which tells the time, and ends with an `end` line.
+//! A batch begins with a `frame` line, which has the time, and ends with an `end` line.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
@@ -13,10 +13,10 @@
 use crate::instance::Instance;
 use crate::reply;
 
-/// Most characters of a faulty line that are shown in an error.
-const MAX_EXCERPT: usize = 120;
+/// Longest excerpt of an invalid line in an error, in characters.
+const MAX_EXCERPT_CHARS: usize = 120;
 
-/// Serves until the end of the input. Each reply is flushed at once.
+/// Processes batches until the end of the input. Each reply is flushed at once.
 pub fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut adapter = Adapter::default();
     for (index, line) in input.lines().enumerate() {
@@ -27,7 +27,7 @@
             .map_err(|source| AdapterError::Line {
                 number,
                 source,
-                excerpt: line.chars().take(MAX_EXCERPT).collect(),
+                excerpt: line.chars().take(MAX_EXCERPT_CHARS).collect(),
             })?;
         if let Some(reply) = reply {
             output
@@ -42,7 +42,7 @@
     Ok(())
 }
 
-/// What the first line of a batch says.
+/// The values in the first line of a batch.
 struct Batch {
     now: Nanos,
     /// Repeated in the last line of the reply.
@@ -58,7 +58,7 @@
 }
 
 impl Adapter {
-    /// Takes in a line; at the end of a batch, returns the reply.
+    /// Processes a line. Returns the reply if the line ends a batch.
     fn read_line(&mut self, line: &str) -> Result<Option<String>, LineError> {
         let mut fields = Fields::new(line);
         if self.lists.expects_entry() {
@@ -115,7 +115,7 @@
             .instances
             .get_mut(&number)
             .ok_or(LineError::UnknownInstance)?;
-        // The list could not be fetched, so it may have no number: the old one stays in use.
+        // The list could not be fetched, so it may have no number. The previous list stays in use.
         if mode == "failed" {
             return Ok(());
         }
@@ -142,7 +142,7 @@
 fn parse_batch_start(fields: &mut Fields) -> Result<Batch, LineError> {
     fields.keyword("frame")?;
     Ok(Batch {
-        now: fields.number("the clock")?,
-        number: fields.text("the batch's number")?.to_string(),
+        now: fields.number("the time")?,
+        number: fields.text("the batch number")?.to_string(),
     })
 }
--- a/crates/adapter/src/endpoint_lists.rs
+++ b/crates/adapter/src/endpoint_lists.rs
@@ -1,5 +1,5 @@
-//! Endpoint lists as they come in: an `inventory` line and its `entry` lines, kept until an instance is told to use
-//! them. Several instances may use the same list.
+//! Received endpoint lists. Each is an `inventory` line with its `entry` lines, and is kept until an `announce` line
+//! makes an instance use it. Several instances may use the same list.
 
 use std::collections::BTreeMap;
 
@@ -8,22 +8,22 @@
 use crate::error::LineError;
 use crate::fields::{Fields, parse_number};
 
-/// The weight of an entry that names none.
+/// Weight of an entry that has none.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// One entry of an endpoint list, with the names of the wire.
+/// An entry of an endpoint list, with the names as received.
 pub struct ListedEndpoint {
     /// The name of the endpoint.
     pub endpoint: String,
     /// The name of its zone.
     pub zone: String,
-    /// The name of its destination's kind.
+    /// The name of the kind of its destination.
     pub kind: String,
     /// The number of its destination.
     pub destination: u64,
     /// Whether it is active, draining or removed.
     pub state: EndpointState,
-    /// Its share of the load, relative to the others.
+    /// Its weight. The settings determine the meaning.
     pub weight: f64,
 }
 
@@ -56,14 +56,14 @@
     }
 }
 
-/// A list whose entries are still coming in.
+/// A list whose entries have not all been received.
 struct PendingList {
     number: u64,
-    /// Entries that are still to come; at least one.
+    /// Number of entries that have not been received; at least 1.
     remaining: usize,
 }
 
-/// The lists that have come in, by their numbers.
+/// The received lists by their numbers.
 #[derive(Default)]
 pub struct EndpointLists {
     lists: BTreeMap<u64, Vec<ListedEndpoint>>,
@@ -76,7 +76,7 @@
         self.pending.is_some()
     }
 
-    /// Begins a list of `count` entries, in place of an earlier one of the same number.
+    /// Begins a list of `count` entries. It replaces an earlier list with the same number.
     pub fn begin(&mut self, number: u64, count: usize) {
         self.lists.insert(number, Vec::new());
         self.pending = (count > 0).then_some(PendingList {
@@ -85,7 +85,7 @@
         });
     }
 
-    /// Adds an entry to the list that was begun last.
+    /// Adds an entry to the list that was begun most recently.
     pub fn add_entry(&mut self, fields: &mut Fields) -> Result<(), LineError> {
         let entry = ListedEndpoint::parse(fields)?;
         if let Some(mut pending) = self.pending.take() {
--- a/crates/adapter/src/error.rs
+++ b/crates/adapter/src/error.rs
@@ -1,26 +1,26 @@
-//! What can go wrong while the adapter serves. Every message is one line.
+//! Errors of the adapter. Every error message is one line.
 
 use std::io;
 
 use martenlatch_policy::interface::SettingsError;
 
-/// Why the adapter stopped.
+/// Reason why the adapter stops.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
     /// The input could not be read.
-    #[error("line {number}: not readable: {source}")]
+    #[error("line {number}: cannot be read: {source}")]
     Read {
         /// The line's number, from 1.
         number: usize,
         /// The system's error.
         source: io::Error,
     },
-    /// A line was read that does not fit.
+    /// An input line is invalid.
     #[error("line {number}: {source}: {excerpt}")]
     Line {
         /// The line's number, from 1.
         number: usize,
-        /// What is wrong with it.
+        /// The error in the line.
         source: LineError,
         /// The start of the line.
         excerpt: String,
@@ -33,16 +33,16 @@
     UnfinishedBatch,
 }
 
-/// What is wrong with an input line.
+/// Error in an input line.
 #[derive(Debug, thiserror::Error)]
 pub enum LineError {
-    /// A field or a keyword is missing, or the keyword is another one.
+    /// A field is missing, or the line has another keyword than the expected one.
     #[error("expected {0}")]
     Missing(&'static str),
-    /// The value of a field is not a number, or not one in range.
+    /// The value of a field is not a number, or is out of range.
     #[error("expected a number for {0}")]
     NotANumber(&'static str),
-    /// The value of a field is none of those that are allowed.
+    /// The value of a field is not one of the allowed values.
     #[error("expected {allowed} for {field}")]
     NotAllowed {
         /// The name of the field.
@@ -50,16 +50,16 @@
         /// The allowed values.
         allowed: &'static str,
     },
-    /// A line names an instance that was not opened, or that has been closed.
-    #[error("no such instance was opened")]
+    /// A line refers to an instance that was not opened, or that has been closed.
+    #[error("no such instance is open")]
     UnknownInstance,
-    /// An announcement names an endpoint list that was never sent.
-    #[error("no inventory has this Sheet")]
+    /// An announcement refers to an endpoint list that was not received.
+    #[error("no inventory with this Sheet was received")]
     UnknownList,
-    /// A name does not occur in the settings.
-    #[error("the settings name no {kind} {name:?}")]
+    /// A name is not in the settings.
+    #[error("the settings have no {kind} {name:?}")]
     UnknownName {
-        /// What is named: a zone, a kind or a class.
+        /// What the name refers to: a zone, a kind or a class.
         kind: &'static str,
         /// The name.
         name: String,
@@ -67,10 +67,10 @@
     /// The settings of an instance cannot be read.
     #[error("{0}")]
     UnreadableSettings(#[source] Box<dyn std::error::Error + Send + Sync>),
-    /// The settings of an instance make it poll for the endpoint list, which the adapter cannot do.
-    #[error("setting RegistryMode should be push: nothing here asks for the list")]
+    /// The settings of an instance make it poll for the endpoint list, which the adapter does not support.
+    #[error("setting RegistryMode should be push: the adapter does not poll for the endpoint list")]
     PollingUnsupported,
-    /// The decision module does not accept the settings of an instance.
+    /// The decision module rejects the settings of an instance.
     #[error("{0}")]
     InvalidSettings(#[source] SettingsError),
 }
--- a/crates/adapter/src/fields.rs
+++ b/crates/adapter/src/fields.rs
@@ -4,10 +4,10 @@
 
 use crate::error::LineError;
 
-/// Stands for the absent value of an optional field.
+/// Value of an optional field that is absent.
 const ABSENT: &str = "-";
 
-/// The fields of one line that are still to be read, in order.
+/// The fields of a line that have not been read, in order.
 pub struct Fields<'line> {
     rest: Option<&'line str>,
 }
@@ -18,12 +18,12 @@
         Fields { rest: Some(line) }
     }
 
-    /// The next field, which has to be there; `name` goes into the error.
+    /// Reads the next field, which is required; `name` is its name in the error.
     pub fn text(&mut self, name: &'static str) -> Result<&'line str, LineError> {
         let rest = self.rest.ok_or(LineError::Missing(name))?;
         let value = match rest.split_once(' ') {
-            Some((value, behind)) => {
-                self.rest = Some(behind);
+            Some((value, remainder)) => {
+                self.rest = Some(remainder);
                 value
             }
             None => {
@@ -37,19 +37,19 @@
         Ok(value)
     }
 
-    /// The next field, or `None` if it is missing, empty or `-`.
+    /// Reads the next field. Returns `None` if it is missing, empty or `-`.
     pub fn optional_text(&mut self) -> Option<&'line str> {
         self.text("an optional field")
             .ok()
             .filter(|value| *value != ABSENT)
     }
 
-    /// The next field, which has to be a number.
+    /// Reads the next field, which has to be a number.
     pub fn number<T: FromStr>(&mut self, name: &'static str) -> Result<T, LineError> {
         parse_number(self.text(name)?, name)
     }
 
-    /// The next field as a flag: `1` or `0`.
+    /// Reads the next field as a flag: `1` or `0`.
     pub fn flag(&mut self, name: &'static str) -> Result<bool, LineError> {
         match self.text(name)? {
             "1" => Ok(true),
@@ -61,12 +61,12 @@
         }
     }
 
-    /// All that is left of the line, spaces included.
+    /// Reads the rest of the line, spaces included.
     pub fn remainder(&mut self, name: &'static str) -> Result<&'line str, LineError> {
         self.rest.take().ok_or(LineError::Missing(name))
     }
 
-    /// Skips the next field, which has to be there.
+    /// Skips the next field, which is required.
     pub fn skip(&mut self, name: &'static str) -> Result<(), LineError> {
         self.text(name).map(|_| ())
     }
@@ -81,7 +81,7 @@
     }
 }
 
-/// Parses a number; `name` is the field's and goes into the error.
+/// Parses a number; `name` is the name of the field in the error.
 pub fn parse_number<T: FromStr>(text: &str, name: &'static str) -> Result<T, LineError> {
     text.parse().map_err(|_| LineError::NotANumber(name))
 }
--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One sender instance: its decision module, and the names behind the module's integer ids.
+//! A sender instance: its decision module, and the names that the module's integer ids stand for.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -18,21 +18,21 @@
 
 const NANOS_PER_MILLI: Nanos = 1_000_000;
 
-/// How an announced endpoint list is to be used.
+/// How an announced endpoint list updates the current one.
 enum ListUpdate {
-    /// It replaces the old list.
+    /// It replaces the current list.
     Replace,
-    /// It holds the entries that changed.
+    /// It contains only the entries that have changed.
     Change,
 }
 
-/// One sender instance.
+/// A sender instance.
 pub struct Instance {
     policy: Policy,
     platform_settings: PlatformSettings,
-    /// Events of the present batch.
+    /// Events of the current batch.
     events: Vec<Event>,
-    /// Endpoint names, in the places that their ids say.
+    /// Endpoint names, indexed by endpoint id.
     endpoint_names: Vec<String>,
     endpoint_ids: HashMap<String, EndpointId>,
     messages: Messages,
@@ -58,7 +58,7 @@
         })
     }
 
-    /// Takes in an announced endpoint list.
+    /// Adds the event of an announced endpoint list.
     pub fn announce(&mut self, mode: &str, listed: &[ListedEndpoint]) -> Result<(), LineError> {
         let entries = listed
             .iter()
@@ -100,7 +100,7 @@
         id
     }
 
-    /// Takes in an event line, whose name and instance have been read.
+    /// Adds the event of a line, of which the event's name and the instance have been read.
     pub fn add_event(&mut self, name: &str, fields: &mut Fields) -> Result<(), LineError> {
         match name {
             "new_request" => self.message_accepted(fields),
@@ -112,7 +112,7 @@
             }
             "headers" => skip_response_started(fields),
             "pong" => skip_probe_result(fields),
-            // Instances share no knowledge here: gossip is ignored.
+            // Gossip is ignored: the instances do not exchange observations.
             "peer" => Ok(()),
             _ => Err(LineError::Missing("an event")),
         }
@@ -174,7 +174,7 @@
         Ok(())
     }
 
-    /// Lets the decision module handle the events of the batch, if there are any, and writes its actions to the reply.
+    /// Runs a turn of the decision module if the batch has events, and writes the actions to the reply.
     pub fn run_turn(&mut self, now: Nanos, number: u64, reply: &mut String) {
         if self.events.is_empty() {
             return;
@@ -195,7 +195,7 @@
                 reply,
             );
         }
-        self.messages.forget_finished();
+        self.messages.remove_finished();
     }
 }
 
@@ -210,8 +210,8 @@
     }
 }
 
-/// Reads past the event that a response has begun. Outcomes are reported when the response is complete, so the event
-/// says nothing yet, but its form is checked.
+/// Checks the form of an event that a response has begun. The event is ignored, since the outcome is reported when the
+/// response is complete.
 fn skip_response_started(fields: &mut Fields) -> Result<(), LineError> {
     fields.skip("Rid")?;
     fields.skip("CostTime")?;
@@ -220,15 +220,14 @@
     Ok(())
 }
 
-/// Reads past the result of a probe. The decision module sends no probes, so it has no use for one, but its form is
-/// checked.
+/// Checks the form of the result of a probe. The result is ignored, since the decision module sends only messages.
 fn skip_probe_result(fields: &mut Fields) -> Result<(), LineError> {
     fields.skip("CostTime")?;
     parse_outcome(fields.text("Reason")?, None)?;
     fields.skip("Receiver")
 }
 
-/// The outcome of an attempt. `retry_after` is the wait in milliseconds that an overloaded response asked for.
+/// The outcome of an attempt. `retry_after` is the Retry-After of an overloaded response, in milliseconds.
 fn parse_outcome(reason: &str, retry_after: Option<&str>) -> Result<Outcome, LineError> {
     match reason {
         "success" => Ok(Outcome::Success),
@@ -254,7 +253,7 @@
     }
 }
 
-/// The place of a name in a list of the settings. `kind` says in the error what the name is of.
+/// The index of a name in a list of the settings. `kind` is what the name refers to, for the error.
 fn position(kind: &'static str, names: &[String], name: &str) -> Result<usize, LineError> {
     names
         .iter()
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,7 +1,7 @@
-//! Drives martenlatch's decision module over a line protocol on standard input and output.
+//! Runs martenlatch's decision module over a line protocol on standard input and output.
 //!
-//! The adapter makes no decisions. It translates names into the module's integer ids, input lines into its events, and
-//! its actions into output lines.
+//! The adapter makes no decisions. It translates names into the module's integer ids, input lines into the module's
+//! events, and the module's actions into output lines.
 
 mod adapter;
 mod endpoint_lists;
--- a/crates/adapter/src/messages.rs
+++ b/crates/adapter/src/messages.rs
@@ -1,7 +1,7 @@
 //! The names and ids of an instance's messages.
 //!
-//! A message is remembered until it is finished and has no attempt in flight: only then can neither the caller nor the
-//! decision module name it again.
+//! A message is kept until it is finished and has no attempt in flight. After that, neither the caller nor the decision
+//! module refers to it.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,7 +10,7 @@
 struct TrackedMessage {
     name: String,
     finished: bool,
-    /// Attempts that were sent and have not ended.
+    /// Number of attempts that were sent and have not ended.
     in_flight: u32,
 }
 
@@ -23,7 +23,7 @@
 }
 
 impl Messages {
-    /// Gives a new message its id.
+    /// Adds a message, and returns its new id.
     pub fn add(&mut self, name: &str) -> MessageId {
         let id = MessageId(self.next_id);
         self.next_id += 1;
@@ -39,41 +39,41 @@
         id
     }
 
-    /// The id of a message, unless it was never added or has been forgotten.
+    /// The id of a message; `None` if the message was never added or has been removed.
     pub fn id(&self, name: &str) -> Option<MessageId> {
         self.ids.get(name).copied()
     }
 
-    /// The name of a message; empty if it has been forgotten.
+    /// The name of a message; empty if the message has been removed.
     pub fn name(&self, id: MessageId) -> &str {
         self.messages
             .get(&id.0)
             .map_or("", |message| message.name.as_str())
     }
 
-    /// An attempt was sent.
+    /// Records that an attempt was sent.
     pub fn attempt_sent(&mut self, id: MessageId) {
         if let Some(message) = self.messages.get_mut(&id.0) {
             message.in_flight += 1;
         }
     }
 
-    /// An attempt has ended.
+    /// Records that an attempt has ended.
     pub fn attempt_ended(&mut self, id: MessageId) {
         if let Some(message) = self.messages.get_mut(&id.0) {
             message.in_flight = message.in_flight.saturating_sub(1);
         }
     }
 
-    /// No further attempt of the message will be sent.
+    /// Records that no further attempt of the message will be sent.
     pub fn finish(&mut self, id: MessageId) {
         if let Some(message) = self.messages.get_mut(&id.0) {
             message.finished = true;
         }
     }
 
-    /// Forgets the messages that are finished and have no attempt in flight.
-    pub fn forget_finished(&mut self) {
+    /// Removes the messages that are finished and have no attempt in flight.
+    pub fn remove_finished(&mut self) {
         let ids = &mut self.ids;
         self.messages.retain(|_, message| {
             let keep = !message.finished || message.in_flight > 0;
--- a/crates/adapter/src/reply.rs
+++ b/crates/adapter/src/reply.rs
@@ -4,7 +4,7 @@
 
 use crate::messages::Messages;
 
-/// Writes one action of the instance with this number, and keeps track of what it does to its message.
+/// Writes an action of the instance with this number, and records the effect on the message.
 pub fn write_action(
     instance: u64,
     action: &Action,
