--- a/crates/policy/src/collections/latency_window.rs
+++ b/crates/policy/src/collections/latency_window.rs
@@ -21,7 +21,7 @@
 }
 
 impl LatencyWindow {
-    /// Number of entries: enough for a p95, and few enough to follow a change of latency.
+    /// Largest number of entries: enough for a p95, and few enough to follow a change of latency.
     pub(crate) const CAPACITY: usize = 40;
 
     /// Adds a latency. It replaces the oldest entry if the window is full or has priors.
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -57,7 +57,7 @@
     }
 }
 
-/// State of an endpoint in the endpoint list. It does not include the health of the endpoint.
+/// State of an endpoint in the endpoint list. It says nothing about the endpoint's health.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointState {
     /// Attempts may be sent to it.
@@ -261,8 +261,7 @@
         endpoint: EndpointId,
         /// Timeout of the attempt.
         timeout: Nanos,
-        /// Latest instant at which the attempt may start. After it, a second delivery would take effect
-        /// again.
+        /// Latest instant at which the attempt may start. A later one could take effect a second time.
         latest_start: Nanos,
     },
     /// Cancel an attempt in flight.
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// A message class.
+/// A class of messages.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MessageClass {
     /// Latency objective, in nanoseconds after acceptance. A delivery within it has the full priority weight.
@@ -39,7 +39,7 @@
     pub deadline: Nanos,
     /// Value of a delivery within the latency objective, relative to other classes. It is at least 0.
     pub priority_weight: f64,
-    /// Share (0 to 1) of the priority weight that a late delivery still has at least, up to the deadline.
+    /// Lowest share (0 to 1) of the priority weight to which the value of a late delivery falls.
     pub late_weight_share: f64,
     /// Effect of a second delivery.
     pub idempotency: Idempotency,
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -17,18 +17,18 @@
 mod route;
 
 const MILLISECOND: Nanos = 1_000_000;
-/// Interval at which a message that waits for capacity, its ordering key or a budget is checked again.
+/// Longest time until a message that waits for capacity, its ordering key or a budget is checked again.
 const RECHECK_INTERVAL: Nanos = 20 * MILLISECOND;
 /// A turn that runs this long after its due time follows a stall of the process.
 const STALL_THRESHOLD: Nanos = 100 * MILLISECOND;
-/// Largest extension of a sender's overload windows. It depends on the seed, so that senders act apart.
+/// Largest extension of overload windows. Each sender's follows from its seed, so that their ends differ.
 const MAX_WINDOW_STAGGER: Nanos = 100 * MILLISECOND;
 /// In-flight limit up to which a hedge needs only one free slot, and even a single hung call is cancelled.
 const SMALL_IN_FLIGHT_LIMIT: usize = 3;
 /// Assumed share of retries after a rejection that succeed, before any was observed.
 const INITIAL_RETRY_SUCCESS: f64 = 0.5;
 
-/// The decisions of one sender.
+/// The decision module of one sender, with its state.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct Policy {
     settings: Settings,
@@ -42,7 +42,7 @@
     routes: BTreeMap<RouteKey, RouteState>,
     messages: BTreeMap<MessageId, Message>,
     ordering_queues: FifoQueues<KeyId, MessageId>,
-    in_flight: usize, // over all routes
+    in_flight: usize, // attempts, over all routes
     wakeup: WakeupTimer,
     no_hedges_until: Nanos, // set after a stall
     /// Latencies of all routes together: the estimate for a route that this sender has hardly called.
--- a/crates/policy/src/policy/dispatch.rs
+++ b/crates/policy/src/policy/dispatch.rs
@@ -4,7 +4,7 @@
 
 /// Quantile of the latencies of successful calls at which a call is slow and may be hedged.
 const HEDGE_QUANTILE: f64 = 0.95;
-/// Least number of samples for a quantile: with fewer, the hedge delay would at times be too short.
+/// Least number of samples for a quantile. With fewer, the hedge delay would vary and often be too short.
 const MIN_LATENCY_SAMPLES: usize = 6;
 /// Assumed latency before any was measured: long for a call, but short for a client.
 const DEFAULT_LATENCY: Nanos = 1000 * MILLISECOND;
@@ -18,7 +18,7 @@
 const TIMEOUT_P95_FACTOR: Nanos = 6;
 
 impl Policy {
-    /// Sends waiting messages: first those that an earlier process never sent, then by value at risk.
+    /// Sends waiting messages: first those an earlier process accepted and never sent, then by value at risk.
     pub(super) fn dispatch_waiting(&mut self, actions: &mut Vec<Action>) {
         let due = self.messages.iter().filter(|(_, message)| message.is_ready(self.now));
         let mut ready: Vec<_> =
@@ -91,7 +91,7 @@
         actions.push(Action::Send { id, endpoint: endpoint_id, timeout, latest_start });
     }
 
-    /// All the time left if no retry can follow; else enough for a slow call, which may outlast its timeout.
+    /// All the time left if no retry can follow; else enough for a slow call, as timed-out calls may run on.
     fn attempt_timeout(&self, id: MessageId, endpoint: EndpointId) -> Nanos {
         let message = &self.messages[&id];
         let deadline = self.shutdown_deadline.unwrap_or(Nanos::MAX).min(message.deadline);
--- a/crates/policy/src/policy/messages.rs
+++ b/crates/policy/src/policy/messages.rs
@@ -4,7 +4,7 @@
 
 /// Share of an idempotency window in which attempts start. The rest is for the way into the endpoint's queue.
 const IDEMPOTENCY_WINDOW_SHARE: f64 = 0.85;
-/// Share of [`Settings::max_open_messages`] that may wait for one destination.
+/// Largest share of [`Settings::max_open_messages`] that may wait for one destination.
 const MAX_WAITING_SHARE: f64 = 0.6;
 /// Share of the same limit that is kept free until the next turn: a flood brings several messages a turn.
 const FREE_SHARE: f64 = 0.06;
@@ -54,7 +54,7 @@
         self.attempts.is_empty() && self.not_before > 0
     }
 
-    /// The first attempt that may have run: no outcome proves that it never ran.
+    /// The first attempt that may have run, as no outcome proves that it never ran.
     pub(super) fn first_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.outcome.is_none_or(|outcome| !outcome.never_ran()))
     }
@@ -104,7 +104,7 @@
         !message.attempts_exhausted && message.attempts.len() < self.settings.max_attempts as usize
     }
 
-    /// Whether another attempt at an endpoint cannot take effect again after those that may have run.
+    /// Whether another attempt at an endpoint cannot take effect in addition to one that may have run.
     pub(super) fn may_retry_at(&self, message: &Message, endpoint: &Endpoint) -> bool {
         let idempotency = self.class_of(message).idempotency;
         let per_zone = matches!(idempotency, Idempotency::IdempotencyKey { per_zone: true, .. });
--- a/crates/policy/src/policy/outcomes.rs
+++ b/crates/policy/src/policy/outcomes.rs
@@ -65,7 +65,7 @@
                     route.record_rejection(now, retry_success_rate, &self.settings);
                 }
                 route.retry_after_until = route.retry_after_until.max(now + retry_after);
-                // A longer wait than that of a rate limit means an outage: all would return at its end.
+                // A wait longer than a rate limit's means an outage: all senders would return at its end.
                 let is_outage = retry_after > self.settings.recovery.overload_window;
                 self.record_fault(id, if is_outage { SUSPICION_THRESHOLD } else { 0.0 });
             }
--- a/crates/policy/src/policy/route.rs
+++ b/crates/policy/src/policy/route.rs
@@ -6,9 +6,9 @@
 pub(super) const PACING_STEP: Nanos = 50 * MILLISECOND;
 /// Longest pacing interval.
 pub(super) const MAX_PACING_INTERVAL: Nanos = 1000 * MILLISECOND;
-/// Share by which a success shortens the pacing interval. Rejections, which use up limits, level at 1 in 17.
+/// Relative decrease of the pacing interval by a success. Rejections, which use up limits, level at 1 in 17.
 const PACING_DECREASE: f64 = 0.04;
-/// The same for an interval above two steps, which are the fair interval where a rate limit is known.
+/// The same above two pacing steps, which are the sender's fair interval where a rate limit is known.
 const FAST_PACING_DECREASE: f64 = 0.5;
 /// Share of the slow-start budget that is used; the rest covers random variation and simultaneous calls.
 const BUDGET_UTILIZATION: f64 = 0.8;
@@ -18,7 +18,7 @@
 pub(super) const BREAKER_FAILURES: u32 = 4;
 /// Failures among the last eight outcomes from which on sends keep to the slow-start budget.
 pub(super) const SLOW_START_FAILURES: u32 = 5;
-/// Consecutive rejections, over this many overload windows, of an outage: a busy partner would accept some.
+/// Consecutive rejections over this many overload windows mean an outage: a busy partner accepts some calls.
 pub(super) const OUTAGE_REJECTIONS: u32 = 5;
 pub(super) const OUTAGE_REJECTION_WINDOWS: Nanos = 2;
 /// Suspicion from which on a sender backs off to its share of a cold route's capacity. One loss is no outage.
@@ -27,7 +27,7 @@
 pub(super) const FIRST_PROBE_DELAY: Nanos = 500 * MILLISECOND;
 pub(super) const MAX_PROBE_DELAY: Nanos = 2000 * MILLISECOND;
 
-/// State of a route: of an endpoint or a whole destination, see [`DestinationKind`].
+/// State of a route: one endpoint or a whole destination, see [`DestinationKind`].
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(super) struct RouteState {
     /// Start of the recovery ramp, after an outage or partial failure. It is in the future while the
@@ -44,7 +44,7 @@
     pub(super) recent_sends: SendWindow, // in the overload window
     pub(super) outcome_history: OutcomeHistory, // successes and failures, without rejections
     pub(super) consecutive_rejections: u32,
-    pub(super) rejecting_since: Nanos, // first of the consecutive rejections
+    pub(super) rejecting_since: Nanos, // time of the first of the consecutive rejections
     /// Of the successful calls, the one sent last: earlier calls that are still in flight may be lost.
     pub(super) latest_success_sent_at: Nanos,
     pub(super) call_counts: CallCounts, // for observations only
@@ -77,7 +77,7 @@
         self.backoff_until = 0;
         self.latest_success_sent_at = self.latest_success_sent_at.max(sent_at);
         if returned {
-            // It returned since the last fault or the end of its Retry-After: on average half way from there.
+            // It returned since its last fault or the end of its Retry-After: half that time ago on average.
             let elapsed = (now - self.last_fault_at.max(self.retry_after_until).min(now)) / 2;
             self.recovering_since = Some(now - elapsed.min(settings.recovery.overload_window));
         }
@@ -113,7 +113,7 @@
         BUDGET_UTILIZATION * recovery.overload_factor * recovery.capacity_share(elapsed) * fair_calls
     }
 
-    /// Interval of this sender's calls at its fair share of the rate limit; if unknown, one by fleet size.
+    /// Interval of this sender's calls at its fair share of the rate limit; if unknown, by fleet size.
     pub(super) fn fair_interval(&self, settings: &Settings) -> Nanos {
         let default = (PACING_STEP * Nanos::from(settings.senders)).min(MAX_PACING_INTERVAL);
         self.rate_limit.map_or(default, |limit| (settings.senders as f64 / limit * 1e9) as Nanos)
