--- a/crates/lab/tests/orders/fleet.rs
+++ b/crates/lab/tests/orders/fleet.rs
@@ -126,7 +126,7 @@
         decay: Decay::Halving,
         weight_meaning: EndpointWeights::Nominal,
         max_in_flight: 4,
-        max_held: 8,
+        max_open_messages: 8,
         max_attempts: ATTEMPTS,
         may_cancel: true,
         may_hedge: true,
@@ -350,6 +350,6 @@
         class: ClassId(record.class.parse().unwrap()),
         deadline: nanos(record.deadline),
         attempts: record.attempts.len() as u32,
-        ran: ran.map(|attempt| nanos(attempt.sent_at)),
+        may_have_run_since: ran.map(|attempt| nanos(attempt.sent_at)),
     }
 }
--- a/crates/sender/src/pipeline/admission.rs
+++ b/crates/sender/src/pipeline/admission.rs
@@ -206,7 +206,7 @@
             class: ClassId(class),
             deadline: nanos(record.deadline),
             attempts: record.attempts.len() as u32,
-            ran: first_run.map(|attempt| nanos(attempt.sent_at)),
+            may_have_run_since: first_run.map(|attempt| nanos(attempt.sent_at)),
         })
     }
 }
--- a/crates/sender/src/pipeline/builder.rs
+++ b/crates/sender/src/pipeline/builder.rs
@@ -366,7 +366,7 @@
 
 fn build_admission(config: &Config, settings: &Settings, class_rules: ClassRules) -> Admission {
     Admission {
-        max_open_messages: settings.max_held,
+        max_open_messages: settings.max_open_messages,
         classes: config.platform_settings.classes.clone(),
         class_rules,
     }
--- a/crates/sender/src/pipeline/tests/attempts.rs
+++ b/crates/sender/src/pipeline/tests/attempts.rs
@@ -187,7 +187,7 @@
         id: MessageId(4),
         endpoint: EndpointId(0),
         timeout: nanos(500.0),
-        latest: u64::MAX,
+        latest_start: u64::MAX,
     };
     let cancel = Action::Cancel {
         id: MessageId(3),
@@ -248,7 +248,7 @@
         id: MessageId(3),
         endpoint: EndpointId(0),
         timeout: nanos(1_000.0),
-        latest: nanos(now + 1_000.0),
+        latest_start: nanos(now + 1_000.0),
     }
 }
 
