--- a/crates/lab/src/commands/soak.rs
+++ b/crates/lab/src/commands/soak.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use martenlatch_lab::soak::{self, Options, Report};
+use martenlatch_lab::soak::{self, Options, SoakReport};
 use martenlatch_lab::sockets;
 use miette::miette;
 
@@ -13,19 +13,21 @@
 use crate::cli::SoakOptions;
 
 /// Senders of a soak.
-const PROCESSES: std::ops::RangeInclusive<usize> = 1..=40;
+const PROCESS_COUNT_RANGE: std::ops::RangeInclusive<usize> = 1..=40;
 /// Seconds of a soak.
-const SECONDS: std::ops::RangeInclusive<f64> = 3.0..=3_600.0;
+const SECONDS_RANGE: std::ops::RangeInclusive<f64> = 3.0..=3_600.0;
 
 /// Plays one soak and prints its figures in a line, behind the timeline of each violation.
 pub fn soak(options: &SoakOptions) -> miette::Result<Conclusion> {
-    if !PROCESSES.contains(&options.processes) || !SECONDS.contains(&options.seconds) {
+    if !PROCESS_COUNT_RANGE.contains(&options.processes)
+        || !SECONDS_RANGE.contains(&options.seconds)
+    {
         return Err(miette!("--processes is 1 to 40, --seconds is 3 to 3600"));
     }
     let stop = Arc::new(AtomicBool::new(false));
     let on_signal = stop.clone();
     ctrlc::set_handler(move || on_signal.store(true, Ordering::Relaxed)).map_err(report)?;
-    let played = soak::soak(
+    let result = soak::soak(
         &Options {
             seed: options.seed,
             seconds: options.seconds,
@@ -37,23 +39,23 @@
         &stop,
     )
     .map_err(report)?;
-    let timelines = timelines(&played);
+    let timelines = timelines(&result);
     print!("{timelines}");
     if let Some(folder) = &options.out {
-        write_out(folder, options.seed, &timelines, &played)?;
+        write_out(folder, options.seed, &timelines, &result)?;
     }
-    println!("{}", figures_line(options.seed, &played));
-    Ok(Conclusion::of(played.violations.is_empty()))
+    println!("{}", figures_line(options.seed, &result));
+    Ok(Conclusion::of(result.violations.is_empty()))
 }
 
-fn timelines(played: &Report) -> String {
+fn timelines(result: &SoakReport) -> String {
     let mut text = String::new();
-    for violation in &played.violations {
+    for violation in &result.violations {
         let _ = writeln!(text, "{violation}");
-        for record in played.timeline(violation) {
+        for record in result.timeline(violation) {
             let _ = writeln!(text, "    {record}");
         }
-        for line in played.sender_log(violation) {
+        for line in result.sender_log(violation) {
             let _ = writeln!(text, "    log: {line}");
         }
     }
@@ -61,12 +63,12 @@
 }
 
 /// Writes the timelines, and everything that happened.
-fn write_out(folder: &Path, seed: u64, timelines: &str, played: &Report) -> miette::Result<()> {
+fn write_out(folder: &Path, seed: u64, timelines: &str, result: &SoakReport) -> miette::Result<()> {
     std::fs::create_dir_all(folder).map_err(file_report(folder))?;
     let file = folder.join(format!("soak-{seed}.txt"));
     std::fs::write(&file, timelines).map_err(file_report(&file))?;
     let mut history = String::new();
-    for record in &played.records {
+    for record in &result.records {
         let _ = writeln!(history, "{record}");
     }
     let file = folder.join(format!("soak-{seed}-history.txt"));
@@ -74,12 +76,12 @@
 }
 
 /// The figures of a soak in one line.
-fn figures_line(seed: u64, played: &Report) -> String {
-    let figures = &played.figures;
+fn figures_line(seed: u64, result: &SoakReport) -> String {
+    let figures = &result.figures;
     let mut line = format!(
         "soak seed={seed} violations={} requests={} accepted={} delivered={} reported={} ended_early={} \
          timed_out={} restarts={} lateness_ms={:.0}",
-        played.violations.len(),
+        result.violations.len(),
         figures.requests,
         figures.accepted,
         figures.delivered,
@@ -87,9 +89,9 @@
         figures.ended_early,
         figures.timed_out,
         figures.restarts,
-        played.lateness
+        result.lateness
     );
-    for (fault, count) in &played.faults {
+    for (fault, count) in &result.faults {
         let _ = write!(line, " {fault}={count}");
     }
     line
--- a/crates/lab/src/soak/agent.rs
+++ b/crates/lab/src/soak/agent.rs
@@ -10,7 +10,7 @@
 
 use super::history::Event;
 use super::http::{HttpMessage, HttpStream};
-use super::schedule::Fault;
+use super::schedule::FaultKind;
 use super::world::{AGENTS_PER_SENDER, POLL_INTERVAL, World};
 use crate::error::LabError;
 
@@ -63,21 +63,21 @@
 }
 
 impl Agent {
-    fn is_faulty(&self, fault: Fault) -> bool {
+    fn has_fault(&self, fault: FaultKind) -> bool {
         let now = self.world.now();
-        self.world.schedule.is_on(fault, self.sender, now)
+        self.world.schedule.is_active(fault, self.sender, now)
     }
 
     /// Whether discovery has moved away for long enough.
-    fn is_left(&self) -> bool {
+    fn is_abandoned(&self) -> bool {
         let now = self.world.now();
         self.world.discovery[self.sender]
             .lock()
-            .is_ok_and(|place| place.agent != self.number && now > place.since + MOVE_GRACE)
+            .is_ok_and(|active| active.agent != self.number && now > active.since + MOVE_GRACE)
     }
 
     fn accept_all(&self, listener: &TcpListener) {
-        while !self.world.is_over() {
+        while !self.world.is_stopped() {
             while let Ok((stream, _)) = listener.accept() {
                 let agent = self.clone();
                 thread::spawn(move || agent.serve(stream));
@@ -89,8 +89,8 @@
     fn serve(&self, stream: TcpStream) {
         let mut stream = HttpStream::new(stream);
         // Reports are taken also while discovery is down.
-        while let Ok(request) = stream.read_message(|_| self.world.is_over()) {
-            if self.is_left() {
+        while let Ok(request) = stream.read_message(|_| self.world.is_stopped()) {
+            if self.is_abandoned() {
                 return;
             }
             if request.head.starts_with("POST /reports") {
@@ -102,7 +102,7 @@
                 }
                 continue;
             }
-            if self.is_faulty(Fault::DiscoverySlow) {
+            if self.has_fault(FaultKind::DiscoverySlow) {
                 thread::sleep(SLOW_ANSWER);
             }
             return self.watch(&mut stream, &request);
@@ -110,11 +110,11 @@
     }
 
     fn report_reply(&self) -> ReportReply {
-        if self.is_faulty(Fault::ReportsUnconfirmed) {
+        if self.has_fault(FaultKind::ReportsUnconfirmed) {
             return ReportReply::EndConnection;
         }
         let now = self.world.now();
-        let stutters = self.is_faulty(Fault::ReportsStutter)
+        let stutters = self.has_fault(FaultKind::ReportsStutter)
             && now.rem_euclid(STUTTER_PERIOD) < STUTTER_FAILURE;
         if !stutters {
             return ReportReply::Confirm;
@@ -149,21 +149,24 @@
             .and_then(|(_, rest)| rest.split([' ', '&']).next()?.parse().ok())
             .unwrap_or(0);
         stream.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        let mut told: u64 = from;
-        let mut first = true;
+        let mut known_version: u64 = from;
+        let mut is_first = true;
         let mut last_line = self.world.now();
-        while !self.world.is_over() && !self.is_left() && !self.is_faulty(Fault::DiscoveryDown) {
+        while !self.world.is_stopped()
+            && !self.is_abandoned()
+            && !self.has_fault(FaultKind::DiscoveryDown)
+        {
             thread::sleep(POLL_INTERVAL);
-            // What is written to a process that has ended is told to nobody.
+            // An update written to a process that has ended reaches nobody and must not be recorded.
             if stream.has_ended() {
                 return;
             }
-            if self.is_faulty(Fault::WatchSilent) {
+            if self.has_fault(FaultKind::WatchSilent) {
                 continue;
             }
             let now = self.world.now();
-            let line = self.next_line(&mut told, first);
-            first = false;
+            let line = self.next_line(&mut known_version, is_first);
+            is_first = false;
             let text = match line {
                 Some(line) => line,
                 None if now - last_line >= KEEP_ALIVE => String::new(),
@@ -176,19 +179,19 @@
         }
     }
 
-    /// What is to be told next: the whole list first, then what has changed.
-    fn next_line(&self, told: &mut u64, first: bool) -> Option<String> {
+    /// The next update to send, `None` if nothing has changed: the whole list at first, then the changes.
+    fn next_line(&self, known_version: &mut u64, is_first: bool) -> Option<String> {
         let list = self.world.list.lock().ok()?;
         let addresses = self.world.endpoint_addresses.lock().ok()?;
-        if !first && list.version == *told {
+        if !is_first && list.version == *known_version {
             return None;
         }
-        let endpoints = if first {
+        let endpoints = if is_first {
             (0..self.world.size.endpoints).collect()
         } else {
-            list.changed_since(*told)
+            list.changed_since(*known_version)
         };
-        *told = list.version;
+        *known_version = list.version;
         for endpoint in &endpoints {
             let event = Event::ListTold {
                 endpoint: *endpoint,
@@ -196,7 +199,7 @@
             };
             self.world.history.record(self.sender, "", event);
         }
-        let described = list.describe(&endpoints, first, &addresses[self.sender]);
+        let described = list.to_json(&endpoints, is_first, &addresses[self.sender]);
         Some(described.to_string())
     }
 }
--- a/crates/lab/src/soak/client.rs
+++ b/crates/lab/src/soak/client.rs
@@ -12,10 +12,10 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
-use super::history::{Effect, Event, ProcessEvent, Unanswered};
+use super::history::{Effect, Event, NoAnswerReason, ProcessEvent};
 use super::http::{HttpStream, ReadError};
 use super::pids::Pids;
-use super::schedule::Fault;
+use super::schedule::FaultKind;
 use super::world::{Message, POLL_INTERVAL, World};
 
 /// How long a client waits for an answer.
@@ -25,7 +25,7 @@
 /// A client that stops in the middle of its request is answered, or its connection closed, within this time.
 const BAD_CLIENT_TIMEOUT: Millis = 3_000.0;
 /// More for a machine that is busy.
-const BAD_CLIENT_SLACK: Millis = 1_500.0;
+const BAD_CLIENT_GRACE: Millis = 1_500.0;
 /// How long messages may be delivered.
 const TIMEOUTS: [Millis; 3] = [4_000.0, 2_500.0, 1_200.0];
 /// Between two requests of a busy client.
@@ -34,12 +34,12 @@
 const CONNECT_PAUSE: Duration = Duration::from_millis(40);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// A misbehaving client loses an answer each time that it has misbehaved so often.
-const LOST_ANSWERS_APART: usize = 3;
+const LOST_ANSWER_PERIOD: usize = 3;
 /// How long a message may be delivered whose answer is lost, and when it is handed in again: behind its end.
 const LOST_ANSWER_TIMEOUT: Millis = 700.0;
-const LOST_ANSWER_PAUSE: Millis = 1_000.0;
+const LOST_ANSWER_RETRY_DELAY: Millis = 1_000.0;
 /// Connections of a crowd.
-const CROWD: usize = 120;
+const CROWD_SIZE: usize = 120;
 
 /// Busy clients of a sender.
 pub const BUSY_CLIENTS: usize = 6;
@@ -59,13 +59,13 @@
 }
 
 impl Client {
-    fn random(&self) -> Pcg64 {
-        let place = (self.sender << 8 | self.number) as u64;
-        Pcg64::seed_from_u64(self.world.seed.wrapping_mul(0x9E37_79B9) ^ place)
+    fn rng(&self) -> Pcg64 {
+        let client_seed = (self.sender << 8 | self.number) as u64;
+        Pcg64::seed_from_u64(self.world.seed.wrapping_mul(0x9E37_79B9) ^ client_seed)
     }
 
     fn is_stopped(&self) -> bool {
-        self.world.clients_stopped.load(Ordering::Relaxed) || self.world.is_over()
+        self.world.clients_stopped.load(Ordering::Relaxed) || self.world.is_stopped()
     }
 
     fn connect(&self) -> Option<HttpStream> {
@@ -85,15 +85,15 @@
             Effect::Keyed if count.is_multiple_of(2) => Effect::KeyedInZone,
             effect => effect,
         };
-        let prefix = Message::prefix(effect);
+        let prefix = Message::id_prefix(effect);
         let id = format!("{prefix}{}-{}-{count}", self.sender, self.number);
         let timeout = TIMEOUTS[random.random_range(0..TIMEOUTS.len())];
-        (Message::of(&id).expect("an id of ours"), timeout)
+        (Message::from_id(&id).expect("an id of ours"), timeout)
     }
 
     /// Keeps a connection busy until it ends, then the next one. Every second client heeds `Connection: close`.
     pub fn keep_busy(&self) {
-        let mut random = self.random();
+        let mut random = self.rng();
         let heeds_close = self.number.is_multiple_of(2);
         let mut connection = None;
         let mut count = 0;
@@ -122,11 +122,11 @@
         random: &mut Pcg64,
     ) -> Option<bool> {
         let text = self.request(message, timeout, random);
-        self.exchange_text(stream, message, timeout, &text)
+        self.exchange_request(stream, message, timeout, &text)
     }
 
     /// Writes the request of a message, and records that it was handed in. Returns when; none if it cannot be written.
-    fn hand_in(
+    fn submit(
         &self,
         stream: &mut HttpStream,
         message: &Message,
@@ -134,7 +134,7 @@
         text: &str,
     ) -> Option<Millis> {
         let at = self.world.now();
-        self.world.note_deadline(&message.id, at + timeout);
+        self.world.set_deadline(&message.id, at + timeout);
         if !stream.write(text) {
             return None;
         }
@@ -150,14 +150,14 @@
     }
 
     /// Hands a message in and reads the answer.
-    fn exchange_text(
+    fn exchange_request(
         &self,
         stream: &mut HttpStream,
         message: &Message,
         timeout: Millis,
         text: &str,
     ) -> Option<bool> {
-        let until = self.hand_in(stream, message, timeout, text)? + ANSWER_TIMEOUT;
+        let until = self.submit(stream, message, timeout, text)? + ANSWER_TIMEOUT;
         let answer = stream.read_message(|_| self.world.now() > until);
         let answer = match answer {
             Ok(answer) => answer,
@@ -192,7 +192,7 @@
     /// The sender has taken a message on. It may be killed right behind that.
     fn on_accepted(&self) {
         self.world.accepted[self.sender].fetch_add(1, Ordering::Relaxed);
-        if let Some(pid) = self.pids.take_armed(self.sender) {
+        if let Some(pid) = self.pids.take_kill_target(self.sender) {
             let killed = kill(Pid::from_raw(pid), Signal::SIGKILL);
             if killed.is_ok() {
                 self.record("", Event::Process(ProcessEvent::Kill));
@@ -207,10 +207,10 @@
     fn record_unanswered(&self, stream: &HttpStream, message: &Message, error: ReadError) {
         let at = self.world.now();
         let end = match error {
-            ReadError::Stopped => Unanswered::TimedOut,
-            ReadError::Reset => Unanswered::Reset,
-            ReadError::Ended if is_reset_soon(&stream.stream) => Unanswered::Reset,
-            ReadError::Ended => Unanswered::EndOfStream,
+            ReadError::Stopped => NoAnswerReason::TimedOut,
+            ReadError::Reset => NoAnswerReason::Reset,
+            ReadError::Ended if is_reset_within_timeout(&stream.stream) => NoAnswerReason::Reset,
+            ReadError::Ended => NoAnswerReason::EndOfStream,
         };
         self.world
             .history
@@ -219,7 +219,7 @@
 
     /// Misbehaves in turns: stops in the middle of a request, leaves behind one, sends two at once, or comes as a crowd.
     pub fn misbehave(&self) {
-        let mut random = self.random();
+        let mut random = self.rng();
         let mut count = 0;
         while !self.is_stopped() {
             count += 1;
@@ -242,7 +242,7 @@
                 }
             }
             thread::sleep(Duration::from_millis(random.random_range(50..600)));
-            if count.is_multiple_of(LOST_ANSWERS_APART) && !self.is_stopped() {
+            if count.is_multiple_of(LOST_ANSWER_PERIOD) && !self.is_stopped() {
                 self.lose_answer(count, &mut random);
             }
         }
@@ -251,24 +251,24 @@
     /// Hands a message in, resets the connection before the answer is read, and hands it in again once its time is up:
     /// its end was reported to nobody who knew of it, and is owed.
     fn lose_answer(&self, count: usize, random: &mut Pcg64) {
-        let prefix = Message::prefix(Effect::NonIdempotent);
+        let prefix = Message::id_prefix(Effect::NonIdempotent);
         let id = format!("{prefix}{}-{}-{count}-again", self.sender, self.number);
-        let message = Message::of(&id).expect("an id of ours");
+        let message = Message::from_id(&id).expect("an id of ours");
         let text = self.request(&message, LOST_ANSWER_TIMEOUT, random);
         let Some(mut stream) = self.connect() else {
             return;
         };
         if self
-            .hand_in(&mut stream, &message, LOST_ANSWER_TIMEOUT, &text)
+            .submit(&mut stream, &message, LOST_ANSWER_TIMEOUT, &text)
             .is_none()
         {
             return;
         }
         thread::sleep(Duration::from_millis(random.random_range(0..60)));
         stream.reset();
-        thread::sleep(Duration::from_secs_f64(LOST_ANSWER_PAUSE / 1e3));
+        thread::sleep(Duration::from_secs_f64(LOST_ANSWER_RETRY_DELAY / 1e3));
         if let Some(mut stream) = self.connect() {
-            self.exchange_text(&mut stream, &message, LOST_ANSWER_TIMEOUT, &text);
+            self.exchange_request(&mut stream, &message, LOST_ANSWER_TIMEOUT, &text);
         }
     }
 
@@ -277,20 +277,22 @@
         if !stream.write(&text[..part]) {
             return;
         }
-        let until = self.world.now() + BAD_CLIENT_TIMEOUT + BAD_CLIENT_SLACK;
-        let answer = stream.read_message(|_| self.world.now() > until || self.world.is_over());
-        if matches!(answer, Err(ReadError::Stopped)) && !self.world.is_over() {
+        let until = self.world.now() + BAD_CLIENT_TIMEOUT + BAD_CLIENT_GRACE;
+        let answer = stream.read_message(|_| self.world.now() > until || self.world.is_stopped());
+        if matches!(answer, Err(ReadError::Stopped)) && !self.world.is_stopped() {
             self.record("", Event::BadClientIgnored);
         }
     }
 
     fn is_crowded(&self) -> bool {
         let now = self.world.now();
-        self.world.schedule.is_on(Fault::Crowd, self.sender, now)
+        self.world
+            .schedule
+            .is_active(FaultKind::Crowd, self.sender, now)
     }
 
     fn crowd(&self) {
-        let connections: Vec<TcpStream> = (0..CROWD)
+        let connections: Vec<TcpStream> = (0..CROWD_SIZE)
             .filter_map(|_| TcpStream::connect_timeout(&self.address, CONNECT_TIMEOUT).ok())
             .collect();
         while self.is_crowded() && !self.is_stopped() {
@@ -301,7 +303,7 @@
     }
 }
 
-fn is_reset_soon(stream: &TcpStream) -> bool {
+fn is_reset_within_timeout(stream: &TcpStream) -> bool {
     let until = Instant::now() + RESET_TIMEOUT;
     while Instant::now() < until {
         if !matches!(stream.take_error(), Ok(None)) {
--- a/crates/lab/src/soak/endpoint.rs
+++ b/crates/lab/src/soak/endpoint.rs
@@ -13,7 +13,7 @@
 
 use super::history::Event;
 use super::http::{HttpMessage, HttpStream};
-use super::schedule::Fault;
+use super::schedule::FaultKind;
 use super::world::{ENDPOINTS_PER_DESTINATION, Message, POLL_INTERVAL, World};
 use crate::error::LabError;
 
@@ -22,21 +22,21 @@
 /// With so few, others come up late.
 const SHORT_BACKLOG: i32 = 0;
 /// How long an endpoint usually works, in milliseconds.
-const USUAL_WORK: std::ops::Range<Millis> = 2.0..30.0;
+const USUAL_WORK_TIME: std::ops::Range<Millis> = 2.0..30.0;
 /// How long a slow one works.
-const SLOW_WORK: std::ops::Range<Millis> = 200.0..900.0;
+const SLOW_WORK_TIME: std::ops::Range<Millis> = 200.0..900.0;
 /// How long a busy endpoint has senders wait.
 const RETRY_AFTER: std::ops::Range<Millis> = 400.0..1_200.0;
 /// How late a last byte comes.
 const LAST_BYTE_DELAY: std::ops::Range<Millis> = 50.0..400.0;
 /// When an endpoint answers that answers as the time of a message runs out, from the deadline.
-const AROUND_DEADLINE: std::ops::Range<Millis> = -2.0..6.0;
+const DEADLINE_OFFSET: std::ops::Range<Millis> = -2.0..6.0;
 /// How long an answer goes on that never ends.
-const ENDLESS_ANSWER: Millis = 1_500.0;
+const ENDLESS_ANSWER_TIME: Millis = 1_500.0;
 
 /// One endpoint as one sender reaches it.
 #[derive(Clone)]
-struct Link {
+struct EndpointLink {
     world: Arc<World>,
     sender: usize,
     endpoint: usize,
@@ -52,7 +52,7 @@
             let listener = listen(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)), BACKLOG)
                 .map_err(LabError::EndpointPort)?;
             let address = listener.local_addr().map_err(LabError::EndpointPort)?;
-            let link = Link {
+            let link = EndpointLink {
                 world: world.clone(),
                 sender,
                 endpoint,
@@ -76,27 +76,29 @@
     thread::sleep(Duration::from_secs_f64(time / 1e3));
 }
 
-impl Link {
-    fn fault(&self) -> Option<Fault> {
+impl EndpointLink {
+    fn fault(&self) -> Option<FaultKind> {
         let now = self.world.now();
         self.world.schedule.endpoint_fault(self.endpoint, now)
     }
 
-    fn is_faulty(&self, fault: Fault) -> bool {
-        self.fault() == Some(fault) && !self.world.is_over()
+    fn has_fault(&self, fault: FaultKind) -> bool {
+        self.fault() == Some(fault) && !self.world.is_stopped()
     }
 
     fn accept_all(&self, listener: TcpListener, address: SocketAddr) {
         let mut listener = Some(listener);
         let mut connections = 0;
-        while !self.world.is_over() {
+        while !self.world.is_stopped() {
             match self.fault() {
-                Some(Fault::EndpointDown) => {
+                Some(FaultKind::EndpointDown) => {
                     drop(listener.take());
                     thread::sleep(POLL_INTERVAL);
                     continue;
                 }
-                Some(Fault::LateConnections) => self.hold_connections(listener.take(), address),
+                Some(FaultKind::LateConnections) => {
+                    self.delay_connections(listener.take(), address)
+                }
                 _ => {}
             }
             let Some(open) = listener.take().or_else(|| listen(address, BACKLOG).ok()) else {
@@ -113,7 +115,7 @@
     }
 
     /// Lets new connections wait: with a full backlog the system does not answer them, and their next try is late.
-    fn hold_connections(&self, listener: Option<TcpListener>, address: SocketAddr) {
+    fn delay_connections(&self, listener: Option<TcpListener>, address: SocketAddr) {
         drop(listener);
         let Ok(short) = listen(address, SHORT_BACKLOG) else {
             return;
@@ -125,7 +127,7 @@
             .iter()
             .filter_map(|filler| filler.local_addr().ok())
             .collect();
-        while self.is_faulty(Fault::LateConnections) {
+        while self.has_fault(FaultKind::LateConnections) {
             thread::sleep(POLL_INTERVAL);
         }
         while let Ok((stream, peer)) = short.accept() {
@@ -151,8 +153,8 @@
                 if begun && began.is_none() {
                     began = Some(self.world.now());
                 }
-                let cut = begun && self.fault() == Some(Fault::ResetInRequest);
-                cut || self.fault() == Some(Fault::EndpointDown) || self.world.is_over()
+                let cut = begun && self.fault() == Some(FaultKind::ResetInRequest);
+                cut || self.fault() == Some(FaultKind::EndpointDown) || self.world.is_stopped()
             });
             let Ok(request) = request else {
                 return stream.reset();
@@ -202,18 +204,18 @@
                 endpoint: self.endpoint,
                 destination: self.destination(),
                 intact: is_intact(request, id),
-                runs: fault != Some(Fault::EndpointBusy),
+                runs: fault != Some(FaultKind::EndpointBusy),
             },
         );
         match fault {
-            Some(Fault::EndpointHangs) => self.hang(),
-            Some(Fault::ResetBehindRequest) => false,
-            Some(Fault::HalfAnswer) => {
+            Some(FaultKind::EndpointHangs) => self.hang(),
+            Some(FaultKind::ResetBehindRequest) => false,
+            Some(FaultKind::HalfAnswer) => {
                 stream.write("HTTP/1.1 ");
                 let _ = stream.stream.shutdown(Shutdown::Both);
                 false
             }
-            Some(Fault::WrongLength) => {
+            Some(FaultKind::WrongLength) => {
                 self.respond(
                     stream,
                     id,
@@ -223,55 +225,55 @@
                 let _ = stream.stream.shutdown(Shutdown::Both);
                 false
             }
-            Some(Fault::EndlessAnswer) => self.answer_without_end(stream, id),
-            Some(Fault::EndpointBusy) => self.reject(stream, id, random),
-            Some(Fault::EndpointFails) => self.respond(
+            Some(FaultKind::EndlessAnswer) => self.answer_without_end(stream, id),
+            Some(FaultKind::EndpointBusy) => self.respond_busy(stream, id, random),
+            Some(FaultKind::EndpointFails) => self.respond(
                 stream,
                 id,
                 500,
                 "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n",
             ),
-            Some(Fault::LastByteLate) => self.answer_late_byte(stream, id, random),
-            Some(Fault::HalfClose) => {
-                self.confirm(stream, id);
+            Some(FaultKind::LastByteLate) => self.answer_with_late_last_byte(stream, id, random),
+            Some(FaultKind::HalfClose) => {
+                self.respond_ok(stream, id);
                 stream.stream.shutdown(Shutdown::Write).is_ok()
             }
-            Some(Fault::AnswersAsTimeRunsOut) => {
-                self.wait_for_deadline(id, random);
-                self.confirm(stream, id)
+            Some(FaultKind::AnswersAsTimeRunsOut) => {
+                self.wait_until_about_deadline(id, random);
+                self.respond_ok(stream, id)
             }
-            Some(Fault::EndpointSlow) => {
-                sleep(random.random_range(SLOW_WORK));
-                self.confirm(stream, id)
+            Some(FaultKind::EndpointSlow) => {
+                sleep(random.random_range(SLOW_WORK_TIME));
+                self.respond_ok(stream, id)
             }
             _ => {
-                sleep(random.random_range(USUAL_WORK));
-                self.confirm(stream, id)
+                sleep(random.random_range(USUAL_WORK_TIME));
+                self.respond_ok(stream, id)
             }
         }
     }
 
     /// Answers nothing while the endpoint hangs, and then ends the connection.
     fn hang(&self) -> bool {
-        while self.is_faulty(Fault::EndpointHangs) {
+        while self.has_fault(FaultKind::EndpointHangs) {
             thread::sleep(POLL_INTERVAL);
         }
         false
     }
 
     /// Waits until the time of a message is about to run out, or just has.
-    fn wait_for_deadline(&self, id: &str, random: &mut Pcg64) {
+    fn wait_until_about_deadline(&self, id: &str, random: &mut Pcg64) {
         let Some(deadline) = self.world.deadline(id) else {
             return;
         };
-        let at = deadline + random.random_range(AROUND_DEADLINE);
+        let at = deadline + random.random_range(DEADLINE_OFFSET);
         let left = at - self.world.now();
         if left > 0.0 {
             sleep(left);
         }
     }
 
-    fn confirm(&self, stream: &mut HttpStream, id: &str) -> bool {
+    fn respond_ok(&self, stream: &mut HttpStream, id: &str) -> bool {
         self.respond(
             stream,
             id,
@@ -283,10 +285,10 @@
     /// Writes an answer and records it. A sender that has called the request off and closed the connection does not
     /// hear of it.
     fn respond(&self, stream: &mut HttpStream, id: &str, status: u16, text: &str) -> bool {
-        self.respond_with_wait(stream, id, status, None, text)
+        self.respond_with_retry_after(stream, id, status, None, text)
     }
 
-    fn respond_with_wait(
+    fn respond_with_retry_after(
         &self,
         stream: &mut HttpStream,
         id: &str,
@@ -294,12 +296,12 @@
         retry_after: Option<Millis>,
         text: &str,
     ) -> bool {
-        let heard = !stream.has_ended();
+        let was_open = !stream.has_ended();
         // What begins to be written behind a message's time counts for nothing, however soon.
         let at = self.world.now();
         let written = stream.write(text);
         // A connection that was closed in the same moment resets in reply: nobody has read the answer.
-        if written && heard && !stream.is_reset() {
+        if written && was_open && !stream.is_reset() {
             let event = Event::Responded {
                 destination: self.destination(),
                 status,
@@ -310,13 +312,18 @@
         written
     }
 
-    fn reject(&self, stream: &mut HttpStream, id: &str, random: &mut Pcg64) -> bool {
+    fn respond_busy(&self, stream: &mut HttpStream, id: &str, random: &mut Pcg64) -> bool {
         let wait = random.random_range(RETRY_AFTER).round();
         let text = format!("HTTP/1.1 429 X\r\nX-Backoff-Ms: {wait}\r\nContent-Length: 0\r\n\r\n");
-        self.respond_with_wait(stream, id, 429, Some(wait), &text)
+        self.respond_with_retry_after(stream, id, 429, Some(wait), &text)
     }
 
-    fn answer_late_byte(&self, stream: &mut HttpStream, id: &str, random: &mut Pcg64) -> bool {
+    fn answer_with_late_last_byte(
+        &self,
+        stream: &mut HttpStream,
+        id: &str,
+        random: &mut Pcg64,
+    ) -> bool {
         let begun = self.respond(
             stream,
             id,
@@ -328,10 +335,10 @@
     }
 
     fn answer_without_end(&self, stream: &mut HttpStream, id: &str) -> bool {
-        let until = self.world.now() + ENDLESS_ANSWER;
-        let mut going_on = self.respond(stream, id, 200, "HTTP/1.1 200 OK\r\nX-Long: ");
-        while going_on && self.world.now() < until && !self.world.is_over() {
-            going_on = stream.write("aaaaaaaa");
+        let until = self.world.now() + ENDLESS_ANSWER_TIME;
+        let mut connected = self.respond(stream, id, 200, "HTTP/1.1 200 OK\r\nX-Long: ");
+        while connected && self.world.now() < until && !self.world.is_stopped() {
+            connected = stream.write("aaaaaaaa");
             thread::sleep(POLL_INTERVAL);
         }
         false
@@ -340,7 +347,7 @@
 
 /// Whether a request carries the body and the key of its message.
 fn is_intact(request: &HttpMessage, id: &str) -> bool {
-    Message::of(id).is_some_and(|message| {
+    Message::from_id(id).is_some_and(|message| {
         request.body == message.body().as_bytes()
             && request.header("idempotency-key") == Some(&*message.key())
     })
--- a/crates/lab/src/soak/history.rs
+++ b/crates/lab/src/soak/history.rs
@@ -22,7 +22,7 @@
 
 /// How a request ended that its client had written completely, if no answer came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unanswered {
+pub enum NoAnswerReason {
     /// The connection was reset: nobody has read the request, or the process was killed.
     Reset,
     /// The stream ended, and no reset followed: the request was read and dropped.
@@ -74,7 +74,7 @@
         status: u16,
     },
     /// The client's connection ended without an answer.
-    Unanswered(Unanswered),
+    Unanswered(NoAnswerReason),
     /// A client that stopped in the middle of its request was not dealt with in its time.
     BadClientIgnored,
     /// The first byte of a request came to an endpoint.
--- a/crates/lab/src/soak/mod.rs
+++ b/crates/lab/src/soak/mod.rs
@@ -34,7 +34,7 @@
 use oracle::{Conditions, Figures, Oracle, Violation};
 use pids::Pids;
 use processes::Processes;
-use schedule::{Fault, Size};
+use schedule::{FaultKind, SoakSize};
 use world::{IDEMPOTENCY_WINDOW, World};
 
 /// Endpoints, two for each destination.
@@ -42,17 +42,17 @@
 /// How often the schedule is looked at.
 const TICK: Duration = Duration::from_millis(4);
 /// After the last submission, messages get so long for their ends.
-const LONGEST_END: Millis = 9_000.0;
+const END_TIMEOUT: Millis = 9_000.0;
 /// All processes have ended so long after they were told to.
-const LONGEST_EXIT: Millis = 8_000.0;
+const EXIT_TIMEOUT: Millis = 8_000.0;
 /// A sender's own calls failed around an instant if they did so within this time of it.
-const CALLS_MARGIN: Millis = 600.0;
+const FAILING_CALLS_MARGIN: Millis = 600.0;
 /// Reports that were not confirmed are repeated within this time.
-const REPORTS_MARGIN: Millis = 1_500.0;
+const UNCONFIRMED_REPORTS_MARGIN: Millis = 1_500.0;
 /// Senders and laboratory together may take this part of the machine's memory, as a divisor.
 const MEMORY_DIVISOR: u64 = 2;
 /// Between two looks at the memory.
-const MEMORY_CHECK: Duration = Duration::from_secs(1);
+const MEMORY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What to soak.
 pub struct Options {
@@ -72,7 +72,7 @@
 }
 
 /// What a soak found.
-pub struct Report {
+pub struct SoakReport {
     /// Broken rules, in the order of time.
     pub violations: Vec<Violation>,
     /// Figures of the messages.
@@ -86,7 +86,7 @@
     logs: Vec<String>,
 }
 
-impl Report {
+impl SoakReport {
     /// What a sender logged about the message of a violation, with the times of its own wall clock; without a message,
     /// why its processes ended.
     pub fn sender_log(&self, violation: &Violation) -> Vec<String> {
@@ -95,7 +95,7 @@
             let last_words = log.lines().filter(|line| line.starts_with("martenlatch:"));
             return last_words.map(str::to_string).collect();
         }
-        lines_about(log, &violation.message)
+        log_lines_of_message(log, &violation.message)
     }
 
     /// The records that concern a violation, in the order of time: those of its message, and what happened to its
@@ -132,12 +132,12 @@
 /// Plays one soak. Once `stop` is set, it ends at once with an error; all processes are ended in any case.
 ///
 /// # Errors
-/// Where it cannot be played.
-pub fn soak(options: &Options, stop: &AtomicBool) -> Result<Report, LabError> {
-    let size = Size {
+/// If the soak cannot be run.
+pub fn soak(options: &Options, stop: &AtomicBool) -> Result<SoakReport, LabError> {
+    let size = SoakSize {
         senders: options.processes,
         endpoints: ENDPOINTS,
-        length: options.seconds * 1e3,
+        duration: options.seconds * 1e3,
     };
     let folder = tempfile::Builder::new()
         .prefix("martenlatch-soak-")
@@ -146,50 +146,50 @@
     let library = shim::build(folder.path())?;
     let mut world = World::new(options.seed, size);
     if options.keep_wall_clock {
-        world.schedule.leave_wall_clocks_alone();
+        world.schedule.remove_wall_clock_steps();
     }
     let world = Arc::new(world);
     let pids = Arc::new(Pids::new(size.senders));
     let mut processes =
         Processes::prepare(&world, &pids, &options.program, folder.path(), &library)?;
-    processes.set_slack(options.slack);
-    let played = play(&world, &pids, &mut processes, stop);
+    processes.extend_kill_timeout(options.slack);
+    let result = run_schedule(&world, &pids, &mut processes, stop);
     world.clients_stopped.store(true, Ordering::Relaxed);
     world.stopped.store(true, Ordering::Relaxed);
-    let lateness = played?;
+    let lateness = result?;
     let logs = processes.logs()?;
     record_logged_defects(&world, &logs);
     Ok(judge(&world, logs, lateness, options.slack))
 }
 
 /// Runs the schedule, lets all messages end, and ends the processes. Returns by how much the laboratory was late.
-fn play(
+fn run_schedule(
     world: &Arc<World>,
     pids: &Arc<Pids>,
     processes: &mut Processes,
     stop: &AtomicBool,
 ) -> Result<Millis, LabError> {
-    let mut watch = Watch::new();
+    let mut monitor = Monitor::new();
     start_clients(world, pids, processes);
-    while world.now() < world.size.length {
-        watch.tick(processes, stop)?;
+    while world.now() < world.size.duration {
+        monitor.tick(processes, stop)?;
         processes.run_due()?;
     }
     world.clients_stopped.store(true, Ordering::Relaxed);
-    let until = world.now() + LONGEST_END;
+    let until = world.now() + END_TIMEOUT;
     while world.now() < until {
-        watch.tick(processes, stop)?;
+        monitor.tick(processes, stop)?;
         processes.run_due()?;
         if processes.all_running() && history::unfinished_messages(&world.history.sorted()) == 0 {
             break;
         }
     }
     processes.terminate_all();
-    let until = world.now() + LONGEST_EXIT;
+    let until = world.now() + EXIT_TIMEOUT;
     while !processes.all_ended() && world.now() < until {
-        watch.tick(processes, stop)?;
+        monitor.tick(processes, stop)?;
     }
-    Ok(watch.lateness)
+    Ok(monitor.lateness)
 }
 
 fn start_clients(world: &Arc<World>, pids: &Arc<Pids>, processes: &Processes) {
@@ -214,14 +214,14 @@
 }
 
 /// Watches the laboratory itself: whether it is stopped, late, or takes too much memory.
-struct Watch {
+struct Monitor {
     lateness: Millis,
     memory_checked: Instant,
 }
 
-impl Watch {
-    fn new() -> Watch {
-        Watch {
+impl Monitor {
+    fn new() -> Monitor {
+        Monitor {
             lateness: 0.0,
             memory_checked: Instant::now(),
         }
@@ -236,7 +236,7 @@
         thread::sleep(TICK);
         let late = before.elapsed().saturating_sub(TICK);
         self.lateness = self.lateness.max(late.as_secs_f64() * 1e3);
-        if self.memory_checked.elapsed() >= MEMORY_CHECK {
+        if self.memory_checked.elapsed() >= MEMORY_CHECK_INTERVAL {
             self.memory_checked = Instant::now();
             check_memory(processes)?;
         }
@@ -250,9 +250,9 @@
         .pids()
         .into_iter()
         .chain([own])
-        .filter_map(|pid| kilobytes(&format!("/proc/{pid}/status"), "VmRSS:"))
+        .filter_map(|pid| read_kilobytes(&format!("/proc/{pid}/status"), "VmRSS:"))
         .sum();
-    let total = kilobytes("/proc/meminfo", "MemTotal:").unwrap_or(u64::MAX);
+    let total = read_kilobytes("/proc/meminfo", "MemTotal:").unwrap_or(u64::MAX);
     if used > total / MEMORY_DIVISOR {
         return Err(LabError::TooMuchMemory { used_kb: used });
     }
@@ -260,7 +260,7 @@
 }
 
 /// The number behind a name in a file of the system.
-fn kilobytes(file: &str, name: &str) -> Option<u64> {
+fn read_kilobytes(file: &str, name: &str) -> Option<u64> {
     let text = std::fs::read_to_string(file).ok()?;
     let line = text.lines().find(|line| line.starts_with(name))?;
     line.split_whitespace().nth(1)?.parse().ok()
@@ -268,11 +268,11 @@
 
 /// Records the lines of the senders' logs that tell of a defect.
 fn record_logged_defects(world: &World, logs: &[String]) {
-    const DEFECTS: [&str; 2] = ["safety rule violated", "panicked at"];
+    const DEFECT_MARKERS: [&str; 2] = ["safety rule violated", "panicked at"];
     for (sender, text) in logs.iter().enumerate() {
         let defects = text
             .lines()
-            .filter(|line| DEFECTS.iter().any(|defect| line.contains(defect)));
+            .filter(|line| DEFECT_MARKERS.iter().any(|marker| line.contains(marker)));
         for line in defects {
             let event = Event::LoggedDefect(line.to_string());
             world.history.record(sender, "", event);
@@ -281,7 +281,7 @@
 }
 
 /// The lines of a sender's log about a message. The log numbers messages anew in each process.
-fn lines_about(log: &str, message: &str) -> Vec<String> {
+fn log_lines_of_message(log: &str, message: &str) -> Vec<String> {
     let id = format!(" id={message} ");
     let mut number = None;
     let mut lines = Vec::new();
@@ -304,24 +304,25 @@
     lines
 }
 
-fn judge(world: &World, logs: Vec<String>, lateness: Millis, slack: Millis) -> Report {
+fn judge(world: &World, logs: Vec<String>, lateness: Millis, slack: Millis) -> SoakReport {
     let records = world.history.sorted();
     let calls_failed = |sender: usize, at: Millis| {
-        world.schedule.windows.iter().any(|window| {
-            window.fault == Fault::CallsFail
+        world.schedule.fault_windows.iter().any(|window| {
+            window.fault == FaultKind::CallsFail
                 && window.target == sender
-                && (window.from - CALLS_MARGIN..window.until + CALLS_MARGIN).contains(&at)
+                && (window.from - FAILING_CALLS_MARGIN..window.until + FAILING_CALLS_MARGIN)
+                    .contains(&at)
         })
     };
     let unconfirmed_until = |sender: usize, at: Millis| {
         world
             .schedule
-            .windows
+            .fault_windows
             .iter()
             .filter(|window| {
-                window.fault == Fault::ReportsUnconfirmed
+                window.fault == FaultKind::ReportsUnconfirmed
                     && window.target == sender
-                    && (window.from..window.until + REPORTS_MARGIN).contains(&at)
+                    && (window.from..window.until + UNCONFIRMED_REPORTS_MARGIN).contains(&at)
             })
             .map(|window| window.until)
             .next_back()
@@ -335,7 +336,7 @@
     let (mut violations, figures) = Oracle::new(conditions).judge(&records);
     violations.sort_by(|a, b| a.at.total_cmp(&b.at));
     let mut faults = BTreeMap::new();
-    for window in &world.schedule.windows {
+    for window in &world.schedule.fault_windows {
         *faults.entry(format!("{:?}", window.fault)).or_insert(0) += 1;
     }
     for record in &records {
@@ -343,7 +344,7 @@
             *faults.entry(format!("{event:?}")).or_insert(0) += 1;
         }
     }
-    Report {
+    SoakReport {
         violations,
         figures,
         faults,
--- a/crates/lab/src/soak/oracle.rs
+++ b/crates/lab/src/soak/oracle.rs
@@ -12,9 +12,9 @@
 
 use martenlatch_clock::Millis;
 
-use super::history::{Effect, Event, Record, Unanswered};
+use super::history::{Effect, Event, NoAnswerReason, Record};
 use super::world::zone_of;
-use state::{Progress, SenderState};
+use state::{MessageProgress, SenderState};
 pub use verdict::{Figures, Rule, Violation};
 
 /// A message must have its end so long after its time is up.
@@ -26,9 +26,9 @@
 /// Requests to a draining endpoint must stop so long after the sender was told.
 const DRAIN_GRACE: Millis = 1_050.0;
 /// Requests within this time of the answer that asks for a wait are let through.
-const WAIT_GRACE: Millis = 100.0;
+const RETRY_AFTER_GRACE: Millis = 100.0;
 /// A sender may be held up for so long between reading its clock and writing.
-const HELD_UP: Millis = 150.0;
+const USUAL_DELAY: Millis = 150.0;
 /// A sender that was held up, or has just started, takes a request for up to 400 ms older than it is, and reports an answer
 /// in the last 50 ms, too: it cannot know whether that still counts.
 const UNCERTAIN_DELIVERY: Millis = 450.0;
@@ -50,12 +50,12 @@
 }
 
 /// Over this time before its deadline, the end of a message without an attempt is early.
-const EARLY: Millis = 2_000.0;
+const EARLY_END_MARGIN: Millis = 2_000.0;
 
 /// Judges a history.
 pub struct Oracle<'a> {
     conditions: Conditions<'a>,
-    messages: BTreeMap<String, Progress>,
+    messages: BTreeMap<String, MessageProgress>,
     senders: BTreeMap<usize, SenderState>,
     violations: Vec<Violation>,
     figures: Figures,
@@ -80,7 +80,7 @@
         // Outages are known from the start: what happens shortly before a kill is excused by it.
         for record in records {
             if let Event::Process(event) = record.event {
-                self.learn_process(record, event);
+                self.collect_process_event(record, event);
             }
         }
         for record in records {
@@ -91,7 +91,7 @@
         (self.violations, self.figures)
     }
 
-    fn violate(&mut self, rule: Rule, record: &Record) {
+    fn add_violation(&mut self, rule: Rule, record: &Record) {
         self.violations.push(Violation {
             rule,
             at: record.at,
@@ -106,39 +106,39 @@
                 effect,
                 timeout,
                 writing,
-            } => self.submitted(record, *effect, *timeout, *writing),
-            Event::Answered { status } => self.answered(record, *status),
-            Event::Unanswered(end) => self.unanswered(record, *end),
-            Event::BadClientIgnored => self.violate(Rule::BadClientIgnored, record),
+            } => self.on_submitted(record, *effect, *timeout, *writing),
+            Event::Answered { status } => self.on_answered(record, *status),
+            Event::Unanswered(end) => self.on_unanswered(record, *end),
+            Event::BadClientIgnored => self.add_violation(Rule::BadClientIgnored, record),
             Event::RequestBegan {
                 endpoint,
                 destination,
-            } => self.request_began(record, *endpoint, *destination),
+            } => self.on_request_began(record, *endpoint, *destination),
             Event::RequestArrived {
                 endpoint,
                 intact,
                 runs,
                 ..
-            } => self.request_arrived(record, *endpoint, *intact, *runs),
+            } => self.on_request_arrived(record, *endpoint, *intact, *runs),
             Event::Responded {
                 destination,
                 status,
                 retry_after,
-            } => self.responded(record, *destination, *status, *retry_after),
-            Event::Reported { .. } => self.reported(record),
-            Event::ListTold { endpoint, active } => self.list_told(record, *endpoint, *active),
-            Event::Process(event) => self.process(record, *event),
-            Event::LoggedDefect(_) => self.violate(Rule::LoggedDefect, record),
+            } => self.on_responded(record, *destination, *status, *retry_after),
+            Event::Reported { .. } => self.on_reported(record),
+            Event::ListTold { endpoint, active } => self.on_list_update(record, *endpoint, *active),
+            Event::Process(event) => self.judge_process_event(record, *event),
+            Event::LoggedDefect(_) => self.add_violation(Rule::LoggedDefect, record),
         }
     }
 
-    fn progress(&mut self, record: &Record) -> &mut Progress {
+    fn progress(&mut self, record: &Record) -> &mut MessageProgress {
         let progress = self.messages.entry(record.message.clone()).or_default();
         progress.sender = record.sender;
         progress
     }
 
-    fn submitted(&mut self, record: &Record, effect: Effect, timeout: Millis, writing: Millis) {
+    fn on_submitted(&mut self, record: &Record, effect: Effect, timeout: Millis, writing: Millis) {
         self.figures.requests += 1;
         let progress = self.progress(record);
         if !progress.accepted {
@@ -151,7 +151,7 @@
         progress.effect = Some(effect);
     }
 
-    fn answered(&mut self, record: &Record, status: u16) {
+    fn on_answered(&mut self, record: &Record, status: u16) {
         let progress = self.progress(record);
         match status {
             202 => {
@@ -163,37 +163,37 @@
         }
     }
 
-    fn unanswered(&mut self, record: &Record, end: Unanswered) {
+    fn on_unanswered(&mut self, record: &Record, end: NoAnswerReason) {
         match end {
-            Unanswered::Reset => {}
-            Unanswered::TimedOut => self.figures.timed_out += 1,
-            Unanswered::EndOfStream => {
+            NoAnswerReason::Reset => {}
+            NoAnswerReason::TimedOut => self.figures.timed_out += 1,
+            NoAnswerReason::EndOfStream => {
                 let state = self.senders.entry(record.sender).or_default();
                 let excused = state.was_killed_around(record.at)
                     || (self.conditions.calls_failed)(record.sender, record.at);
                 if !excused {
-                    self.violate(Rule::ReadAndDropped, record);
+                    self.add_violation(Rule::ReadAndDropped, record);
                 }
             }
         }
     }
 
-    fn request_began(&mut self, record: &Record, endpoint: usize, destination: usize) {
+    fn on_request_began(&mut self, record: &Record, endpoint: usize, destination: usize) {
         let late = self.conditions.lateness;
-        let held_up = self.held_up(record.sender, record.at);
+        let delay = self.possible_delay(record.sender, record.at);
         let state = self.senders.entry(record.sender).or_default();
-        let told = state.draining.get(&endpoint).copied();
-        let wait = state.waits.get(&destination).copied();
+        let told = state.draining_since.get(&endpoint).copied();
+        let wait = state.retry_waits.get(&destination).copied();
         // The grace has room for a usual hold-up.
-        let drain_grace = DRAIN_GRACE + held_up - HELD_UP;
+        let drain_grace = DRAIN_GRACE + delay - USUAL_DELAY;
         if told.is_some_and(|told| record.at > told + drain_grace + late) {
-            self.violate(Rule::SentToDraining, record);
+            self.add_violation(Rule::SentToDraining, record);
         }
         let waiting = |(written, until): (Millis, Millis)| {
-            record.at > written + WAIT_GRACE + held_up + late && record.at < until - late
+            record.at > written + RETRY_AFTER_GRACE + delay + late && record.at < until - late
         };
         if wait.is_some_and(waiting) {
-            self.violate(Rule::RetryAfterIgnored, record);
+            self.add_violation(Rule::RetryAfterIgnored, record);
         }
         self.judge_timing(record);
     }
@@ -201,7 +201,7 @@
     /// Whether a request may still come for its message.
     fn judge_timing(&mut self, record: &Record) {
         let late = self.conditions.lateness;
-        let held_up = self.held_up(record.sender, record.at);
+        let delay = self.possible_delay(record.sender, record.at);
         let progress = self.progress(record);
         progress.requests += 1;
         let deadline = progress
@@ -209,35 +209,35 @@
             .map_or(f64::INFINITY, |at| at + progress.timeout);
         let (delivered, reported) = (progress.delivered_at, progress.reported_at);
         let rejected = progress.rejected_at.is_some();
-        if record.at > deadline + SOCKET_GRACE + held_up + late {
-            self.violate(Rule::ForwardedLate, record);
+        if record.at > deadline + SOCKET_GRACE + delay + late {
+            self.add_violation(Rule::ForwardedLate, record);
         }
         if rejected {
-            self.violate(Rule::ForwardedAfterRejection, record);
+            self.add_violation(Rule::ForwardedAfterRejection, record);
         }
-        let after = |end: Millis| record.at > end + SOCKET_GRACE + held_up + late;
+        let after = |end: Millis| record.at > end + SOCKET_GRACE + delay + late;
         let after_report = reported.is_some_and(after);
         let after_delivery = delivered.is_some_and(after)
             && delivered.is_some_and(|at| self.end_is_known(record.sender, at, record.at));
         if after_report || after_delivery {
-            self.violate(Rule::ForwardedAfterEnd, record);
+            self.add_violation(Rule::ForwardedAfterEnd, record);
         }
     }
 
     /// Whether the sender surely knows at an instant of an answer that was written earlier.
     fn end_is_known(&self, sender: usize, written: Millis, now: Millis) -> bool {
-        let disturbed = self
+        let had_outage = self
             .senders
             .get(&sender)
-            .is_some_and(|state| state.was_disturbed(written, now));
-        !disturbed && !(self.conditions.calls_failed)(sender, written)
+            .is_some_and(|state| state.had_outage(written, now));
+        !had_outage && !(self.conditions.calls_failed)(sender, written)
     }
 
-    fn request_arrived(&mut self, record: &Record, endpoint: usize, intact: bool, runs: bool) {
+    fn on_request_arrived(&mut self, record: &Record, endpoint: usize, intact: bool, runs: bool) {
         let late = self.conditions.lateness;
         let window = self.conditions.idempotency_window;
         if !intact {
-            self.violate(Rule::Altered, record);
+            self.add_violation(Rule::Altered, record);
         }
         let progress = self.progress(record);
         let first_run = progress.first_run;
@@ -246,24 +246,24 @@
             progress.first_run.get_or_insert(record.at);
             progress.first_zone.get_or_insert(zone_of(endpoint));
         }
-        let effect = super::world::Message::of(&record.message).map(|message| message.effect);
+        let effect = super::world::Message::from_id(&record.message).map(|message| message.effect);
         match (effect, first_run) {
             (Some(Effect::NonIdempotent), Some(_)) => {
-                self.violate(Rule::RepeatedNonIdempotent, record);
+                self.add_violation(Rule::RepeatedNonIdempotent, record);
             }
             (Some(Effect::KeyedInZone), Some(_)) if first_zone != Some(zone_of(endpoint)) => {
-                self.violate(Rule::RepeatedInOtherZone, record);
+                self.add_violation(Rule::RepeatedInOtherZone, record);
             }
             (Some(Effect::Keyed | Effect::KeyedInZone), Some(first))
                 if record.at > first + window + SOCKET_GRACE + late =>
             {
-                self.violate(Rule::RepeatedOutsideWindow, record);
+                self.add_violation(Rule::RepeatedOutsideWindow, record);
             }
             _ => {}
         }
     }
 
-    fn responded(
+    fn on_responded(
         &mut self,
         record: &Record,
         destination: usize,
@@ -280,15 +280,18 @@
         let lost = (self.conditions.calls_failed)(record.sender, record.at);
         if let Some(span) = retry_after.filter(|_| !lost) {
             let state = self.senders.entry(record.sender).or_default();
-            let wait = state.waits.entry(destination).or_insert((record.at, 0.0));
+            let wait = state
+                .retry_waits
+                .entry(destination)
+                .or_insert((record.at, 0.0));
             if record.at + span > wait.1 {
                 *wait = (record.at, record.at + span);
             }
         }
     }
 
-    fn reported(&mut self, record: &Record) {
-        let held_up = self.held_up(record.sender, record.at);
+    fn on_reported(&mut self, record: &Record) {
+        let delay = self.possible_delay(record.sender, record.at);
         let progress = self.progress(record);
         progress.reported_at.get_or_insert(record.at);
         // As the time runs out, a sender cannot know whether an answer still counts, and a second end does no harm.
@@ -296,18 +299,18 @@
         let Some(delivered) = delivered else {
             return;
         };
-        let known = record.at > delivered + SOCKET_GRACE + held_up + self.conditions.lateness;
+        let known = record.at > delivered + SOCKET_GRACE + delay + self.conditions.lateness;
         if known && self.end_is_known(record.sender, delivered, record.at) {
-            self.violate(Rule::TwoEnds, record);
+            self.add_violation(Rule::TwoEnds, record);
         }
     }
 
-    fn list_told(&mut self, record: &Record, endpoint: usize, active: bool) {
+    fn on_list_update(&mut self, record: &Record, endpoint: usize, active: bool) {
         let state = self.senders.entry(record.sender).or_default();
         if active {
-            state.draining.remove(&endpoint);
+            state.draining_since.remove(&endpoint);
         } else {
-            state.draining.entry(endpoint).or_insert(record.at);
+            state.draining_since.entry(endpoint).or_insert(record.at);
         }
     }
 
@@ -325,10 +328,10 @@
             self.figures.delivered += usize::from(progress.delivered_at.is_some());
             if let Some(reported_at) = progress.reported_at {
                 self.figures.reported += 1;
-                let early = progress.requests == 0 && reported_at < deadline - EARLY;
+                let early = progress.requests == 0 && reported_at < deadline - EARLY_END_MARGIN;
                 self.figures.ended_early += usize::from(early);
             }
-            if end > self.due(progress.sender, deadline) {
+            if end > self.end_due_at(progress.sender, deadline) {
                 self.violations.push(Violation {
                     rule: Rule::Lost,
                     at: deadline,
--- a/crates/lab/src/soak/oracle/due.rs
+++ b/crates/lab/src/soak/oracle/due.rs
@@ -2,12 +2,12 @@
 
 use martenlatch_clock::Millis;
 
-use super::{END_GRACE, HELD_UP, Oracle, REPORT_GRACE, RESTART_GRACE, SOCKET_GRACE};
+use super::{END_GRACE, Oracle, REPORT_GRACE, RESTART_GRACE, SOCKET_GRACE, USUAL_DELAY};
 
 impl Oracle<'_> {
     /// When a message of a sender must have its end: no end is overdue while the sender restarts, or while the platform
     /// confirms nothing; one may begin in the time that the other grants.
-    pub(super) fn due(&self, sender: usize, deadline: Millis) -> Millis {
+    pub(super) fn end_due_at(&self, sender: usize, deadline: Millis) -> Millis {
         let mut due = deadline + END_GRACE + SOCKET_GRACE;
         loop {
             let later = self.excused_until(sender, due);
@@ -25,10 +25,12 @@
         let outages = state.map_or(&[][..], |state| &state.outages);
         let pauses = state.map_or(&[][..], |state| &state.pauses);
         // A long pause in the time in which an end is due.
-        let held_up = pauses
+        let delay = pauses
             .iter()
             .filter(|(from, until)| {
-                until - from > HELD_UP && *from <= due && *until >= due - END_GRACE - SOCKET_GRACE
+                until - from > USUAL_DELAY
+                    && *from <= due
+                    && *until >= due - END_GRACE - SOCKET_GRACE
             })
             .map(|(_, until)| until + END_GRACE);
         outages
@@ -36,7 +38,7 @@
             .filter(|(begin, _)| *begin <= due)
             .map(|(_, end)| end + RESTART_GRACE)
             .chain(unconfirmed.map(|until| until + REPORT_GRACE))
-            .chain(held_up)
+            .chain(delay)
             .fold(due, f64::max)
     }
 }
--- a/crates/lab/src/soak/oracle/process_events.rs
+++ b/crates/lab/src/soak/oracle/process_events.rs
@@ -3,11 +3,11 @@
 use martenlatch_clock::Millis;
 
 use super::super::history::{ProcessEvent, Record};
-use super::{HELD_UP, KILL_AFTER_TERMINATE, Oracle, Rule};
+use super::{KILL_AFTER_TERMINATE, Oracle, Rule, USUAL_DELAY};
 
 impl Oracle<'_> {
     /// Takes in, before anything is judged, when a sender could do nothing.
-    pub(super) fn learn_process(&mut self, record: &Record, event: ProcessEvent) {
+    pub(super) fn collect_process_event(&mut self, record: &Record, event: ProcessEvent) {
         let state = self.senders.entry(record.sender).or_default();
         match event {
             ProcessEvent::Kill | ProcessEvent::Terminate | ProcessEvent::Exited(_) => {
@@ -35,13 +35,15 @@
     }
 
     /// For how long a sender may have been held up when it did something at an instant.
-    pub(super) fn held_up(&self, sender: usize, at: Millis) -> Millis {
+    pub(super) fn possible_delay(&self, sender: usize, at: Millis) -> Millis {
         let state = self.senders.get(&sender);
-        state.map_or(HELD_UP, |state| state.held_up(at).max(HELD_UP))
+        state.map_or(USUAL_DELAY, |state| {
+            state.recent_pause_time(at).max(USUAL_DELAY)
+        })
     }
 
     /// Judges the end of a process.
-    pub(super) fn process(&mut self, record: &Record, event: ProcessEvent) {
+    pub(super) fn judge_process_event(&mut self, record: &Record, event: ProcessEvent) {
         let state = self.senders.entry(record.sender).or_default();
         match event {
             ProcessEvent::Terminate => {
@@ -50,26 +52,26 @@
             ProcessEvent::Kill => {
                 // A process that was stopped for long as it was told to end, or since, may take as much longer.
                 let late = state.terminated_at.is_some_and(|at| {
-                    record.at >= at + KILL_AFTER_TERMINATE && !state.was_stopped_for_long_since(at)
+                    record.at >= at + KILL_AFTER_TERMINATE && !state.had_long_pause_since(at)
                 });
                 state.killed = true;
                 if late {
-                    self.violate(Rule::ExitedLate, record);
+                    self.add_violation(Rule::ExitedLate, record);
                 }
             }
             ProcessEvent::Exited(code) => {
                 let asked = state.killed || (state.terminated_at.is_some() && code == Some(0));
                 if !asked {
-                    self.violate(Rule::Crashed, record);
+                    self.add_violation(Rule::Crashed, record);
                 }
             }
             ProcessEvent::Started => {
                 state.terminated_at = None;
                 state.killed = false;
                 // A restart ends the waits.
-                state.waits.clear();
+                state.retry_waits.clear();
             }
-            ProcessEvent::NotReady => self.violate(Rule::NotReady, record),
+            ProcessEvent::NotReady => self.add_violation(Rule::NotReady, record),
             ProcessEvent::Ready
             | ProcessEvent::Reload
             | ProcessEvent::Pause
--- a/crates/lab/src/soak/oracle/state.rs
+++ b/crates/lab/src/soak/oracle/state.rs
@@ -4,15 +4,15 @@
 
 use martenlatch_clock::Millis;
 
-use super::{Effect, HELD_UP};
+use super::{Effect, USUAL_DELAY};
 
 /// What ends at a kill is seen so much earlier or later.
 const KILL_MARGIN: Millis = 400.0;
 /// What a process decided before it was stopped is done within this time of its going on.
-const PAUSE_EFFECT: Millis = 300.0;
+const PAUSE_AFTEREFFECT: Millis = 300.0;
 /// What is known of one message.
 #[derive(Default)]
-pub(super) struct Progress {
+pub(super) struct MessageProgress {
     pub sender: usize,
     pub submitted_at: Option<Millis>,
     pub timeout: Millis,
@@ -34,9 +34,9 @@
 #[derive(Default)]
 pub(super) struct SenderState {
     /// When each endpoint that drains was told to.
-    pub draining: HashMap<usize, Millis>,
+    pub draining_since: HashMap<usize, Millis>,
     /// For each destination, when its wait was written and when it ends.
-    pub waits: HashMap<usize, (Millis, Millis)>,
+    pub retry_waits: HashMap<usize, (Millis, Millis)>,
     pub kills: Vec<Millis>,
     /// From each signal that ends a process to the instant when the next one was ready.
     pub outages: Vec<(Millis, Millis)>,
@@ -46,7 +46,7 @@
     pub killed: bool,
 }
 
-impl Progress {
+impl MessageProgress {
     /// When the message's time is up; never if it is not known.
     pub fn deadline(&self) -> Millis {
         self.submitted_at
@@ -56,23 +56,23 @@
 
 impl SenderState {
     /// For how long the process was stopped shortly before an instant.
-    pub fn held_up(&self, at: Millis) -> Millis {
+    pub fn recent_pause_time(&self, at: Millis) -> Millis {
         self.pauses
             .iter()
-            .filter(|(from, until)| *from <= at && *until >= at - PAUSE_EFFECT)
+            .filter(|(from, until)| *from <= at && *until >= at - PAUSE_AFTEREFFECT)
             .map(|(from, until)| until - from)
             .sum()
     }
 
     /// Whether the process was stopped for longer than the platform does, behind an instant.
-    pub fn was_stopped_for_long_since(&self, since: Millis) -> bool {
+    pub fn had_long_pause_since(&self, since: Millis) -> bool {
         self.pauses
             .iter()
-            .any(|(from, until)| *until >= since && until - from > HELD_UP)
+            .any(|(from, until)| *until >= since && until - from > USUAL_DELAY)
     }
 
     /// Whether the sender was ended or restarted in a span of time.
-    pub fn was_disturbed(&self, from: Millis, until: Millis) -> bool {
+    pub fn had_outage(&self, from: Millis, until: Millis) -> bool {
         self.outages
             .iter()
             .any(|(begin, end)| *begin <= until + KILL_MARGIN && *end >= from - KILL_MARGIN)
--- a/crates/lab/src/soak/oracle/tests.rs
+++ b/crates/lab/src/soak/oracle/tests.rs
@@ -16,7 +16,7 @@
 }
 
 fn submitted(at: Millis, id: &str) -> [Record; 2] {
-    let effect = crate::soak::world::Message::of(id).map_or(Effect::Idempotent, |m| m.effect);
+    let effect = crate::soak::world::Message::from_id(id).map_or(Effect::Idempotent, |m| m.effect);
     let timeout = 4_000.0;
     [
         record(
@@ -84,7 +84,7 @@
 }
 
 /// The rules that a history breaks.
-fn broken(parts: &[&[Record]]) -> Vec<Rule> {
+fn broken_rules(parts: &[&[Record]]) -> Vec<Rule> {
     let conditions = Conditions {
         lateness: 0.0,
         idempotency_window: 2_000.0,
@@ -102,18 +102,18 @@
         &request(10.0, "u1"),
         &[responded(20.0, "u1", 200, None)],
     ];
-    assert_eq!(broken(&parts), []);
+    assert_eq!(broken_rules(&parts), []);
 }
 
 #[test]
 fn a_message_without_an_end_is_lost() {
-    assert_eq!(broken(&[&submitted(0.0, "u1")]), [Rule::Lost]);
+    assert_eq!(broken_rules(&[&submitted(0.0, "u1")]), [Rule::Lost]);
     assert_eq!(
-        broken(&[&submitted(0.0, "u1"), &[reported(4_300.0, "u1")]]),
+        broken_rules(&[&submitted(0.0, "u1"), &[reported(4_300.0, "u1")]]),
         []
     );
     assert_eq!(
-        broken(&[&submitted(0.0, "u1"), &[reported(4_400.0, "u1")]]),
+        broken_rules(&[&submitted(0.0, "u1"), &[reported(4_400.0, "u1")]]),
         [Rule::Lost]
     );
 }
@@ -127,7 +127,7 @@
         process(4_700.0, ProcessEvent::Ready),
     ];
     let report = |at| [reported(at, "u1")];
-    let judged = |at| broken(&[&submitted(0.0, "u1"), &restart, &report(at)]);
+    let judged = |at| broken_rules(&[&submitted(0.0, "u1"), &restart, &report(at)]);
     assert_eq!(judged(6_100.0), []);
     assert_eq!(judged(6_300.0), [Rule::Lost]);
 }
@@ -167,7 +167,7 @@
 fn a_request_that_must_not_come(#[case] before: &[Record], #[case] at: Millis, #[case] rule: Rule) {
     let mut records = [&submitted(0.0, "k1")[..], before, &request(at, "k1")].concat();
     records.sort_by(|a, b| a.at.total_cmp(&b.at));
-    assert!(broken(&[&records]).contains(&rule));
+    assert!(broken_rules(&[&records]).contains(&rule));
 }
 
 #[rstest::rstest]
@@ -182,7 +182,7 @@
         &request(10.0 + after, id),
         &[responded(3_500.0, id, 200, None)],
     ];
-    assert_eq!(broken(&parts), Vec::from_iter(rule));
+    assert_eq!(broken_rules(&parts), Vec::from_iter(rule));
 }
 
 #[test]
@@ -190,13 +190,13 @@
     let end = [record(
         500.0,
         "u1",
-        Event::Unanswered(Unanswered::EndOfStream),
+        Event::Unanswered(NoAnswerReason::EndOfStream),
     )];
-    assert_eq!(broken(&[&end]), [Rule::ReadAndDropped]);
+    assert_eq!(broken_rules(&[&end]), [Rule::ReadAndDropped]);
     let kill = [process(400.0, ProcessEvent::Kill)];
-    assert_eq!(broken(&[&kill, &end]), []);
+    assert_eq!(broken_rules(&[&kill, &end]), []);
     let shutdown = [process(400.0, ProcessEvent::Terminate)];
-    assert_eq!(broken(&[&shutdown, &end]), [Rule::ReadAndDropped]);
+    assert_eq!(broken_rules(&[&shutdown, &end]), [Rule::ReadAndDropped]);
 }
 
 #[rstest::rstest]
@@ -206,7 +206,7 @@
 #[case::killed(&[process(5.0, ProcessEvent::Kill), process(10.0, ProcessEvent::Exited(None))], None)]
 #[case::too_late(&[process(5.0, ProcessEvent::Terminate), process(3_705.0, ProcessEvent::Kill), process(3_710.0, ProcessEvent::Exited(None))], Some(Rule::ExitedLate))]
 fn the_end_of_a_process(#[case] records: &[Record], #[case] rule: Option<Rule>) {
-    assert_eq!(broken(&[records]), Vec::from_iter(rule));
+    assert_eq!(broken_rules(&[records]), Vec::from_iter(rule));
 }
 
 #[test]
@@ -216,7 +216,7 @@
         &request(10.0, "i1"),
         &[responded(20.0, "i1", 200, None), reported(900.0, "i1")],
     ];
-    assert_eq!(broken(&parts), [Rule::TwoEnds]);
+    assert_eq!(broken_rules(&parts), [Rule::TwoEnds]);
 }
 
 /// An answer that is written behind its message's time counts for nothing: the message is owed its report.
@@ -237,7 +237,7 @@
         &[responded(answered_at, "u1", 200, None)],
         if is_reported { &report } else { &[] },
     ];
-    assert_eq!(broken(&parts), Vec::from_iter(rule));
+    assert_eq!(broken_rules(&parts), Vec::from_iter(rule));
 }
 
 /// A report from before the client heard that its message is accepted counts for nothing.
@@ -245,7 +245,7 @@
 fn a_message_that_is_handed_in_again_behind_its_report_is_owed_another() {
     let first = [submitted(0.0, "u1")[0].clone()];
     let again = submitted(5_000.0, "u1");
-    let parts = |last: &[Record]| broken(&[&first, &[reported(4_000.0, "u1")], &again, last]);
+    let parts = |last: &[Record]| broken_rules(&[&first, &[reported(4_000.0, "u1")], &again, last]);
     assert_eq!(parts(&[]), [Rule::Lost]);
     assert_eq!(parts(&[reported(5_002.0, "u1")]), []);
 }
@@ -258,7 +258,7 @@
             process(paused_at, ProcessEvent::Pause),
             process(paused_at + 390.0, ProcessEvent::Continue),
         ];
-        broken(&[&submitted(0.0, "u1"), &pause, &[reported(ended_at, "u1")]])
+        broken_rules(&[&submitted(0.0, "u1"), &pause, &[reported(ended_at, "u1")]])
     };
     assert_eq!(judged(4_100.0, 4_700.0), []);
     assert_eq!(judged(4_100.0, 4_900.0), [Rule::Lost]);
@@ -284,7 +284,7 @@
         &repeat,
         &[responded(30.0, id, 200, None)],
     ];
-    assert_eq!(broken(&parts), Vec::from_iter(rule));
+    assert_eq!(broken_rules(&parts), Vec::from_iter(rule));
 }
 
 /// A process that is stopped for longer than the platform does may take as much longer to end, and no other.
@@ -299,7 +299,7 @@
         process(3_705.0, ProcessEvent::Kill),
         process(3_710.0, ProcessEvent::Exited(None)),
     ];
-    assert_eq!(broken(&[&records]), rules);
+    assert_eq!(broken_rules(&[&records]), rules);
 }
 
 /// The report of an answer in a message's last moment may be sent again with the message, which is no second end.
@@ -313,7 +313,7 @@
         &submitted(4_400.0, "u1"),
         &[reported(4_402.0, "u1")],
     ];
-    assert_eq!(broken(&parts), []);
+    assert_eq!(broken_rules(&parts), []);
 }
 
 /// A client that was held up as it wrote its request handed it in at an instant that nobody knows.
@@ -327,7 +327,7 @@
             writing,
         };
         let answered = Event::Answered { status: 202 };
-        broken(&[
+        broken_rules(&[
             &[record(0.0, "u1", slow), record(101.0, "u1", answered)],
             &request(102.0, "u1"),
             &[responded(4_003.0, "u1", 200, None)],
--- a/crates/lab/src/soak/processes.rs
+++ b/crates/lab/src/soak/processes.rs
@@ -1,6 +1,6 @@
 //! The senders of a soak as processes: signals, restarts, wall clocks, folders and calls, by the schedule.
 
-mod told_changes;
+mod list_changes;
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -12,8 +12,8 @@
 use super::history::{Event, ProcessEvent};
 use super::oracle::KILL_AFTER_TERMINATE;
 use super::pids::Pids;
-use super::schedule::{Action, Fault, Step};
-use super::shim::{Control, DiskFault};
+use super::schedule::{FaultKind, ProcessAction, ScheduledAction};
+use super::shim::{ControlBlock, DiskFault};
 use super::world::{World, platform_settings};
 use super::{agent, endpoint};
 use crate::error::{LabError, ProcessEnd};
@@ -23,9 +23,9 @@
 const RESTART_DELAY: Millis = 600.0;
 /// Of ten thousand socket calls, so many fail while calls fail.
 const CALLS_FAILING_PER_MYRIAD: u32 = 250;
-/// Between the signals of a series.
-const SERIES_GAP: Millis = 40.0;
-const SERIES: [Signal; 4] = [
+/// Time between two signals of [`SIGNAL_SERIES`].
+const SIGNAL_GAP: Millis = 40.0;
+const SIGNAL_SERIES: [Signal; 4] = [
     Signal::SIGHUP,
     Signal::SIGTERM,
     Signal::SIGHUP,
@@ -37,7 +37,7 @@
 
 /// What a process is doing.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum State {
+enum ProcessState {
     Down { start_at: Millis },
     Starting,
     Running,
@@ -45,17 +45,17 @@
 }
 
 /// One sender.
-struct Slot {
+struct SenderSlot {
     process: SenderProcess,
     /// The addresses of its agents.
     agents: Vec<SocketAddr>,
-    control: Control,
-    state: State,
+    control: ControlBlock,
+    state: ProcessState,
     /// When it is continued after a pause.
     continue_at: Option<Millis>,
     /// Signals still to be sent, with their instants.
-    series: Vec<(Millis, Signal)>,
-    disk: DiskFault,
+    pending_signals: Vec<(Millis, Signal)>,
+    disk_fault: DiskFault,
     calls_fail: bool,
 }
 
@@ -63,9 +63,9 @@
 pub struct Processes {
     world: Arc<World>,
     pids: Arc<Pids>,
-    slots: Vec<Slot>,
-    steps: std::vec::IntoIter<Step>,
-    next_step: Option<Step>,
+    slots: Vec<SenderSlot>,
+    actions: std::vec::IntoIter<ScheduledAction>,
+    next_action: Option<ScheduledAction>,
     drains: Vec<(Millis, usize, bool)>,
     /// SIGKILL follows SIGTERM so long after.
     kill_after: Millis,
@@ -101,33 +101,33 @@
                 platform_settings: &settings,
                 seed: world.seed,
             })?;
-            let control = Control::create(folder, sender, world.seed ^ sender as u64)?;
+            let control = ControlBlock::create(folder, sender, world.seed ^ sender as u64)?;
             process.set_environment(control.environment(library));
-            slots.push(Slot {
+            slots.push(SenderSlot {
                 process,
                 agents,
                 control,
-                state: State::Down { start_at: 0.0 },
+                state: ProcessState::Down { start_at: 0.0 },
                 continue_at: None,
-                series: Vec::new(),
-                disk: DiskFault::Well,
+                pending_signals: Vec::new(),
+                disk_fault: DiskFault::None,
                 calls_fail: false,
             });
         }
-        let mut steps = world.schedule.steps.clone().into_iter();
+        let mut actions = world.schedule.actions.clone().into_iter();
         Ok(Processes {
             world: world.clone(),
             pids: pids.clone(),
             slots,
-            next_step: steps.next(),
-            steps,
+            next_action: actions.next(),
+            actions,
             drains: world.schedule.drains(),
             kill_after: KILL_AFTER_TERMINATE,
         })
     }
 
     /// Gives processes so much longer to end.
-    pub fn set_slack(&mut self, slack: Millis) {
+    pub fn extend_kill_timeout(&mut self, slack: Millis) {
         self.kill_after = KILL_AFTER_TERMINATE + slack;
     }
 
@@ -146,7 +146,9 @@
 
     /// Whether every sender serves.
     pub fn all_running(&self) -> bool {
-        self.slots.iter().all(|slot| slot.state == State::Running)
+        self.slots
+            .iter()
+            .all(|slot| slot.state == ProcessState::Running)
     }
 
     /// Does what is due.
@@ -155,14 +157,14 @@
     /// Where a process cannot be started, or its control block cannot be written.
     pub fn run_due(&mut self) -> Result<(), LabError> {
         let now = self.world.now();
-        self.apply_drains(now);
-        while let Some(step) = self.next_step.take_if(|step| step.at <= now) {
-            self.next_step = self.steps.next();
-            self.take_step(step, now)?;
+        self.apply_list_changes(now);
+        while let Some(scheduled) = self.next_action.take_if(|scheduled| scheduled.at <= now) {
+            self.next_action = self.actions.next();
+            self.run_action(scheduled, now)?;
         }
         for sender in 0..self.slots.len() {
             self.apply_faults(sender, now)?;
-            self.run_process(sender, now)?;
+            self.update_process(sender, now)?;
         }
         Ok(())
     }
@@ -179,8 +181,8 @@
     pub fn all_ended(&mut self) -> bool {
         let now = self.world.now();
         for sender in 0..self.slots.len() {
-            self.poll_end(sender, now);
-            if let State::Terminating { since } = self.slots[sender].state
+            self.poll_exit(sender, now);
+            if let ProcessState::Terminating { since } = self.slots[sender].state
                 && now >= since + self.kill_after
             {
                 self.kill(sender);
@@ -188,7 +190,7 @@
         }
         self.slots
             .iter()
-            .all(|slot| matches!(slot.state, State::Down { .. }))
+            .all(|slot| matches!(slot.state, ProcessState::Down { .. }))
     }
 
     /// What each sender has written, to its log and to its errors.
@@ -212,46 +214,46 @@
         self.world.history.record(sender, "", Event::Process(event));
     }
 
-    fn take_step(&mut self, step: Step, now: Millis) -> Result<(), LabError> {
-        let sender = step.sender;
-        if let Action::StepWall(span) = step.action {
+    fn run_action(&mut self, scheduled: ScheduledAction, now: Millis) -> Result<(), LabError> {
+        let sender = scheduled.sender;
+        if let ProcessAction::StepWallClock(span) = scheduled.action {
             self.record(sender, ProcessEvent::WallStep);
             return self.slots[sender].control.change(|state| {
                 state.wall_offset_ns += (span * NANOS_PER_MILLI) as i64;
             });
         }
-        if self.slots[sender].state != State::Running {
+        if self.slots[sender].state != ProcessState::Running {
             return Ok(());
         }
-        match step.action {
-            Action::Terminate => self.terminate(sender, now),
-            Action::TerminateInSeries => {
+        match scheduled.action {
+            ProcessAction::Terminate => self.terminate(sender, now),
+            ProcessAction::TerminateRepeatedly => {
                 self.terminate(sender, now);
-                self.slots[sender].series = SERIES
+                self.slots[sender].pending_signals = SIGNAL_SERIES
                     .iter()
                     .enumerate()
-                    .map(|(place, signal)| (now + SERIES_GAP * (place + 1) as f64, *signal))
+                    .map(|(index, signal)| (now + SIGNAL_GAP * (index + 1) as f64, *signal))
                     .collect();
             }
-            Action::Kill => self.kill(sender),
-            Action::KillBehindAccept => self.pids.arm(sender),
-            Action::Reload => {
+            ProcessAction::Kill => self.kill(sender),
+            ProcessAction::KillAfterAccept => self.pids.arm_kill(sender),
+            ProcessAction::Reload => {
                 self.slots[sender].process.signal(Signal::SIGHUP);
                 self.record(sender, ProcessEvent::Reload);
             }
-            Action::MoveDiscovery => self.move_discovery(sender)?,
-            Action::Pause(span) => {
+            ProcessAction::MoveDiscovery => self.move_discovery(sender)?,
+            ProcessAction::Pause(span) => {
                 self.slots[sender].process.signal(Signal::SIGSTOP);
                 self.slots[sender].continue_at = Some(now + span);
                 self.record(sender, ProcessEvent::Pause);
             }
-            Action::StepWall(_) => {}
+            ProcessAction::StepWallClock(_) => {}
         }
         Ok(())
     }
 
     fn move_discovery(&mut self, sender: usize) -> Result<(), LabError> {
-        let known = self.known_list(sender);
+        let known = self.endpoint_list(sender);
         let agent = self.world.move_discovery(sender);
         let slot = &mut self.slots[sender];
         let address = slot.agents[agent];
@@ -265,7 +267,7 @@
     fn terminate(&mut self, sender: usize, now: Millis) {
         self.record(sender, ProcessEvent::Terminate);
         self.slots[sender].process.signal(Signal::SIGTERM);
-        self.slots[sender].state = State::Terminating { since: now };
+        self.slots[sender].state = ProcessState::Terminating { since: now };
     }
 
     fn kill(&mut self, sender: usize) {
@@ -277,20 +279,20 @@
     fn apply_faults(&mut self, sender: usize, now: Millis) -> Result<(), LabError> {
         let schedule = &self.world.schedule;
         let disk = [
-            (Fault::DiskFull, DiskFault::Full),
-            (Fault::DiskBroken, DiskFault::Broken),
-            (Fault::DiskStopsHalfway, DiskFault::StopsHalfway),
-            (Fault::LogUnreadable, DiskFault::Unreadable),
+            (FaultKind::DiskFull, DiskFault::Full),
+            (FaultKind::DiskBroken, DiskFault::Broken),
+            (FaultKind::DiskStopsHalfway, DiskFault::StopsHalfway),
+            (FaultKind::LogUnreadable, DiskFault::Unreadable),
         ]
         .into_iter()
-        .find(|(fault, _)| schedule.is_on(*fault, sender, now))
-        .map_or(DiskFault::Well, |(_, disk)| disk);
-        let calls_fail = schedule.is_on(Fault::CallsFail, sender, now);
+        .find(|(fault, _)| schedule.is_active(*fault, sender, now))
+        .map_or(DiskFault::None, |(_, disk)| disk);
+        let calls_fail = schedule.is_active(FaultKind::CallsFail, sender, now);
         let slot = &mut self.slots[sender];
-        if (disk, calls_fail) == (slot.disk, slot.calls_fail) {
+        if (disk, calls_fail) == (slot.disk_fault, slot.calls_fail) {
             return Ok(());
         }
-        (slot.disk, slot.calls_fail) = (disk, calls_fail);
+        (slot.disk_fault, slot.calls_fail) = (disk, calls_fail);
         slot.control.change(|state| {
             state.disk = disk;
             state.calls_failing_per_myriad = if calls_fail {
@@ -301,17 +303,17 @@
         })
     }
 
-    fn run_process(&mut self, sender: usize, now: Millis) -> Result<(), LabError> {
-        self.send_series(sender, now);
+    fn update_process(&mut self, sender: usize, now: Millis) -> Result<(), LabError> {
+        self.send_pending_signals(sender, now);
         self.continue_paused(sender, now);
-        self.poll_end(sender, now);
+        self.poll_exit(sender, now);
         match self.slots[sender].state {
-            State::Down { start_at } if now >= start_at => self.start(sender),
-            State::Starting => {
+            ProcessState::Down { start_at } if now >= start_at => self.start(sender),
+            ProcessState::Starting => {
                 self.poll_start(sender);
                 Ok(())
             }
-            State::Terminating { since } if now >= since + self.kill_after => {
+            ProcessState::Terminating { since } if now >= since + self.kill_after => {
                 self.kill(sender);
                 Ok(())
             }
@@ -319,12 +321,12 @@
         }
     }
 
-    fn send_series(&mut self, sender: usize, now: Millis) {
+    fn send_pending_signals(&mut self, sender: usize, now: Millis) {
         let slot = &mut self.slots[sender];
-        while let Some((at, signal)) = slot.series.first().copied()
+        while let Some((at, signal)) = slot.pending_signals.first().copied()
             && at <= now
         {
-            slot.series.remove(0);
+            slot.pending_signals.remove(0);
             slot.process.signal(signal);
         }
     }
@@ -337,7 +339,7 @@
         }
     }
 
-    fn poll_end(&mut self, sender: usize, now: Millis) {
+    fn poll_exit(&mut self, sender: usize, now: Millis) {
         let Some(end) = self.slots[sender].process.poll_end() else {
             return;
         };
@@ -348,23 +350,23 @@
         self.pids.set(sender, 0);
         self.record(sender, ProcessEvent::Exited(code));
         let slot = &mut self.slots[sender];
-        slot.series.clear();
+        slot.pending_signals.clear();
         slot.continue_at = None;
-        slot.state = State::Down {
+        slot.state = ProcessState::Down {
             start_at: now + RESTART_DELAY,
         };
     }
 
     fn start(&mut self, sender: usize) -> Result<(), LabError> {
-        let known = self.known_list(sender);
+        let known = self.endpoint_list(sender);
         let slot = &mut self.slots[sender];
         slot.process.configure(known)?;
         slot.process.start()?;
-        slot.state = State::Starting;
+        slot.state = ProcessState::Starting;
         let pid = slot.process.pid().unwrap_or_default();
         self.pids.set(sender, pid as i32);
         self.record(sender, ProcessEvent::Started);
-        self.record_known_list(sender);
+        self.record_initial_list(sender);
         Ok(())
     }
 
@@ -374,7 +376,7 @@
             Ok(true) => ProcessEvent::Ready,
             Err(_) => ProcessEvent::NotReady,
         };
-        self.slots[sender].state = State::Running;
+        self.slots[sender].state = ProcessState::Running;
         self.record(sender, event);
     }
 }
--- a/crates/lab/src/soak/schedule.rs
+++ b/crates/lab/src/soak/schedule.rs
@@ -6,7 +6,7 @@
 
 /// A fault that lasts for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum FaultKind {
     /// An endpoint reads requests and answers none.
     EndpointHangs,
     /// An endpoint resets its connections, and refuses new ones.
@@ -62,47 +62,47 @@
 }
 
 /// The faults of endpoints.
-const ENDPOINT_FAULTS: [Fault; 14] = [
-    Fault::EndpointHangs,
-    Fault::EndpointDown,
-    Fault::HalfAnswer,
-    Fault::WrongLength,
-    Fault::EndlessAnswer,
-    Fault::EndpointSlow,
-    Fault::EndpointBusy,
-    Fault::EndpointBusy,
-    Fault::EndpointFails,
-    Fault::ResetInRequest,
-    Fault::ResetBehindRequest,
-    Fault::LastByteLate,
-    Fault::HalfClose,
-    Fault::LateConnections,
+const ENDPOINT_FAULTS: [FaultKind; 14] = [
+    FaultKind::EndpointHangs,
+    FaultKind::EndpointDown,
+    FaultKind::HalfAnswer,
+    FaultKind::WrongLength,
+    FaultKind::EndlessAnswer,
+    FaultKind::EndpointSlow,
+    FaultKind::EndpointBusy,
+    FaultKind::EndpointBusy,
+    FaultKind::EndpointFails,
+    FaultKind::ResetInRequest,
+    FaultKind::ResetBehindRequest,
+    FaultKind::LastByteLate,
+    FaultKind::HalfClose,
+    FaultKind::LateConnections,
 ];
 
 /// The faults of senders and their agents.
-const SENDER_FAULTS: [Fault; 9] = [
-    Fault::WatchSilent,
-    Fault::DiscoveryDown,
-    Fault::DiscoverySlow,
-    Fault::ReportsUnconfirmed,
-    Fault::DiskFull,
-    Fault::DiskBroken,
-    Fault::DiskStopsHalfway,
-    Fault::CallsFail,
-    Fault::Crowd,
+const SENDER_FAULTS: [FaultKind; 9] = [
+    FaultKind::WatchSilent,
+    FaultKind::DiscoveryDown,
+    FaultKind::DiscoverySlow,
+    FaultKind::ReportsUnconfirmed,
+    FaultKind::DiskFull,
+    FaultKind::DiskBroken,
+    FaultKind::DiskStopsHalfway,
+    FaultKind::CallsFail,
+    FaultKind::Crowd,
 ];
 
 /// The faults of endpoints that come beside the others.
-const FURTHER_ENDPOINT_FAULTS: [Fault; 1] = [Fault::AnswersAsTimeRunsOut];
+const EXTRA_ENDPOINT_FAULTS: [FaultKind; 1] = [FaultKind::AnswersAsTimeRunsOut];
 
 /// The faults of senders that come beside the others.
-const FURTHER_SENDER_FAULTS: [Fault; 2] = [Fault::ReportsStutter, Fault::LogUnreadable];
+const EXTRA_SENDER_FAULTS: [FaultKind; 2] = [FaultKind::ReportsStutter, FaultKind::LogUnreadable];
 
 /// A fault of one endpoint or sender, from an instant to another.
 #[derive(Clone, Copy, Debug)]
-pub struct Window {
+pub struct FaultWindow {
     /// What happens.
-    pub fault: Fault,
+    pub fault: FaultKind,
     /// The endpoint or sender.
     pub target: usize,
     /// When it begins.
@@ -113,15 +113,15 @@
 
 /// What is done to a sender's process.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Action {
+pub enum ProcessAction {
     /// SIGTERM; SIGKILL comes as early as the platform allows.
     Terminate,
     /// SIGTERM several times, with SIGHUPs between.
-    TerminateInSeries,
+    TerminateRepeatedly,
     /// SIGKILL.
     Kill,
     /// SIGKILL right behind the next 202.
-    KillBehindAccept,
+    KillAfterAccept,
     /// SIGHUP.
     Reload,
     /// Discovery moves to another address, and SIGHUP tells the sender.
@@ -129,108 +129,114 @@
     /// SIGSTOP, and SIGCONT so much later.
     Pause(Millis),
     /// The wall clock is stepped by so much.
-    StepWall(Millis),
+    StepWallClock(Millis),
 }
 
 /// An action on a sender's process.
 #[derive(Clone, Copy, Debug)]
-pub struct Step {
+pub struct ScheduledAction {
     /// When.
     pub at: Millis,
     /// The sender.
     pub sender: usize,
     /// What is done.
-    pub action: Action,
+    pub action: ProcessAction,
 }
 
 /// The whole schedule.
 #[derive(Clone, Debug, Default)]
 pub struct Schedule {
     /// Faults that last.
-    pub windows: Vec<Window>,
+    pub fault_windows: Vec<FaultWindow>,
     /// Actions, in the order of time.
-    pub steps: Vec<Step>,
+    pub actions: Vec<ScheduledAction>,
 }
 
 /// The size of a soak.
 #[derive(Clone, Copy, Debug)]
-pub struct Size {
+pub struct SoakSize {
     /// Senders.
     pub senders: usize,
     /// Endpoints.
     pub endpoints: usize,
     /// How long faults are made.
-    pub length: Millis,
+    pub duration: Millis,
 }
 
 /// No process is ended for so long before the end, so that all messages can have theirs.
 const QUIET_END: Millis = 1_500.0;
 /// Faults that last do so for a span of this range.
-const WINDOW: std::ops::Range<Millis> = 400.0..2_500.0;
+const FAULT_DURATION: std::ops::Range<Millis> = 400.0..2_500.0;
 /// Between two actions on the same sender.
-const STEP_GAP: std::ops::Range<Millis> = 600.0..2_800.0;
+const ACTION_GAP: std::ops::Range<Millis> = 600.0..2_800.0;
 /// Between two faults of the same endpoint or sender.
 const FAULT_GAP: std::ops::Range<Millis> = 300.0..5_000.0;
 /// The longest stop of a process.
-const LONGEST_PAUSE: Millis = 150.0;
+const MAX_PAUSE: Millis = 150.0;
 /// A process that is held up for longer than the platform's figure may miss what falls into that time, and nothing else.
 const LONG_PAUSE: std::ops::Range<Millis> = 250.0..390.0;
 /// Between two further actions on the same sender.
-const FURTHER_STEP_GAP: std::ops::Range<Millis> = 1_500.0..4_500.0;
+const EXTRA_ACTION_GAP: std::ops::Range<Millis> = 1_500.0..4_500.0;
 /// Sets the random numbers of the further faults apart: those of the others stay as they are for each seed.
-const FURTHER_STREAM: u64 = 0x5851_F42D_4C95_7F2D;
+const EXTRA_FAULT_STREAM: u64 = 0x5851_F42D_4C95_7F2D;
 /// Steps of the wall clock, in milliseconds.
-const WALL_STEPS: [Millis; 8] = [3_600e3, -3_600e3, 5e3, -5e3, 900e3, -900e3, 2e3, -3e3];
+const WALL_CLOCK_STEPS: [Millis; 8] = [3_600e3, -3_600e3, 5e3, -5e3, 900e3, -900e3, 2e3, -3e3];
 
 impl Schedule {
     /// The schedule of a seed.
-    pub fn new(seed: u64, size: Size) -> Schedule {
+    pub fn new(seed: u64, size: SoakSize) -> Schedule {
         let mut random = Pcg64::seed_from_u64(seed);
         let mut schedule = Schedule::default();
         for endpoint in 0..size.endpoints {
-            schedule.add_windows(&mut random, &ENDPOINT_FAULTS, endpoint, size.length);
+            schedule.add_windows(&mut random, &ENDPOINT_FAULTS, endpoint, size.duration);
             // The first endpoint of each destination stays listed.
             if endpoint % 2 == 1 {
-                schedule.add_windows(&mut random, &[Fault::Drain], endpoint, size.length);
+                schedule.add_windows(&mut random, &[FaultKind::Drain], endpoint, size.duration);
             }
         }
         for sender in 0..size.senders {
-            schedule.add_windows(&mut random, &SENDER_FAULTS, sender, size.length);
-            schedule.add_steps(&mut random, sender, size.length - QUIET_END);
+            schedule.add_windows(&mut random, &SENDER_FAULTS, sender, size.duration);
+            schedule.add_actions(&mut random, sender, size.duration - QUIET_END);
         }
-        schedule.add_further_faults(seed, size);
-        schedule.steps.sort_by(|a, b| a.at.total_cmp(&b.at));
+        schedule.add_extra_faults(seed, size);
+        schedule.actions.sort_by(|a, b| a.at.total_cmp(&b.at));
         schedule
     }
 
-    fn add_further_faults(&mut self, seed: u64, size: Size) {
-        let mut random = Pcg64::seed_from_u64(seed ^ FURTHER_STREAM);
+    fn add_extra_faults(&mut self, seed: u64, size: SoakSize) {
+        let mut random = Pcg64::seed_from_u64(seed ^ EXTRA_FAULT_STREAM);
         for endpoint in 0..size.endpoints {
-            let faults = &FURTHER_ENDPOINT_FAULTS;
-            self.add_windows(&mut random, faults, endpoint, size.length);
+            let faults = &EXTRA_ENDPOINT_FAULTS;
+            self.add_windows(&mut random, faults, endpoint, size.duration);
         }
         for sender in 0..size.senders {
-            let faults = &FURTHER_SENDER_FAULTS;
-            self.add_windows(&mut random, faults, sender, size.length);
-            let mut at = random.random_range(FURTHER_STEP_GAP);
-            while at < size.length - QUIET_END {
+            let faults = &EXTRA_SENDER_FAULTS;
+            self.add_windows(&mut random, faults, sender, size.duration);
+            let mut at = random.random_range(EXTRA_ACTION_GAP);
+            while at < size.duration - QUIET_END {
                 let action = if random.random_bool(0.5) {
-                    Action::Pause(random.random_range(LONG_PAUSE))
+                    ProcessAction::Pause(random.random_range(LONG_PAUSE))
                 } else {
-                    Action::MoveDiscovery
+                    ProcessAction::MoveDiscovery
                 };
-                self.steps.push(Step { at, sender, action });
-                at += random.random_range(FURTHER_STEP_GAP);
+                self.actions.push(ScheduledAction { at, sender, action });
+                at += random.random_range(EXTRA_ACTION_GAP);
             }
         }
     }
 
-    fn add_windows(&mut self, random: &mut Pcg64, faults: &[Fault], target: usize, end: Millis) {
+    fn add_windows(
+        &mut self,
+        random: &mut Pcg64,
+        faults: &[FaultKind],
+        target: usize,
+        end: Millis,
+    ) {
         let mut at = random.random_range(FAULT_GAP);
         while at < end {
             let from = at;
-            let until = from + random.random_range(WINDOW);
-            self.windows.push(Window {
+            let until = from + random.random_range(FAULT_DURATION);
+            self.fault_windows.push(FaultWindow {
                 fault: faults[random.random_range(0..faults.len())],
                 target,
                 from,
@@ -240,20 +246,20 @@
         }
     }
 
-    fn add_steps(&mut self, random: &mut Pcg64, sender: usize, end: Millis) {
-        let mut at = random.random_range(STEP_GAP);
+    fn add_actions(&mut self, random: &mut Pcg64, sender: usize, end: Millis) {
+        let mut at = random.random_range(ACTION_GAP);
         while at < end {
             let action = draw_action(random);
-            self.steps.push(Step { at, sender, action });
-            at += random.random_range(STEP_GAP);
+            self.actions.push(ScheduledAction { at, sender, action });
+            at += random.random_range(ACTION_GAP);
         }
     }
 
     /// When which endpoint drains (true) or is replaced.
     pub fn drains(&self) -> Vec<(Millis, usize, bool)> {
-        self.windows
+        self.fault_windows
             .iter()
-            .filter(|window| window.fault == Fault::Drain)
+            .filter(|window| window.fault == FaultKind::Drain)
             .flat_map(|window| {
                 [
                     (window.from, window.target, true),
@@ -264,14 +270,14 @@
     }
 
     /// Takes the steps of wall clocks out.
-    pub fn leave_wall_clocks_alone(&mut self) {
-        self.steps
-            .retain(|step| !matches!(step.action, Action::StepWall(_)));
+    pub fn remove_wall_clock_steps(&mut self) {
+        self.actions
+            .retain(|scheduled| !matches!(scheduled.action, ProcessAction::StepWallClock(_)));
     }
 
     /// Whether a fault of a target is on.
-    pub fn is_on(&self, fault: Fault, target: usize, now: Millis) -> bool {
-        self.windows.iter().any(|window| {
+    pub fn is_active(&self, fault: FaultKind, target: usize, now: Millis) -> bool {
+        self.fault_windows.iter().any(|window| {
             window.fault == fault
                 && window.target == target
                 && (window.from..window.until).contains(&now)
@@ -279,28 +285,30 @@
     }
 
     /// The fault of an endpoint that is on.
-    pub fn endpoint_fault(&self, endpoint: usize, now: Millis) -> Option<Fault> {
-        self.windows
+    pub fn endpoint_fault(&self, endpoint: usize, now: Millis) -> Option<FaultKind> {
+        self.fault_windows
             .iter()
             .find(|window| {
-                let of_endpoint = ENDPOINT_FAULTS.contains(&window.fault)
-                    || FURTHER_ENDPOINT_FAULTS.contains(&window.fault);
+                let is_endpoint_fault = ENDPOINT_FAULTS.contains(&window.fault)
+                    || EXTRA_ENDPOINT_FAULTS.contains(&window.fault);
                 window.target == endpoint
-                    && of_endpoint
+                    && is_endpoint_fault
                     && (window.from..window.until).contains(&now)
             })
             .map(|window| window.fault)
     }
 }
 
-fn draw_action(random: &mut Pcg64) -> Action {
+fn draw_action(random: &mut Pcg64) -> ProcessAction {
     match random.random_range(0..12) {
-        0 | 1 => Action::Terminate,
-        2 => Action::TerminateInSeries,
-        3 | 4 => Action::Kill,
-        5 | 6 => Action::KillBehindAccept,
-        7 => Action::Reload,
-        8 | 9 => Action::Pause(random.random_range(20.0..LONGEST_PAUSE)),
-        _ => Action::StepWall(WALL_STEPS[random.random_range(0..WALL_STEPS.len())]),
+        0 | 1 => ProcessAction::Terminate,
+        2 => ProcessAction::TerminateRepeatedly,
+        3 | 4 => ProcessAction::Kill,
+        5 | 6 => ProcessAction::KillAfterAccept,
+        7 => ProcessAction::Reload,
+        8 | 9 => ProcessAction::Pause(random.random_range(20.0..MAX_PAUSE)),
+        _ => ProcessAction::StepWallClock(
+            WALL_CLOCK_STEPS[random.random_range(0..WALL_CLOCK_STEPS.len())],
+        ),
     }
 }
--- a/crates/lab/src/soak/shim.rs
+++ b/crates/lab/src/soak/shim.rs
@@ -16,7 +16,7 @@
 pub enum DiskFault {
     /// Nothing fails.
     #[default]
-    Well = 0,
+    None = 0,
     /// Writes fail with ENOSPC.
     Full = 1,
     /// Writes, cuts and renames fail with EIO.
@@ -75,25 +75,25 @@
 }
 
 /// The control block of one sender.
-pub struct Control {
+pub struct ControlBlock {
     file: File,
     path: PathBuf,
     state: ControlState,
 }
 
-impl Control {
+impl ControlBlock {
     /// A block in which nothing fails.
     ///
     /// # Errors
     /// Where its file cannot be written.
-    pub fn create(folder: &Path, sender: usize, seed: u64) -> Result<Control, LabError> {
+    pub fn create(folder: &Path, sender: usize, seed: u64) -> Result<ControlBlock, LabError> {
         let path = folder.join(format!("control-{sender}"));
         let file = File::create(&path).map_err(LabError::file(&path))?;
         let state = ControlState {
             seed,
             ..ControlState::default()
         };
-        let mut control = Control { file, path, state };
+        let mut control = ControlBlock { file, path, state };
         control.change(|_| {})?;
         Ok(control)
     }
--- a/crates/lab/src/soak/world.rs
+++ b/crates/lab/src/soak/world.rs
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 
 use super::history::{Effect, History};
-use super::schedule::{Schedule, Size};
+use super::schedule::{Schedule, SoakSize};
 
 /// How long endpoints remember keys.
 pub const IDEMPOTENCY_WINDOW: Millis = 2_000.0;
@@ -54,17 +54,17 @@
     /// The endpoint drains.
     pub fn drain(&mut self, endpoint: usize) {
         self.endpoints[endpoint].state = "terminating";
-        self.changed(endpoint);
+        self.record_change(endpoint);
     }
 
     /// Another endpoint takes the place of one that drained.
     pub fn replace(&mut self, endpoint: usize) {
         self.endpoints[endpoint].generation += 1;
         self.endpoints[endpoint].state = "in_service";
-        self.changed(endpoint);
+        self.record_change(endpoint);
     }
 
-    fn changed(&mut self, endpoint: usize) {
+    fn record_change(&mut self, endpoint: usize) {
         self.version += 1;
         self.changes.push(endpoint);
     }
@@ -83,9 +83,9 @@
         changed
     }
 
-    fn entry(&self, endpoint: usize, address: SocketAddr) -> Vec<Value> {
+    fn entries_at(&self, endpoint: usize, address: SocketAddr) -> Vec<Value> {
         let ListedEndpoint { generation, state } = self.endpoints[endpoint];
-        let describe = |generation: u32, state: &str| {
+        let entry = |generation: u32, state: &str| {
             json!({
                 "uid": format!("s-{endpoint}-{generation}"),
                 "endpoint": address.to_string(),
@@ -97,18 +97,18 @@
                 "boot_ms": 0
             })
         };
-        let mut entries = vec![describe(generation, state)];
+        let mut entries = vec![entry(generation, state)];
         if generation > 0 {
-            entries.push(describe(generation - 1, "terminated"));
+            entries.push(entry(generation - 1, "terminated"));
         }
         entries
     }
 
     /// The list, or the changes of some endpoints, as a sender sees it.
-    pub fn describe(&self, endpoints: &[usize], complete: bool, addresses: &[SocketAddr]) -> Value {
+    pub fn to_json(&self, endpoints: &[usize], complete: bool, addresses: &[SocketAddr]) -> Value {
         let targets: Vec<Value> = endpoints
             .iter()
-            .flat_map(|endpoint| self.entry(*endpoint, addresses[*endpoint]))
+            .flat_map(|endpoint| self.entries_at(*endpoint, addresses[*endpoint]))
             .filter(|entry| !complete || entry["state"] != "terminated")
             .collect();
         json!({"rev": self.version, "all": complete, "targets": targets})
@@ -131,7 +131,7 @@
     /// What happens to whom.
     pub schedule: Schedule,
     /// How large the soak is.
-    pub size: Size,
+    pub size: SoakSize,
     /// The seed.
     pub seed: u64,
     /// The endpoint list.
@@ -147,12 +147,12 @@
     /// When the time of each message is up, by its id.
     pub deadlines: Mutex<HashMap<String, Millis>>,
     /// For each sender, where discovery is.
-    pub discovery: Vec<Mutex<DiscoveryPlace>>,
+    pub discovery: Vec<Mutex<ActiveAgent>>,
 }
 
 /// Which of its agents a sender's discovery is.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct DiscoveryPlace {
+pub struct ActiveAgent {
     /// The agent.
     pub agent: usize,
     /// Since when.
@@ -161,7 +161,7 @@
 
 impl World {
     /// A world in which nothing runs yet.
-    pub fn new(seed: u64, size: Size) -> World {
+    pub fn new(seed: u64, size: SoakSize) -> World {
         World {
             history: History::default(),
             schedule: Schedule::new(seed, size),
@@ -178,12 +178,12 @@
     }
 
     /// Whether all threads are to end.
-    pub fn is_over(&self) -> bool {
+    pub fn is_stopped(&self) -> bool {
         self.stopped.load(Ordering::Relaxed)
     }
 
     /// Notes that a message is handed in at an instant.
-    pub fn note_deadline(&self, id: &str, deadline: Millis) {
+    pub fn set_deadline(&self, id: &str, deadline: Millis) {
         if let Ok(mut deadlines) = self.deadlines.lock() {
             deadlines.insert(id.to_string(), deadline);
         }
@@ -198,20 +198,20 @@
     pub fn has_moved_since(&self, sender: usize, since: Millis) -> bool {
         self.discovery[sender]
             .lock()
-            .is_ok_and(|place| place.since > 0.0 && place.since >= since)
+            .is_ok_and(|active| active.since > 0.0 && active.since >= since)
     }
 
     /// Moves the discovery of a sender to the next of its agents. Returns that.
     pub fn move_discovery(&self, sender: usize) -> usize {
         let now = self.now();
-        let Ok(mut place) = self.discovery[sender].lock() else {
+        let Ok(mut active) = self.discovery[sender].lock() else {
             return 0;
         };
-        *place = DiscoveryPlace {
-            agent: (place.agent + 1) % AGENTS_PER_SENDER,
+        *active = ActiveAgent {
+            agent: (active.agent + 1) % AGENTS_PER_SENDER,
             since: now,
         };
-        place.agent
+        active.agent
     }
 
     /// Milliseconds since the start.
@@ -230,7 +230,7 @@
 
 impl Message {
     /// The message of an id; none if no client of a soak would have given it.
-    pub fn of(id: &str) -> Option<Message> {
+    pub fn from_id(id: &str) -> Option<Message> {
         let effect = match id.chars().next()? {
             'u' => Effect::NonIdempotent,
             'k' => Effect::Keyed,
@@ -245,7 +245,7 @@
     }
 
     /// The first letter of the ids of messages of an effect.
-    pub fn prefix(effect: Effect) -> char {
+    pub fn id_prefix(effect: Effect) -> char {
         match effect {
             Effect::NonIdempotent => 'u',
             Effect::Keyed => 'k',
@@ -271,8 +271,8 @@
 
     /// Its body: as long as its id says.
     pub fn body(&self) -> String {
-        const LONGEST: u32 = 3_000;
-        let length = crc32(&self.id) % LONGEST;
+        const MAX_LENGTH: u32 = 3_000;
+        let length = fnv1a(&self.id) % MAX_LENGTH;
         self.id
             .chars()
             .cycle()
@@ -282,7 +282,7 @@
 }
 
 /// A number that is the same for the same text.
-fn crc32(text: &str) -> u32 {
+fn fnv1a(text: &str) -> u32 {
     text.bytes().fold(2_166_136_261, |hash, byte| {
         (hash ^ u32::from(byte)).wrapping_mul(16_777_619)
     })
--- a/crates/lab/tests/soak.rs
+++ b/crates/lab/tests/soak.rs
@@ -24,18 +24,18 @@
             slack: SLACK,
             keep_wall_clock: false,
         };
-        let played = soak::soak(&options, &AtomicBool::new(false)).unwrap();
-        println!("seed {seed}: {:?}", played.figures);
-        for violation in &played.violations {
+        let result = soak::soak(&options, &AtomicBool::new(false)).unwrap();
+        println!("seed {seed}: {:?}", result.figures);
+        for violation in &result.violations {
             println!("{violation}");
-            for record in played.timeline(violation) {
+            for record in result.timeline(violation) {
                 println!("    {record}");
             }
-            for line in played.sender_log(violation) {
+            for line in result.sender_log(violation) {
                 println!("    log: {line}");
             }
         }
-        assert!(played.violations.is_empty(), "seed {seed}");
-        assert!(played.figures.delivered > 0 && played.figures.restarts > 0);
+        assert!(result.violations.is_empty(), "seed {seed}");
+        assert!(result.figures.delivered > 0 && result.figures.restarts > 0);
     }
 }
