--- a/crates/lab/src/commands/soak.rs
+++ b/crates/lab/src/commands/soak.rs
@@ -1,4 +1,4 @@
-//! `soak`: many senders under faults that overlap, judged by what crosses their sockets.
+//! `soak`: runs many senders under overlapping faults and judges them by the traffic on their sockets.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -12,17 +12,19 @@
 use super::{Conclusion, file_report, report};
 use crate::cli::SoakOptions;
 
-/// Senders of a soak.
+/// Permitted numbers of senders.
 const PROCESS_COUNT_RANGE: std::ops::RangeInclusive<usize> = 1..=40;
-/// Seconds of a soak.
+/// Permitted durations of a soak, in seconds.
 const SECONDS_RANGE: std::ops::RangeInclusive<f64> = 3.0..=3_600.0;
 
-/// Plays one soak and prints its figures in a line, behind the timeline of each violation.
+/// Runs one soak and prints the timeline of each violation, then the figures in one line.
 pub fn soak(options: &SoakOptions) -> miette::Result<Conclusion> {
     if !PROCESS_COUNT_RANGE.contains(&options.processes)
         || !SECONDS_RANGE.contains(&options.seconds)
     {
-        return Err(miette!("--processes is 1 to 40, --seconds is 3 to 3600"));
+        return Err(miette!(
+            "--processes must be 1 to 40 and --seconds must be 3 to 3600"
+        ));
     }
     let stop = Arc::new(AtomicBool::new(false));
     let on_signal = stop.clone();
@@ -62,7 +64,7 @@
     text
 }
 
-/// Writes the timelines, and everything that happened.
+/// Writes the timelines and the whole history to files in a folder.
 fn write_out(folder: &Path, seed: u64, timelines: &str, result: &SoakReport) -> miette::Result<()> {
     std::fs::create_dir_all(folder).map_err(file_report(folder))?;
     let file = folder.join(format!("soak-{seed}.txt"));
@@ -75,7 +77,7 @@
     std::fs::write(&file, history).map_err(file_report(&file))
 }
 
-/// The figures of a soak in one line.
+/// The line of key=value figures that ends the output of a soak.
 fn figures_line(seed: u64, result: &SoakReport) -> String {
     let figures = &result.figures;
     let mut line = format!(
--- a/crates/lab/src/soak/mod.rs
+++ b/crates/lab/src/soak/mod.rs
@@ -1,11 +1,11 @@
-//! The soak: many senders as real processes on loopback, under faults that overlap in time, judged by what crossed the
-//! sockets.
+//! The soak: runs many senders as real processes on loopback under faults that overlap in time, and judges them by the
+//! traffic on their sockets.
 //!
 //! - `schedule`: the faults of a seed
-//! - `world`: what all threads share; the messages and the endpoint list
+//! - `world`: the state that all threads share, the messages and the endpoint list
 //! - `endpoint`, `agent`, `client`: the peers of the senders, with the network's faults
-//! - `processes`: the senders themselves; signals, restarts, clocks, folders and failing calls (`shim`)
-//! - `history`, `oracle`: what happened, and the invariants asked of it
+//! - `processes`: the senders themselves; signals, restarts, clocks, folders and failing system calls (`shim`)
+//! - `history`, `oracle`: the recorded events, and the invariants checked against them
 
 mod agent;
 mod client;
@@ -37,83 +37,87 @@
 use schedule::{FaultKind, SoakSize};
 use world::{IDEMPOTENCY_WINDOW, World};
 
-/// Endpoints, two for each destination.
+/// Number of endpoints, two for each destination.
 const ENDPOINTS: usize = 6;
-/// How often the schedule is looked at.
+/// Interval between checks of the schedule.
 const TICK: Duration = Duration::from_millis(4);
-/// After the last submission, messages get so long for their ends.
+/// How long messages may take to end after the last submission.
 const END_TIMEOUT: Millis = 9_000.0;
-/// All processes have ended so long after they were told to.
+/// How long the processes may take to exit after SIGTERM.
 const EXIT_TIMEOUT: Millis = 8_000.0;
-/// A sender's own calls failed around an instant if they did so within this time of it.
+/// A sender's system calls count as failing also this long before and after their fault window.
 const FAILING_CALLS_MARGIN: Millis = 600.0;
-/// Reports that were not confirmed are repeated within this time.
+/// Unconfirmed reports are repeated within this time after their fault window.
 const UNCONFIRMED_REPORTS_MARGIN: Millis = 1_500.0;
-/// Senders and laboratory together may take this part of the machine's memory, as a divisor.
+/// Senders and laboratory together may use the machine's memory divided by this.
 const MEMORY_DIVISOR: u64 = 2;
-/// Between two looks at the memory.
+/// Interval between checks of the memory in use.
 const MEMORY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What to soak.
+/// Parameters of a soak.
 pub struct Options {
     /// The seed of the schedule.
     pub seed: u64,
-    /// How long faults are made, in seconds.
+    /// How long faults are injected, in seconds.
     pub seconds: f64,
-    /// Senders.
+    /// Number of senders.
     pub processes: usize,
-    /// The sender's program.
+    /// The sender's executable.
     pub program: PathBuf,
-    /// By how much every limit on time is longer, in milliseconds, for a machine that does other work too. The
-    /// lateness of the laboratory itself is added in any case.
+    /// Extends every time limit, in milliseconds, for a machine that does other work too. The lateness of the
+    /// laboratory itself is always added.
     pub slack: Millis,
-    /// The wall clocks of the senders are left alone; all other faults are those of the seed.
+    /// Never steps the senders' wall clocks; all other faults of the seed stay.
     pub keep_wall_clock: bool,
 }
 
-/// What a soak found.
+/// The result of a soak.
 pub struct SoakReport {
-    /// Broken rules, in the order of time.
+    /// Violations, in order of time.
     pub violations: Vec<Violation>,
-    /// Figures of the messages.
+    /// Message counts.
     pub figures: Figures,
-    /// How many faults of each kind there were.
+    /// The number of faults and process events of each kind.
     pub faults: BTreeMap<String, usize>,
-    /// By how much the laboratory itself was late at most, in milliseconds.
+    /// The longest delay of the laboratory itself, in milliseconds.
     pub lateness: Millis,
-    /// Everything that happened, in the order of time.
+    /// All recorded events, in order of time.
     pub records: Vec<Record>,
     logs: Vec<String>,
 }
 
 impl SoakReport {
-    /// What a sender logged about the message of a violation, with the times of its own wall clock; without a message,
-    /// why its processes ended.
+    /// The sender's log lines about the message of a violation, with the times of the sender's wall clock; if the
+    /// violation concerns no message, the lines that say why its processes ended.
     pub fn sender_log(&self, violation: &Violation) -> Vec<String> {
         let log = &self.logs[violation.sender];
         if violation.message.is_empty() {
-            let last_words = log.lines().filter(|line| line.starts_with("martenlatch:"));
-            return last_words.map(str::to_string).collect();
+            let exit_reasons = log.lines().filter(|line| line.starts_with("martenlatch:"));
+            return exit_reasons.map(str::to_string).collect();
         }
         log_lines_of_message(log, &violation.message)
     }
 
-    /// The records that concern a violation, in the order of time: those of its message, and what happened to its
-    /// sender meanwhile.
+    /// The records that concern a violation, in order of time: those of its message, and the events of its sender
+    /// during that time.
     pub fn timeline(&self, violation: &Violation) -> Vec<&Record> {
-        let own =
+        let of_message =
             |record: &&Record| !violation.message.is_empty() && record.message == violation.message;
-        let first = self.records.iter().find(own).map_or(violation.at, |r| r.at);
+        let first = self
+            .records
+            .iter()
+            .find(of_message)
+            .map_or(violation.at, |record| record.at);
         let last = self
             .records
             .iter()
-            .rfind(own)
-            .map_or(violation.at, |r| r.at);
+            .rfind(of_message)
+            .map_or(violation.at, |record| record.at);
         let (from, until) = (first - 1_000.0, last.max(violation.at) + 1_000.0);
         self.records
             .iter()
             .filter(|record| {
-                let wait = matches!(
+                let asks_to_wait = matches!(
                     record.event,
                     Event::Responded {
                         retry_after: Some(_),
@@ -121,18 +125,18 @@
                     }
                 );
                 let of_sender = record.sender == violation.sender
-                    && (record.message.is_empty() || wait)
+                    && (record.message.is_empty() || asks_to_wait)
                     && (from..until).contains(&record.at);
-                own(record) || of_sender
+                of_message(record) || of_sender
             })
             .collect()
     }
 }
 
-/// Plays one soak. Once `stop` is set, it ends at once with an error; all processes are ended in any case.
+/// Runs one soak. Once `stop` is set, it returns an error immediately; all processes are ended in any case.
 ///
 /// # Errors
-/// If the soak cannot be run.
+/// If the soak cannot be run, is stopped, or uses too much memory.
 pub fn soak(options: &Options, stop: &AtomicBool) -> Result<SoakReport, LabError> {
     let size = SoakSize {
         senders: options.processes,
@@ -162,7 +166,8 @@
     Ok(judge(&world, logs, lateness, options.slack))
 }
 
-/// Runs the schedule, lets all messages end, and ends the processes. Returns by how much the laboratory was late.
+/// Runs the schedule, waits for all messages to end, and ends the processes. Returns the longest delay of the laboratory
+/// itself.
 fn run_schedule(
     world: &Arc<World>,
     pids: &Arc<Pids>,
@@ -213,7 +218,7 @@
     }
 }
 
-/// Watches the laboratory itself: whether it is stopped, late, or takes too much memory.
+/// Monitors the laboratory itself: whether it is stopped, late, or uses too much memory.
 struct Monitor {
     lateness: Millis,
     memory_checked: Instant,
@@ -227,7 +232,7 @@
         }
     }
 
-    /// Waits for a tick.
+    /// Sleeps for one [`TICK`] and runs the checks.
     fn tick(&mut self, processes: &Processes, stop: &AtomicBool) -> Result<(), LabError> {
         if stop.load(Ordering::Relaxed) {
             return Err(LabError::Stopped);
@@ -259,14 +264,14 @@
     Ok(())
 }
 
-/// The number behind a name in a file of the system.
+/// The number after a name in a file of `/proc`.
 fn read_kilobytes(file: &str, name: &str) -> Option<u64> {
     let text = std::fs::read_to_string(file).ok()?;
     let line = text.lines().find(|line| line.starts_with(name))?;
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
-/// Records the lines of the senders' logs that tell of a defect.
+/// Records the lines of the senders' logs that show a defect.
 fn record_logged_defects(world: &World, logs: &[String]) {
     const DEFECT_MARKERS: [&str; 2] = ["safety rule violated", "panicked at"];
     for (sender, text) in logs.iter().enumerate() {
@@ -280,7 +285,7 @@
     }
 }
 
-/// The lines of a sender's log about a message. The log numbers messages anew in each process.
+/// The lines of a sender's log about a message. Each process of the sender numbers messages anew.
 fn log_lines_of_message(log: &str, message: &str) -> Vec<String> {
     let id = format!(" id={message} ");
     let mut number = None;
--- a/crates/lab/src/soak/oracle.rs
+++ b/crates/lab/src/soak/oracle.rs
@@ -1,7 +1,7 @@
-//! The invariants of a soak, asked of what crossed the sockets and of nothing else.
+//! The invariants of a soak, checked against the traffic on the sockets.
 //!
-//! The oracle reads the records of all clients, endpoints and agents in the order of time. It takes no sender's word but
-//! for one thing: a sender that logs a violated safety rule, or a panic, has a defect.
+//! The oracle reads the records of all clients, endpoints and agents in order of time. It uses a sender's own log for one
+//! thing only: a sender that logs a violated safety rule, or a panic, has a defect.
 
 mod due;
 mod process_events;
@@ -17,42 +17,43 @@
 use state::{MessageProgress, SenderState};
 pub use verdict::{Figures, Rule, Violation};
 
-/// A message must have its end so long after its time is up.
+/// A message must have its end within this time after its deadline.
 const END_GRACE: Millis = 300.0;
-/// No end is overdue until so long after a sender is ready again.
+/// No end is overdue until this long after a restarted sender is ready.
 const RESTART_GRACE: Millis = 1_500.0;
-/// Reports that the platform did not confirm are repeated within this time.
+/// Reports that the platform did not confirm must be repeated within this time.
 const REPORT_GRACE: Millis = 1_500.0;
-/// Requests to a draining endpoint must stop so long after the sender was told.
+/// Requests to an endpoint must stop this long after the sender was notified that it drains. Includes [`USUAL_DELAY`].
 const DRAIN_GRACE: Millis = 1_050.0;
-/// Requests within this time of the answer that asks for a wait are let through.
+/// Requests within this time after an answer with a retry-after are permitted.
 const RETRY_AFTER_GRACE: Millis = 100.0;
-/// A sender may be held up for so long between reading its clock and writing.
+/// How long a sender may usually be delayed between reading its clock and writing.
 const USUAL_DELAY: Millis = 150.0;
-/// A sender that was held up, or has just started, takes a request for up to 400 ms older than it is, and reports an answer
-/// in the last 50 ms, too: it cannot know whether that still counts.
+/// How long before its deadline a delivery is uncertain. A sender that was delayed, or has just started, may regard
+/// a request as up to 400 ms older than it is. It also reports a message that was answered in its last 50 ms, as it cannot
+/// know whether the answer was in time.
 const UNCERTAIN_DELIVERY: Millis = 450.0;
-/// Every limit is so much longer on sockets.
+/// Added to limits for the transfer over sockets.
 const SOCKET_GRACE: Millis = 50.0;
-/// SIGKILL follows SIGTERM no earlier; the process must have ended before.
+/// SIGKILL follows SIGTERM no earlier than this; the process must have exited before.
 pub const KILL_AFTER_TERMINATE: Millis = 3_700.0;
 
-/// What the oracle must know of the soak's own conditions.
+/// Conditions of the soak itself that the oracle takes into account.
 pub struct Conditions<'a> {
-    /// By how much the laboratory itself was late at most: all limits are longer by this.
+    /// The longest delay of the laboratory itself, and the slack that was asked for: extends all limits.
     pub lateness: Millis,
-    /// How long endpoints remember keys.
+    /// How long endpoints remember idempotency keys.
     pub idempotency_window: Millis,
-    /// Whether a sender's own system calls failed around an instant, so that an answer may have been lost in it.
+    /// Whether a sender's system calls failed around an instant, so that the sender may have lost an answer.
     pub calls_failed: &'a dyn Fn(usize, Millis) -> bool,
-    /// Until when the platform confirms no reports of a sender, if it does not at an instant.
+    /// If the platform confirms no reports of a sender at an instant, when it confirms them again.
     pub unconfirmed_until: &'a dyn Fn(usize, Millis) -> Option<Millis>,
 }
 
-/// Over this time before its deadline, the end of a message without an attempt is early.
+/// A message that ends without an attempt ends early if its deadline is further away than this.
 const EARLY_END_MARGIN: Millis = 2_000.0;
 
-/// Judges a history.
+/// Checks a history for violations.
 pub struct Oracle<'a> {
     conditions: Conditions<'a>,
     messages: BTreeMap<String, MessageProgress>,
@@ -63,7 +64,7 @@
 }
 
 impl<'a> Oracle<'a> {
-    /// An oracle that has seen nothing.
+    /// An oracle without records.
     pub fn new(conditions: Conditions<'a>) -> Oracle<'a> {
         Oracle {
             conditions,
@@ -75,9 +76,9 @@
         }
     }
 
-    /// Judges all records, which must be in the order of time. Returns the violations and the figures.
+    /// Judges all records, which must be in order of time. Returns the violations and the figures.
     pub fn judge(mut self, records: &[Record]) -> (Vec<Violation>, Figures) {
-        // Outages are known from the start: what happens shortly before a kill is excused by it.
+        // Outages are collected first, because a kill also excuses events shortly before it.
         for record in records {
             if let Event::Process(event) = record.event {
                 self.collect_process_event(record, event);
@@ -108,7 +109,7 @@
                 writing,
             } => self.on_submitted(record, *effect, *timeout, *writing),
             Event::Answered { status } => self.on_answered(record, *status),
-            Event::Unanswered(end) => self.on_unanswered(record, *end),
+            Event::Unanswered(reason) => self.on_unanswered(record, *reason),
             Event::BadClientIgnored => self.add_violation(Rule::BadClientIgnored, record),
             Event::RequestBegan {
                 endpoint,
@@ -142,7 +143,7 @@
         self.figures.requests += 1;
         let progress = self.progress(record);
         if !progress.accepted {
-            // Its client has not heard that it is accepted: an end that was reported before counts for nothing.
+            // The client has not received the 202, so a report from before this submission is not the message's end.
             progress.reported_at = None;
         }
         progress.submitted_at = Some(record.at);
@@ -163,8 +164,8 @@
         }
     }
 
-    fn on_unanswered(&mut self, record: &Record, end: NoAnswerReason) {
-        match end {
+    fn on_unanswered(&mut self, record: &Record, reason: NoAnswerReason) {
+        match reason {
             NoAnswerReason::Reset => {}
             NoAnswerReason::TimedOut => self.figures.timed_out += 1,
             NoAnswerReason::EndOfStream => {
@@ -179,28 +180,29 @@
     }
 
     fn on_request_began(&mut self, record: &Record, endpoint: usize, destination: usize) {
-        let late = self.conditions.lateness;
+        let lateness = self.conditions.lateness;
         let delay = self.possible_delay(record.sender, record.at);
         let state = self.senders.entry(record.sender).or_default();
-        let told = state.draining_since.get(&endpoint).copied();
-        let wait = state.retry_waits.get(&destination).copied();
-        // The grace has room for a usual hold-up.
+        let draining_since = state.draining_since.get(&endpoint).copied();
+        let retry_wait = state.retry_waits.get(&destination).copied();
+        // DRAIN_GRACE already includes the usual delay.
         let drain_grace = DRAIN_GRACE + delay - USUAL_DELAY;
-        if told.is_some_and(|told| record.at > told + drain_grace + late) {
+        if draining_since.is_some_and(|since| record.at > since + drain_grace + lateness) {
             self.add_violation(Rule::SentToDraining, record);
         }
-        let waiting = |(written, until): (Millis, Millis)| {
-            record.at > written + RETRY_AFTER_GRACE + delay + late && record.at < until - late
+        let is_too_early = |(written, until): (Millis, Millis)| {
+            record.at > written + RETRY_AFTER_GRACE + delay + lateness
+                && record.at < until - lateness
         };
-        if wait.is_some_and(waiting) {
+        if retry_wait.is_some_and(is_too_early) {
             self.add_violation(Rule::RetryAfterIgnored, record);
         }
         self.judge_timing(record);
     }
 
-    /// Whether a request may still come for its message.
+    /// Checks that a request may still be sent for its message.
     fn judge_timing(&mut self, record: &Record) {
-        let late = self.conditions.lateness;
+        let lateness = self.conditions.lateness;
         let delay = self.possible_delay(record.sender, record.at);
         let progress = self.progress(record);
         progress.requests += 1;
@@ -209,22 +211,22 @@
             .map_or(f64::INFINITY, |at| at + progress.timeout);
         let (delivered, reported) = (progress.delivered_at, progress.reported_at);
         let rejected = progress.rejected_at.is_some();
-        if record.at > deadline + SOCKET_GRACE + delay + late {
+        if record.at > deadline + SOCKET_GRACE + delay + lateness {
             self.add_violation(Rule::ForwardedLate, record);
         }
         if rejected {
             self.add_violation(Rule::ForwardedAfterRejection, record);
         }
-        let after = |end: Millis| record.at > end + SOCKET_GRACE + delay + late;
-        let after_report = reported.is_some_and(after);
-        let after_delivery = delivered.is_some_and(after)
+        let is_after = |end: Millis| record.at > end + SOCKET_GRACE + delay + lateness;
+        let after_report = reported.is_some_and(is_after);
+        let after_delivery = delivered.is_some_and(is_after)
             && delivered.is_some_and(|at| self.end_is_known(record.sender, at, record.at));
         if after_report || after_delivery {
             self.add_violation(Rule::ForwardedAfterEnd, record);
         }
     }
 
-    /// Whether the sender surely knows at an instant of an answer that was written earlier.
+    /// Whether a sender certainly knows now about an answer that was written to it earlier.
     fn end_is_known(&self, sender: usize, written: Millis, now: Millis) -> bool {
         let had_outage = self
             .senders
@@ -234,7 +236,7 @@
     }
 
     fn on_request_arrived(&mut self, record: &Record, endpoint: usize, intact: bool, runs: bool) {
-        let late = self.conditions.lateness;
+        let lateness = self.conditions.lateness;
         let window = self.conditions.idempotency_window;
         if !intact {
             self.add_violation(Rule::Altered, record);
@@ -255,7 +257,7 @@
                 self.add_violation(Rule::RepeatedInOtherZone, record);
             }
             (Some(Effect::Keyed | Effect::KeyedInZone), Some(first))
-                if record.at > first + window + SOCKET_GRACE + late =>
+                if record.at > first + window + SOCKET_GRACE + lateness =>
             {
                 self.add_violation(Rule::RepeatedOutsideWindow, record);
             }
@@ -274,11 +276,11 @@
         let in_time = record.at <= progress.deadline() + progress.writing;
         if status == 200 && in_time && progress.delivered_at.is_none() {
             progress.delivered_at = Some(record.at);
-            // Handed in again, a message has a later deadline, which says nothing of this delivery.
+            // Stored now, as submitting the message again sets a later deadline, which does not apply to this delivery.
             progress.surely_delivered = record.at < progress.deadline() - UNCERTAIN_DELIVERY;
         }
-        let lost = (self.conditions.calls_failed)(record.sender, record.at);
-        if let Some(span) = retry_after.filter(|_| !lost) {
+        let may_be_lost = (self.conditions.calls_failed)(record.sender, record.at);
+        if let Some(span) = retry_after.filter(|_| !may_be_lost) {
             let state = self.senders.entry(record.sender).or_default();
             let wait = state
                 .retry_waits
@@ -294,7 +296,7 @@
         let delay = self.possible_delay(record.sender, record.at);
         let progress = self.progress(record);
         progress.reported_at.get_or_insert(record.at);
-        // As the time runs out, a sender cannot know whether an answer still counts, and a second end does no harm.
+        // Close to the deadline, a sender cannot know whether an answer was in time, and a second end does no harm.
         let delivered = progress.delivered_at.filter(|_| progress.surely_delivered);
         let Some(delivered) = delivered else {
             return;
@@ -314,7 +316,7 @@
         }
     }
 
-    /// Every accepted message must have its end, in its time.
+    /// Checks that every accepted message had its end in time.
     fn judge_ends(&mut self) {
         for (id, progress) in &self.messages {
             let Some(submitted_at) = progress.submitted_at.filter(|_| progress.accepted) else {
--- a/crates/lab/src/soak/oracle/process_events.rs
+++ b/crates/lab/src/soak/oracle/process_events.rs
@@ -1,4 +1,4 @@
-//! What happens to the processes of senders: their outages, their stops, and how they end.
+//! Events of the senders' processes: outages, pauses and exits.
 
 use martenlatch_clock::Millis;
 
@@ -6,7 +6,7 @@
 use super::{KILL_AFTER_TERMINATE, Oracle, Rule, USUAL_DELAY};
 
 impl Oracle<'_> {
-    /// Takes in, before anything is judged, when a sender could do nothing.
+    /// Collects the outages, kills and pauses of the senders, before any record is judged.
     pub(super) fn collect_process_event(&mut self, record: &Record, event: ProcessEvent) {
         let state = self.senders.entry(record.sender).or_default();
         match event {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// For how long a sender may have been held up when it did something at an instant.
+    /// How long a sender may have been delayed before an action at an instant.
     pub(super) fn possible_delay(&self, sender: usize, at: Millis) -> Millis {
         let state = self.senders.get(&sender);
         state.map_or(USUAL_DELAY, |state| {
@@ -42,7 +42,7 @@
         })
     }
 
-    /// Judges the end of a process.
+    /// Judges a signal to a process, its start or its exit.
     pub(super) fn judge_process_event(&mut self, record: &Record, event: ProcessEvent) {
         let state = self.senders.entry(record.sender).or_default();
         match event {
@@ -50,7 +50,7 @@
                 state.terminated_at.get_or_insert(record.at);
             }
             ProcessEvent::Kill => {
-                // A process that was stopped for long as it was told to end, or since, may take as much longer.
+                // A process that was paused for long when it received SIGTERM, or afterwards, may exit that much later.
                 let late = state.terminated_at.is_some_and(|at| {
                     record.at >= at + KILL_AFTER_TERMINATE && !state.had_long_pause_since(at)
                 });
@@ -60,15 +60,16 @@
                 }
             }
             ProcessEvent::Exited(code) => {
-                let asked = state.killed || (state.terminated_at.is_some() && code == Some(0));
-                if !asked {
+                let exited_on_signal =
+                    state.killed || (state.terminated_at.is_some() && code == Some(0));
+                if !exited_on_signal {
                     self.add_violation(Rule::Crashed, record);
                 }
             }
             ProcessEvent::Started => {
                 state.terminated_at = None;
                 state.killed = false;
-                // A restart ends the waits.
+                // A sender does not keep waits across a restart.
                 state.retry_waits.clear();
             }
             ProcessEvent::NotReady => self.add_violation(Rule::NotReady, record),
--- a/crates/lab/src/soak/oracle/state.rs
+++ b/crates/lab/src/soak/oracle/state.rs
@@ -1,4 +1,4 @@
-//! What the oracle knows of each message and of each sender.
+//! State of the oracle for each message and each sender.
 
 use std::collections::HashMap;
 
@@ -6,23 +6,24 @@
 
 use super::{Effect, USUAL_DELAY};
 
-/// What ends at a kill is seen so much earlier or later.
+/// The effects of a kill may be recorded this much earlier or later than the kill.
 const KILL_MARGIN: Millis = 400.0;
-/// What a process decided before it was stopped is done within this time of its going on.
+/// A process carries out what it decided before a pause within this time after it continues.
 const PAUSE_AFTEREFFECT: Millis = 300.0;
-/// What is known of one message.
+
+/// State of one message.
 #[derive(Default)]
 pub(super) struct MessageProgress {
     pub sender: usize,
     pub submitted_at: Option<Millis>,
     pub timeout: Millis,
-    /// How long its client took to write it: its time began at some instant of that.
+    /// How long its client took to write it; the sender received it at some instant within that time.
     pub writing: Millis,
     pub effect: Option<Effect>,
     pub accepted: bool,
     pub rejected_at: Option<Millis>,
     pub delivered_at: Option<Millis>,
-    /// The delivery came so early that its sender had to count it.
+    /// The delivery was early enough that the sender must count it as in time.
     pub surely_delivered: bool,
     pub reported_at: Option<Millis>,
     pub first_run: Option<Millis>,
@@ -30,24 +31,24 @@
     pub requests: usize,
 }
 
-/// What is known of one sender.
+/// State of one sender.
 #[derive(Default)]
 pub(super) struct SenderState {
-    /// When each endpoint that drains was told to.
+    /// For each draining endpoint, when the sender was notified.
     pub draining_since: HashMap<usize, Millis>,
-    /// For each destination, when its wait was written and when it ends.
+    /// For each destination, when its retry-after was written and when the wait ends.
     pub retry_waits: HashMap<usize, (Millis, Millis)>,
     pub kills: Vec<Millis>,
-    /// From each signal that ends a process to the instant when the next one was ready.
+    /// From each signal that ends a process, or its exit, until the next process was ready.
     pub outages: Vec<(Millis, Millis)>,
-    /// When the process was stopped, and when it went on.
+    /// When the process was paused and when it continued.
     pub pauses: Vec<(Millis, Millis)>,
     pub terminated_at: Option<Millis>,
     pub killed: bool,
 }
 
 impl MessageProgress {
-    /// When the message's time is up; never if it is not known.
+    /// The message's deadline; infinity if its submission is not recorded.
     pub fn deadline(&self) -> Millis {
         self.submitted_at
             .map_or(f64::INFINITY, |at| at + self.timeout)
@@ -55,7 +56,7 @@
 }
 
 impl SenderState {
-    /// For how long the process was stopped shortly before an instant.
+    /// How long the process was paused shortly before an instant, over all pauses.
     pub fn recent_pause_time(&self, at: Millis) -> Millis {
         self.pauses
             .iter()
@@ -64,21 +65,21 @@
             .sum()
     }
 
-    /// Whether the process was stopped for longer than the platform does, behind an instant.
+    /// Whether a pause longer than those of the platform ended after an instant.
     pub fn had_long_pause_since(&self, since: Millis) -> bool {
         self.pauses
             .iter()
             .any(|(from, until)| *until >= since && until - from > USUAL_DELAY)
     }
 
-    /// Whether the sender was ended or restarted in a span of time.
+    /// Whether the sender was ending or restarting at some time in a span.
     pub fn had_outage(&self, from: Millis, until: Millis) -> bool {
         self.outages
             .iter()
             .any(|(begin, end)| *begin <= until + KILL_MARGIN && *end >= from - KILL_MARGIN)
     }
 
-    /// Whether the sender was killed at about an instant.
+    /// Whether the sender was killed shortly before or after an instant.
     pub fn was_killed_around(&self, at: Millis) -> bool {
         self.kills
             .iter()
--- a/crates/lab/src/soak/oracle/tests.rs
+++ b/crates/lab/src/soak/oracle/tests.rs
@@ -1,4 +1,4 @@
-//! Each rule of the oracle is shown to fail on a small history, and to hold on the like one without the fault.
+//! Each rule of the oracle is violated by a small history, and not by a similar history without the fault.
 
 use super::*;
 use crate::soak::history::ProcessEvent;
@@ -83,7 +83,7 @@
     record(at, "", Event::ListTold { endpoint, active })
 }
 
-/// The rules that a history breaks.
+/// The rules that a history violates.
 fn broken_rules(parts: &[&[Record]]) -> Vec<Rule> {
     let conditions = Conditions {
         lateness: 0.0,
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_delivered_message_breaks_no_rule() {
+fn delivered_message_breaks_no_rule() {
     let parts: [&[Record]; 3] = [
         &submitted(0.0, "u1"),
         &request(10.0, "u1"),
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_message_without_an_end_is_lost() {
+fn message_without_end_in_time_is_lost() {
     assert_eq!(broken_rules(&[&submitted(0.0, "u1")]), [Rule::Lost]);
     assert_eq!(
         broken_rules(&[&submitted(0.0, "u1"), &[reported(4_300.0, "u1")]]),
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn an_end_is_not_overdue_while_its_sender_restarts() {
+fn end_is_not_overdue_while_its_sender_restarts() {
     let restart = [
         process(4_000.0, ProcessEvent::Kill),
         process(4_000.0, ProcessEvent::Exited(None)),
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_restart_in_the_time_that_the_platform_confirms_nothing_extends_it() {
+fn restart_soon_after_unconfirmed_reports_extends_the_time_for_an_end() {
     let records = [
         &submitted(0.0, "u1")[..],
         &[
@@ -158,13 +158,17 @@
 }
 
 #[rstest::rstest]
-#[case::reported(&[reported(100.0, "k1")], 400.0, Rule::ForwardedAfterEnd)]
-#[case::delivered(&[responded(100.0, "k1", 200, None)], 400.0, Rule::ForwardedAfterEnd)]
-#[case::rejected(&[record(2.0, "k1", Event::Answered { status: 503 }), reported(5_000.0, "k1")], 50.0, Rule::ForwardedAfterRejection)]
-#[case::late(&[reported(4_100.0, "k1")], 4_250.0, Rule::ForwardedLate)]
-#[case::draining(&[drained(0.0), responded(1_300.0, "k1", 200, None)], 1_200.0, Rule::SentToDraining)]
-#[case::waiting(&[responded(10.0, "k2", 429, Some(900.0)), responded(700.0, "k1", 200, None)], 600.0, Rule::RetryAfterIgnored)]
-fn a_request_that_must_not_come(#[case] before: &[Record], #[case] at: Millis, #[case] rule: Rule) {
+#[case::after_report(&[reported(100.0, "k1")], 400.0, Rule::ForwardedAfterEnd)]
+#[case::after_delivery(&[responded(100.0, "k1", 200, None)], 400.0, Rule::ForwardedAfterEnd)]
+#[case::after_rejection(&[record(2.0, "k1", Event::Answered { status: 503 }), reported(5_000.0, "k1")], 50.0, Rule::ForwardedAfterRejection)]
+#[case::after_deadline(&[reported(4_100.0, "k1")], 4_250.0, Rule::ForwardedLate)]
+#[case::to_draining_endpoint(&[drained(0.0), responded(1_300.0, "k1", 200, None)], 1_200.0, Rule::SentToDraining)]
+#[case::before_end_of_retry_after(&[responded(10.0, "k2", 429, Some(900.0)), responded(700.0, "k1", 200, None)], 600.0, Rule::RetryAfterIgnored)]
+fn forbidden_request_breaks_its_rule(
+    #[case] before: &[Record],
+    #[case] at: Millis,
+    #[case] rule: Rule,
+) {
     let mut records = [&submitted(0.0, "k1")[..], before, &request(at, "k1")].concat();
     records.sort_by(|a, b| a.at.total_cmp(&b.at));
     assert!(broken_rules(&[&records]).contains(&rule));
@@ -172,10 +176,14 @@
 
 #[rstest::rstest]
 #[case::non_idempotent("u1", 100.0, Some(Rule::RepeatedNonIdempotent))]
-#[case::keyed_in_its_window("k1", 2_000.0, None)]
-#[case::keyed_behind_its_window("k1", 2_100.0, Some(Rule::RepeatedOutsideWindow))]
+#[case::keyed_inside_its_window("k1", 2_000.0, None)]
+#[case::keyed_outside_its_window("k1", 2_100.0, Some(Rule::RepeatedOutsideWindow))]
 #[case::idempotent("i1", 3_000.0, None)]
-fn a_repeat(#[case] id: &str, #[case] after: Millis, #[case] rule: Option<Rule>) {
+fn repeat_is_judged_by_its_idempotency(
+    #[case] id: &str,
+    #[case] after: Millis,
+    #[case] rule: Option<Rule>,
+) {
     let parts: [&[Record]; 4] = [
         &submitted(0.0, id),
         &request(10.0, id),
@@ -186,7 +194,7 @@
 }
 
 #[test]
-fn a_request_that_was_read_and_dropped_is_found_unless_its_sender_was_killed() {
+fn dropped_request_breaks_a_rule_unless_its_sender_was_killed() {
     let end = [record(
         500.0,
         "u1",
@@ -200,17 +208,20 @@
 }
 
 #[rstest::rstest]
-#[case::by_itself(&[process(10.0, ProcessEvent::Exited(Some(0)))], Some(Rule::Crashed))]
-#[case::told_to(&[process(5.0, ProcessEvent::Terminate), process(10.0, ProcessEvent::Exited(Some(0)))], None)]
-#[case::told_to_but_failed(&[process(5.0, ProcessEvent::Terminate), process(10.0, ProcessEvent::Exited(Some(101)))], Some(Rule::Crashed))]
+#[case::without_signal(&[process(10.0, ProcessEvent::Exited(Some(0)))], Some(Rule::Crashed))]
+#[case::after_terminate(&[process(5.0, ProcessEvent::Terminate), process(10.0, ProcessEvent::Exited(Some(0)))], None)]
+#[case::failure_after_terminate(&[process(5.0, ProcessEvent::Terminate), process(10.0, ProcessEvent::Exited(Some(101)))], Some(Rule::Crashed))]
 #[case::killed(&[process(5.0, ProcessEvent::Kill), process(10.0, ProcessEvent::Exited(None))], None)]
-#[case::too_late(&[process(5.0, ProcessEvent::Terminate), process(3_705.0, ProcessEvent::Kill), process(3_710.0, ProcessEvent::Exited(None))], Some(Rule::ExitedLate))]
-fn the_end_of_a_process(#[case] records: &[Record], #[case] rule: Option<Rule>) {
+#[case::too_late_after_terminate(&[process(5.0, ProcessEvent::Terminate), process(3_705.0, ProcessEvent::Kill), process(3_710.0, ProcessEvent::Exited(None))], Some(Rule::ExitedLate))]
+fn process_exit_must_follow_a_signal_in_time(
+    #[case] records: &[Record],
+    #[case] rule: Option<Rule>,
+) {
     assert_eq!(broken_rules(&[records]), Vec::from_iter(rule));
 }
 
 #[test]
-fn a_report_well_behind_the_delivery_is_a_second_end() {
+fn report_well_after_the_delivery_is_a_second_end() {
     let parts: [&[Record]; 3] = [
         &submitted(0.0, "i1"),
         &request(10.0, "i1"),
@@ -219,13 +230,13 @@
     assert_eq!(broken_rules(&parts), [Rule::TwoEnds]);
 }
 
-/// An answer that is written behind its message's time counts for nothing: the message is owed its report.
+/// An answer written after its message's deadline is no delivery, so the message still needs a report.
 #[rstest::rstest]
 #[case::in_time(3_999.0, false, None)]
-#[case::behind_its_time(4_001.0, false, Some(Rule::Lost))]
-#[case::behind_its_time_and_reported(4_001.0, true, None)]
-#[case::in_the_last_moment_and_reported(3_990.0, true, None)]
-fn an_answer_as_the_time_runs_out(
+#[case::after_deadline(4_001.0, false, Some(Rule::Lost))]
+#[case::after_deadline_and_reported(4_001.0, true, None)]
+#[case::just_before_deadline_and_reported(3_990.0, true, None)]
+fn answer_around_the_deadline_is_judged_by_when_it_was_written(
     #[case] answered_at: Millis,
     #[case] is_reported: bool,
     #[case] rule: Option<Rule>,
@@ -240,19 +251,21 @@
     assert_eq!(broken_rules(&parts), Vec::from_iter(rule));
 }
 
-/// A report from before the client heard that its message is accepted counts for nothing.
+/// A report from before the client received the 202 is not the end of the message.
 #[test]
-fn a_message_that_is_handed_in_again_behind_its_report_is_owed_another() {
+fn message_submitted_again_after_its_report_needs_another_report() {
     let first = [submitted(0.0, "u1")[0].clone()];
-    let again = submitted(5_000.0, "u1");
-    let parts = |last: &[Record]| broken_rules(&[&first, &[reported(4_000.0, "u1")], &again, last]);
-    assert_eq!(parts(&[]), [Rule::Lost]);
-    assert_eq!(parts(&[reported(5_002.0, "u1")]), []);
+    let second = submitted(5_000.0, "u1");
+    let judged =
+        |last: &[Record]| broken_rules(&[&first, &[reported(4_000.0, "u1")], &second, last]);
+    assert_eq!(judged(&[]), [Rule::Lost]);
+    assert_eq!(judged(&[reported(5_002.0, "u1")]), []);
 }
 
-/// An end that falls into a long pause of its sender is due behind that, and one behind it as ever.
+/// An end that falls due during a long pause of its sender is due after the pause; a pause that is over before then
+/// extends nothing.
 #[test]
-fn a_long_pause_excuses_what_falls_into_it() {
+fn long_pause_extends_only_ends_that_fall_due_during_it() {
     let judged = |paused_at: Millis, ended_at: Millis| {
         let pause = [
             process(paused_at, ProcessEvent::Pause),
@@ -265,12 +278,16 @@
     assert_eq!(judged(3_000.0, 4_700.0), [Rule::Lost]);
 }
 
-/// A key that holds in one zone stops no repeat in another.
+/// A key that is valid in one zone does not prevent a repeat in another.
 #[rstest::rstest]
-#[case::in_the_same_zone("z1", ENDPOINT, None)]
-#[case::in_the_other_zone("z1", ENDPOINT + 1, Some(Rule::RepeatedInOtherZone))]
-#[case::of_a_key_that_holds_everywhere("k1", ENDPOINT + 1, None)]
-fn a_repeat_at_an_endpoint(#[case] id: &str, #[case] endpoint: usize, #[case] rule: Option<Rule>) {
+#[case::in_same_zone("z1", ENDPOINT, None)]
+#[case::in_other_zone("z1", ENDPOINT + 1, Some(Rule::RepeatedInOtherZone))]
+#[case::in_other_zone_with_key_valid_in_all("k1", ENDPOINT + 1, None)]
+fn repeat_in_another_zone_needs_a_key_valid_there(
+    #[case] id: &str,
+    #[case] endpoint: usize,
+    #[case] rule: Option<Rule>,
+) {
     let mut repeat = request(20.0, id);
     repeat[1].event = Event::RequestArrived {
         endpoint,
@@ -287,11 +304,14 @@
     assert_eq!(broken_rules(&parts), Vec::from_iter(rule));
 }
 
-/// A process that is stopped for longer than the platform does may take as much longer to end, and no other.
+/// Only a process that is paused for longer than the platform pauses may exit that much later.
 #[rstest::rstest]
-#[case::for_long(300.0, &[])]
-#[case::as_the_platform_does(150.0, &[Rule::ExitedLate])]
-fn a_process_that_was_stopped_as_it_was_told_to_end(#[case] span: Millis, #[case] rules: &[Rule]) {
+#[case::longer_than_the_platform_pauses(300.0, &[])]
+#[case::as_long_as_the_platform_pauses(150.0, &[Rule::ExitedLate])]
+fn process_paused_for_long_around_terminate_may_exit_later(
+    #[case] span: Millis,
+    #[case] rules: &[Rule],
+) {
     let records = [
         process(0.0, ProcessEvent::Pause),
         process(5.0, ProcessEvent::Terminate),
@@ -302,9 +322,10 @@
     assert_eq!(broken_rules(&[&records]), rules);
 }
 
-/// The report of an answer in a message's last moment may be sent again with the message, which is no second end.
+/// A message that was answered just before its deadline may be reported when it is submitted again; that is no second
+/// end.
 #[test]
-fn a_message_answered_in_its_last_moment_may_be_reported_whenever_it_comes_again() {
+fn message_answered_just_before_its_deadline_may_be_reported_when_submitted_again() {
     let first = [submitted(0.0, "u1")[0].clone()];
     let parts: [&[Record]; 5] = [
         &first,
@@ -316,9 +337,9 @@
     assert_eq!(broken_rules(&parts), []);
 }
 
-/// A client that was held up as it wrote its request handed it in at an instant that nobody knows.
+/// A client that was delayed while it wrote its request submitted it at an unknown instant within that time.
 #[test]
-fn the_time_of_a_message_may_begin_as_late_as_its_client_had_written_it() {
+fn deadline_counts_from_the_end_of_a_slow_submission() {
     let judged = |writing: Millis| {
         let (effect, timeout) = (Effect::NonIdempotent, 4_000.0);
         let slow = Event::Submitted {
--- a/crates/lab/src/soak/oracle/verdict.rs
+++ b/crates/lab/src/soak/oracle/verdict.rs
@@ -1,49 +1,49 @@
-//! What the oracle finds: broken rules, and the figures of a soak.
+//! The oracle's results: violations, and the figures of a soak.
 
 use std::fmt;
 
 use martenlatch_clock::Millis;
 
-/// A rule that a soak can find broken.
+/// A rule that the oracle checks. The soak prints the names of the variants, and `planted/play` matches them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// An accepted message had no final answer in its time.
+    /// An accepted message was neither delivered nor reported in time.
     Lost,
-    /// A message was reported as undelivered well after it had been delivered.
+    /// A message was reported as undelivered well after its delivery.
     TwoEnds,
-    /// A request came after the end of its message.
+    /// A request was sent after the end of its message.
     ForwardedAfterEnd,
-    /// A request came for a message whose client was told that it had no effect.
+    /// A request was sent for a message that had been rejected, which promises its client that it has no effect.
     ForwardedAfterRejection,
-    /// A request came after the deadline of its message.
+    /// A request was sent after the deadline of its message.
     ForwardedLate,
-    /// A non-idempotent message came again after it may have run.
+    /// A non-idempotent message was sent again after it may have run.
     RepeatedNonIdempotent,
-    /// A keyed message came again after its key was forgotten.
+    /// A message with an idempotency key was sent again after its idempotency window.
     RepeatedOutsideWindow,
-    /// A message whose key holds in one zone came to another one after it may have run.
+    /// A message whose key is valid in one zone only was sent to another zone after it may have run.
     RepeatedInOtherZone,
-    /// Body or key were not those of the message.
+    /// The body or the idempotency key of a request was not that of its message.
     Altered,
-    /// A request came before the end of a wait.
+    /// A request was sent before the end of a retry-after.
     RetryAfterIgnored,
-    /// A request came to an endpoint that drains.
+    /// A request was sent to a draining endpoint.
     SentToDraining,
-    /// A request was read, and its connection ended without an answer.
+    /// A client's request was read, and its connection ended without an answer.
     ReadAndDropped,
-    /// A client that stopped in the middle of its request was kept for too long.
+    /// The connection of a client that stopped in the middle of its request stayed open for too long.
     BadClientIgnored,
-    /// A process ended by itself.
+    /// A process ended without a signal, or ended with a failure after SIGTERM.
     Crashed,
-    /// A process did not become ready in its time.
+    /// A process did not become ready in time.
     NotReady,
-    /// A process did not end in its time.
+    /// A process did not exit in time after SIGTERM.
     ExitedLate,
-    /// A sender's log tells of a defect.
+    /// A sender's log shows a defect.
     LoggedDefect,
 }
 
-/// A broken rule.
+/// A rule that was broken, when and by which sender.
 #[derive(Clone, Debug)]
 pub struct Violation {
     /// The rule.
@@ -52,7 +52,7 @@
     pub at: Millis,
     /// The sender.
     pub sender: usize,
-    /// The message; empty if the rule concerns none.
+    /// The id of the message; empty if the violation concerns none.
     pub message: String,
 }
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// Figures of a soak, for its last line.
+/// Figures of a soak, printed in its last line.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Figures {
     /// Messages submitted.
@@ -77,10 +77,10 @@
     pub delivered: usize,
     /// Messages ended by a status report.
     pub reported: usize,
-    /// Of these, messages that no endpoint had seen and whose deadline was over two seconds away.
+    /// Of these, messages without any request to an endpoint whose deadline was more than two seconds away.
     pub ended_early: usize,
-    /// Starts of processes behind the first ones.
+    /// Process starts beyond the first one of each sender.
     pub restarts: usize,
-    /// Requests whose clients waited in vain.
+    /// Requests whose clients gave up waiting for an answer.
     pub timed_out: usize,
 }
--- a/crates/lab/tests/soak.rs
+++ b/crates/lab/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A short soak of real senders on fixed seeds. The seeds are printed; `martenlatch-lab soak --seed N` plays one again.
+//! Short soaks of real senders with fixed seeds. The seeds are printed; `martenlatch-lab soak --seed N` repeats one.
 
 use std::sync::atomic::AtomicBool;
 
@@ -6,15 +6,15 @@
 use martenlatch_lab::soak::{self, Options};
 use martenlatch_lab::sockets;
 
-/// Each plays another schedule of faults.
+/// Each seed gives a different schedule of faults.
 const SEEDS: [u64; 4] = [3, 14, 18, 103];
 const SECONDS: f64 = 12.0;
 const PROCESSES: usize = 10;
-/// Limits on time are longer by this, so that a busy machine makes no verdict.
+/// Extends the time limits, so that a busy machine alone causes no violation.
 const SLACK: Millis = 1_500.0;
 
 #[test]
-fn no_invariant_is_broken_under_faults_that_overlap() {
+fn overlapping_faults_break_no_invariant() {
     for seed in SEEDS {
         let options = Options {
             seed,
