--- a/crates/lab/src/soak/agent.rs
+++ b/crates/lab/src/soak/agent.rs
@@ -1,4 +1,4 @@
-//! The platform of a soak: each sender's discovery agent, which also takes status reports.
+//! The platform of a soak: the agents of each sender, which provide discovery and receive status reports.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -14,15 +14,15 @@
 use super::world::{AGENTS_PER_SENDER, POLL_INTERVAL, World};
 use crate::error::LabError;
 
-/// An open watch brings an empty line so often.
+/// Interval of empty lines on a watch without updates.
 const KEEP_ALIVE: Millis = 2_000.0;
-/// How late a slow agent answers.
-const SLOW_ANSWER: Duration = Duration::from_millis(700);
+/// Delay of a slow agent's answer.
+const SLOW_ANSWER_DELAY: Duration = Duration::from_millis(700);
 
-/// Discovery's old address is silent so long after a move.
+/// An agent stops serving this long after discovery has moved to another address.
 const MOVE_GRACE: Millis = 1_000.0;
-/// While reports stutter, they fail at the beginning of each period: by the end of their connection and by silence, in
-/// turns.
+/// While reports stutter, they fail at the beginning of each period, alternately by the end of their connection and by
+/// the lack of an answer.
 const STUTTER_PERIOD: Millis = 500.0;
 const STUTTER_FAILURE: Millis = 120.0;
 
@@ -34,17 +34,17 @@
     number: usize,
 }
 
-/// What an agent does with a request that reports final statuses.
+/// How an agent reacts to a request with status reports.
 enum ReportReply {
     Confirm,
     EndConnection,
     StaySilent,
 }
 
-/// Opens the agents of a sender. Returns their addresses.
+/// Opens the agents of a sender and returns their addresses.
 ///
 /// # Errors
-/// Where no port can be bound.
+/// If no port can be bound.
 pub fn open(world: &Arc<World>, sender: usize) -> Result<Vec<SocketAddr>, LabError> {
     (0..AGENTS_PER_SENDER)
         .map(|number| {
@@ -68,7 +68,7 @@
         self.world.schedule.is_active(fault, self.sender, now)
     }
 
-    /// Whether discovery has moved away for long enough.
+    /// Whether discovery moved to another agent longer than [`MOVE_GRACE`] ago.
     fn is_abandoned(&self) -> bool {
         let now = self.world.now();
         self.world.discovery[self.sender]
@@ -88,7 +88,7 @@
 
     fn serve(&self, stream: TcpStream) {
         let mut stream = HttpStream::new(stream);
-        // Reports are taken also while discovery is down.
+        // Reports are received even while discovery is down.
         while let Ok(request) = stream.read_message(|_| self.world.is_stopped()) {
             if self.is_abandoned() {
                 return;
@@ -103,7 +103,7 @@
                 continue;
             }
             if self.has_fault(FaultKind::DiscoverySlow) {
-                thread::sleep(SLOW_ANSWER);
+                thread::sleep(SLOW_ANSWER_DELAY);
             }
             return self.watch(&mut stream, &request);
         }
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Takes status reports. False if the connection has ended.
+    /// Records status reports and confirms them. Returns false if the connection has ended.
     fn confirm_reports(&self, stream: &mut HttpStream, request: &HttpMessage) -> bool {
         let reports: Vec<Value> = String::from_utf8_lossy(&request.body)
             .lines()
@@ -141,7 +141,7 @@
         stream.write("HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n")
     }
 
-    /// Tells changes until the connection ends.
+    /// Sends the endpoint list and its changes until the connection or the watch ends.
     fn watch(&self, stream: &mut HttpStream, request: &HttpMessage) {
         let from = request
             .head
@@ -199,7 +199,7 @@
             };
             self.world.history.record(self.sender, "", event);
         }
-        let described = list.to_json(&endpoints, is_first, &addresses[self.sender]);
-        Some(described.to_string())
+        let update = list.to_json(&endpoints, is_first, &addresses[self.sender]);
+        Some(update.to_string())
     }
 }
--- a/crates/lab/src/soak/client.rs
+++ b/crates/lab/src/soak/client.rs
@@ -1,4 +1,4 @@
-//! The clients of a soak: busy ones, which use their connections until these end, and misbehaving ones.
+//! The clients of a soak: busy clients, which reuse each connection until it ends, and misbehaving clients.
 
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -20,41 +20,41 @@
 
 /// How long a client waits for an answer.
 const ANSWER_TIMEOUT: Millis = 400.0;
-/// A request that nobody has read brings a reset within this time of the end of the stream.
+/// If a request was never read, a reset follows the end of the stream within this time.
 const RESET_TIMEOUT: Duration = Duration::from_millis(800);
-/// A client that stops in the middle of its request is answered, or its connection closed, within this time.
+/// A client that stops in the middle of its request must be answered or disconnected within this time.
 const BAD_CLIENT_TIMEOUT: Millis = 3_000.0;
-/// More for a machine that is busy.
+/// Added to [`BAD_CLIENT_TIMEOUT`] for a busy machine.
 const BAD_CLIENT_GRACE: Millis = 1_500.0;
-/// How long messages may be delivered.
+/// Timeouts of messages, from submission to deadline.
 const TIMEOUTS: [Millis; 3] = [4_000.0, 2_500.0, 1_200.0];
-/// Between two requests of a busy client.
+/// Time between two requests of a busy client.
 const THINK_TIME: std::ops::Range<Millis> = 0.0..160.0;
-/// Between two tries to connect.
+/// Pause after a failed connection, and after a crowd.
 const CONNECT_PAUSE: Duration = Duration::from_millis(40);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// A misbehaving client loses an answer each time that it has misbehaved so often.
+/// A misbehaving client loses an answer after every this many misbehaviours.
 const LOST_ANSWER_PERIOD: usize = 3;
-/// How long a message may be delivered whose answer is lost, and when it is handed in again: behind its end.
+/// Timeout of a message whose answer is lost, and when it is submitted again: after its deadline.
 const LOST_ANSWER_TIMEOUT: Millis = 700.0;
 const LOST_ANSWER_RETRY_DELAY: Millis = 1_000.0;
-/// Connections of a crowd.
+/// Number of connections of a crowd.
 const CROWD_SIZE: usize = 120;
 
-/// Busy clients of a sender.
+/// Number of busy clients of each sender.
 pub const BUSY_CLIENTS: usize = 6;
 
 /// One client.
 pub struct Client {
-    /// What all threads share.
+    /// The state that all threads share.
     pub world: Arc<World>,
-    /// The processes, of which a client may kill one right behind a 202.
+    /// The senders' processes, of which a client may kill its own sender's immediately after a 202.
     pub pids: Arc<Pids>,
-    /// The sender that it hands messages to.
+    /// The sender that it submits messages to.
     pub sender: usize,
-    /// Where that is.
+    /// The address of that sender.
     pub address: SocketAddr,
-    /// The client's number among those of its sender.
+    /// The client's number among the clients of its sender.
     pub number: usize,
 }
 
@@ -78,23 +78,27 @@
         }
     }
 
-    fn message(&self, count: usize, random: &mut Pcg64) -> (Message, Millis) {
+    fn new_message(&self, count: usize, random: &mut Pcg64) -> (Message, Millis) {
         let effects = [Effect::NonIdempotent, Effect::Keyed, Effect::Idempotent];
         let effect = match effects[random.random_range(0..effects.len())] {
-            // Of every other message with a key, that holds in one zone only.
+            // For every second message with an idempotency key, the key is valid in one zone only.
             Effect::Keyed if count.is_multiple_of(2) => Effect::KeyedInZone,
             effect => effect,
         };
         let prefix = Message::id_prefix(effect);
         let id = format!("{prefix}{}-{}-{count}", self.sender, self.number);
         let timeout = TIMEOUTS[random.random_range(0..TIMEOUTS.len())];
-        (Message::from_id(&id).expect("an id of ours"), timeout)
+        (
+            Message::from_id(&id).expect("the id has a known prefix"),
+            timeout,
+        )
     }
 
-    /// Keeps a connection busy until it ends, then the next one. Every second client heeds `Connection: close`.
+    /// Sends requests over one connection until it ends, then over the next one. Only every second client obeys
+    /// `Connection: close`.
     pub fn keep_busy(&self) {
         let mut random = self.rng();
-        let heeds_close = self.number.is_multiple_of(2);
+        let obeys_close = self.number.is_multiple_of(2);
         let mut connection = None;
         let mut count = 0;
         while !self.is_stopped() {
@@ -102,9 +106,9 @@
                 continue;
             };
             count += 1;
-            let (message, timeout) = self.message(count, &mut random);
+            let (message, timeout) = self.new_message(count, &mut random);
             if let Some(closes) = self.exchange(&mut stream, &message, timeout, &mut random)
-                && !(closes && heeds_close)
+                && !(closes && obeys_close)
             {
                 connection = Some(stream);
             }
@@ -113,7 +117,8 @@
         }
     }
 
-    /// Hands a message in. Returns whether the answer ends the connection; none if the connection is gone.
+    /// Submits a message and reads the answer. Returns whether the answer announces the end of the connection; `None` if
+    /// the connection has ended.
     fn exchange(
         &self,
         stream: &mut HttpStream,
@@ -121,11 +126,11 @@
         timeout: Millis,
         random: &mut Pcg64,
     ) -> Option<bool> {
-        let text = self.request(message, timeout, random);
+        let text = self.request_text(message, timeout, random);
         self.exchange_request(stream, message, timeout, &text)
     }
 
-    /// Writes the request of a message, and records that it was handed in. Returns when; none if it cannot be written.
+    /// Writes the request of a message and records the submission. Returns its time; `None` if the write fails.
     fn submit(
         &self,
         stream: &mut HttpStream,
@@ -149,7 +154,7 @@
         Some(at)
     }
 
-    /// Hands a message in and reads the answer.
+    /// Submits a message as a given request text and reads the answer, with the result of [`Client::exchange`].
     fn exchange_request(
         &self,
         stream: &mut HttpStream,
@@ -174,7 +179,7 @@
         Some(answer.header("connection") == Some("close"))
     }
 
-    fn request(&self, message: &Message, timeout: Millis, random: &mut Pcg64) -> String {
+    fn request_text(&self, message: &Message, timeout: Millis, random: &mut Pcg64) -> String {
         let body = message.body();
         let destinations = self.world.size.endpoints / super::world::ENDPOINTS_PER_DESTINATION;
         format!(
@@ -189,7 +194,7 @@
         )
     }
 
-    /// The sender has taken a message on. It may be killed right behind that.
+    /// Counts an accepted message, and kills the sender if that is scheduled for its next 202.
     fn on_accepted(&self) {
         self.world.accepted[self.sender].fetch_add(1, Ordering::Relaxed);
         if let Some(pid) = self.pids.take_kill_target(self.sender) {
@@ -206,7 +211,7 @@
 
     fn record_unanswered(&self, stream: &HttpStream, message: &Message, error: ReadError) {
         let at = self.world.now();
-        let end = match error {
+        let reason = match error {
             ReadError::Stopped => NoAnswerReason::TimedOut,
             ReadError::Reset => NoAnswerReason::Reset,
             ReadError::Ended if is_reset_within_timeout(&stream.stream) => NoAnswerReason::Reset,
@@ -214,24 +219,25 @@
         };
         self.world
             .history
-            .record_at(at, self.sender, &message.id, Event::Unanswered(end));
+            .record_at(at, self.sender, &message.id, Event::Unanswered(reason));
     }
 
-    /// Misbehaves in turns: stops in the middle of a request, leaves behind one, sends two at once, or comes as a crowd.
+    /// Misbehaves in different ways: stops in the middle of a request, disconnects after a request, sends two requests at
+    /// once, or opens a crowd of connections.
     pub fn misbehave(&self) {
         let mut random = self.rng();
         let mut count = 0;
         while !self.is_stopped() {
             count += 1;
-            if self.is_crowded() {
-                self.crowd();
+            if self.has_crowd_fault() {
+                self.open_crowd();
                 continue;
             }
             let Some(mut stream) = self.connect() else {
                 continue;
             };
-            let (message, timeout) = self.message(count, &mut random);
-            let text = self.request(&message, timeout, &mut random);
+            let (message, timeout) = self.new_message(count, &mut random);
+            let text = self.request_text(&message, timeout, &mut random);
             match random.random_range(0..3) {
                 0 => self.stop_in_request(&mut stream, &text, &mut random),
                 1 => _ = stream.write(&text),
@@ -248,13 +254,13 @@
         }
     }
 
-    /// Hands a message in, resets the connection before the answer is read, and hands it in again once its time is up:
-    /// its end was reported to nobody who knew of it, and is owed.
+    /// Submits a message, resets the connection without reading the answer, and submits the message again after its
+    /// deadline. As no client received the 202, the message must be reported after the second submission.
     fn lose_answer(&self, count: usize, random: &mut Pcg64) {
         let prefix = Message::id_prefix(Effect::NonIdempotent);
         let id = format!("{prefix}{}-{}-{count}-again", self.sender, self.number);
-        let message = Message::from_id(&id).expect("an id of ours");
-        let text = self.request(&message, LOST_ANSWER_TIMEOUT, random);
+        let message = Message::from_id(&id).expect("the id has a known prefix");
+        let text = self.request_text(&message, LOST_ANSWER_TIMEOUT, random);
         let Some(mut stream) = self.connect() else {
             return;
         };
@@ -273,8 +279,8 @@
     }
 
     fn stop_in_request(&self, stream: &mut HttpStream, text: &str, random: &mut Pcg64) {
-        let part = random.random_range(1..text.len());
-        if !stream.write(&text[..part]) {
+        let length = random.random_range(1..text.len());
+        if !stream.write(&text[..length]) {
             return;
         }
         let until = self.world.now() + BAD_CLIENT_TIMEOUT + BAD_CLIENT_GRACE;
@@ -284,18 +290,18 @@
         }
     }
 
-    fn is_crowded(&self) -> bool {
+    fn has_crowd_fault(&self) -> bool {
         let now = self.world.now();
         self.world
             .schedule
             .is_active(FaultKind::Crowd, self.sender, now)
     }
 
-    fn crowd(&self) {
+    fn open_crowd(&self) {
         let connections: Vec<TcpStream> = (0..CROWD_SIZE)
             .filter_map(|_| TcpStream::connect_timeout(&self.address, CONNECT_TIMEOUT).ok())
             .collect();
-        while self.is_crowded() && !self.is_stopped() {
+        while self.has_crowd_fault() && !self.is_stopped() {
             thread::sleep(POLL_INTERVAL);
         }
         drop(connections);
@@ -303,6 +309,7 @@
     }
 }
 
+/// Whether the connection is reset within [`RESET_TIMEOUT`].
 fn is_reset_within_timeout(stream: &TcpStream) -> bool {
     let until = Instant::now() + RESET_TIMEOUT;
     while Instant::now() < until {
--- a/crates/lab/src/soak/endpoint.rs
+++ b/crates/lab/src/soak/endpoint.rs
@@ -1,4 +1,5 @@
-//! The endpoints of a soak, one listener for each pair of sender and endpoint, with the network between them.
+//! The endpoints of a soak: one listener for each pair of sender and endpoint, with the faults of the network between
+//! them.
 
 use std::collections::HashSet;
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -17,24 +18,24 @@
 use super::world::{ENDPOINTS_PER_DESTINATION, Message, POLL_INTERVAL, World};
 use crate::error::LabError;
 
-/// Connections that wait to be accepted.
+/// Usual limit on connections that wait to be accepted.
 const BACKLOG: i32 = 32;
-/// With so few, others come up late.
+/// The smallest backlog: once it is full, further connections are established late.
 const SHORT_BACKLOG: i32 = 0;
-/// How long an endpoint usually works, in milliseconds.
+/// How long an endpoint usually works on a request, in milliseconds.
 const USUAL_WORK_TIME: std::ops::Range<Millis> = 2.0..30.0;
-/// How long a slow one works.
+/// How long a slow endpoint works on a request.
 const SLOW_WORK_TIME: std::ops::Range<Millis> = 200.0..900.0;
-/// How long a busy endpoint has senders wait.
+/// The retry-after of a busy endpoint.
 const RETRY_AFTER: std::ops::Range<Millis> = 400.0..1_200.0;
-/// How late a last byte comes.
+/// Delay of a late last byte.
 const LAST_BYTE_DELAY: std::ops::Range<Millis> = 50.0..400.0;
-/// When an endpoint answers that answers as the time of a message runs out, from the deadline.
+/// When an endpoint with [`FaultKind::AnswersAsTimeRunsOut`] answers, relative to the message's deadline.
 const DEADLINE_OFFSET: std::ops::Range<Millis> = -2.0..6.0;
-/// How long an answer goes on that never ends.
+/// How long an endpoint keeps sending an answer whose head never ends.
 const ENDLESS_ANSWER_TIME: Millis = 1_500.0;
 
-/// One endpoint as one sender reaches it.
+/// One endpoint, as seen by one sender.
 #[derive(Clone)]
 struct EndpointLink {
     world: Arc<World>,
@@ -42,10 +43,10 @@
     endpoint: usize,
 }
 
-/// Opens the endpoints of one sender. Returns their addresses.
+/// Opens the endpoints of one sender and returns their addresses.
 ///
 /// # Errors
-/// Where no port can be bound.
+/// If no port can be bound.
 pub fn open(world: &Arc<World>, sender: usize) -> Result<Vec<SocketAddr>, LabError> {
     (0..world.size.endpoints)
         .map(|endpoint| {
@@ -114,24 +115,24 @@
         }
     }
 
-    /// Lets new connections wait: with a full backlog the system does not answer them, and their next try is late.
+    /// Delays new connections: while the backlog is full, the kernel does not answer them, and they are retried late.
     fn delay_connections(&self, listener: Option<TcpListener>, address: SocketAddr) {
         drop(listener);
-        let Ok(short) = listen(address, SHORT_BACKLOG) else {
+        let Ok(short_listener) = listen(address, SHORT_BACKLOG) else {
             return;
         };
         let fillers: Vec<TcpStream> = (0..2)
             .filter_map(|_| TcpStream::connect_timeout(&address, POLL_INTERVAL).ok())
             .collect();
-        let own: HashSet<SocketAddr> = fillers
+        let filler_addresses: HashSet<SocketAddr> = fillers
             .iter()
             .filter_map(|filler| filler.local_addr().ok())
             .collect();
         while self.has_fault(FaultKind::LateConnections) {
             thread::sleep(POLL_INTERVAL);
         }
-        while let Ok((stream, peer)) = short.accept() {
-            if !own.contains(&peer) {
+        while let Ok((stream, peer)) = short_listener.accept() {
+            if !filler_addresses.contains(&peer) {
                 self.spawn(stream, 0);
             }
         }
@@ -148,13 +149,13 @@
     /// Serves the requests of one connection.
     fn serve(&self, mut stream: HttpStream, random: &mut Pcg64) {
         loop {
-            let mut began = None;
-            let request = stream.read_message(|begun| {
-                if begun && began.is_none() {
-                    began = Some(self.world.now());
+            let mut began_at = None;
+            let request = stream.read_message(|has_begun| {
+                if has_begun && began_at.is_none() {
+                    began_at = Some(self.world.now());
                 }
-                let cut = begun && self.fault() == Some(FaultKind::ResetInRequest);
-                cut || self.fault() == Some(FaultKind::EndpointDown) || self.world.is_stopped()
+                let is_cut = has_begun && self.fault() == Some(FaultKind::ResetInRequest);
+                is_cut || self.fault() == Some(FaultKind::EndpointDown) || self.world.is_stopped()
             });
             let Ok(request) = request else {
                 return stream.reset();
@@ -162,7 +163,7 @@
             let Some(id) = request.header("x-request-id").map(str::to_string) else {
                 return;
             };
-            let at = began.unwrap_or_else(|| self.world.now());
+            let at = began_at.unwrap_or_else(|| self.world.now());
             self.record_at(
                 at,
                 &id,
@@ -189,7 +190,7 @@
         self.world.history.record_at(at, self.sender, id, event);
     }
 
-    /// Runs a request and answers it, as the fault of the moment has it. False if the connection is to be reset.
+    /// Runs a request and answers it, according to the active fault. Returns false if the connection must be reset.
     fn answer(
         &self,
         stream: &mut HttpStream,
@@ -253,7 +254,7 @@
         }
     }
 
-    /// Answers nothing while the endpoint hangs, and then ends the connection.
+    /// Sends no answer while the endpoint hangs, and then ends the connection.
     fn hang(&self) -> bool {
         while self.has_fault(FaultKind::EndpointHangs) {
             thread::sleep(POLL_INTERVAL);
@@ -261,7 +262,7 @@
         false
     }
 
-    /// Waits until the time of a message is about to run out, or just has.
+    /// Waits until shortly before or after the deadline of a message.
     fn wait_until_about_deadline(&self, id: &str, random: &mut Pcg64) {
         let Some(deadline) = self.world.deadline(id) else {
             return;
@@ -282,8 +283,8 @@
         )
     }
 
-    /// Writes an answer and records it. A sender that has called the request off and closed the connection does not
-    /// hear of it.
+    /// Writes an answer and records it, unless the sender has cancelled the request by closing the connection. Returns
+    /// false if the write fails.
     fn respond(&self, stream: &mut HttpStream, id: &str, status: u16, text: &str) -> bool {
         self.respond_with_retry_after(stream, id, status, None, text)
     }
@@ -297,10 +298,10 @@
         text: &str,
     ) -> bool {
         let was_open = !stream.has_ended();
-        // What begins to be written behind a message's time counts for nothing, however soon.
+        // An answer counts only if its first byte is written before the deadline, so the time is taken before the write.
         let at = self.world.now();
         let written = stream.write(text);
-        // A connection that was closed in the same moment resets in reply: nobody has read the answer.
+        // If the sender closed the connection at the same moment, a reset comes back: the answer was never read.
         if written && was_open && !stream.is_reset() {
             let event = Event::Responded {
                 destination: self.destination(),
@@ -324,14 +325,14 @@
         id: &str,
         random: &mut Pcg64,
     ) -> bool {
-        let begun = self.respond(
+        let is_written = self.respond(
             stream,
             id,
             200,
             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\no",
         );
         sleep(random.random_range(LAST_BYTE_DELAY));
-        begun && stream.write("k")
+        is_written && stream.write("k")
     }
 
     fn answer_without_end(&self, stream: &mut HttpStream, id: &str) -> bool {
@@ -345,7 +346,7 @@
     }
 }
 
-/// Whether a request carries the body and the key of its message.
+/// Whether a request has the body and the idempotency key of its message.
 fn is_intact(request: &HttpMessage, id: &str) -> bool {
     Message::from_id(id).is_some_and(|message| {
         request.body == message.body().as_bytes()
--- a/crates/lab/src/soak/history.rs
+++ b/crates/lab/src/soak/history.rs
@@ -1,4 +1,4 @@
-//! What crossed the sockets during a soak, as every thread of the laboratory recorded it.
+//! The events of a soak on its sockets and processes, as the laboratory's threads record them.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -7,7 +7,7 @@
 
 use martenlatch_clock::Millis;
 
-/// A message class of the soak, by what a repeat does.
+/// The effect of a repeat of a message, by which the soak's message classes differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// A repeat takes effect again.
@@ -20,18 +20,18 @@
     Idempotent,
 }
 
-/// How a request ended that its client had written completely, if no answer came.
+/// Why a client that had written a complete request received no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoAnswerReason {
-    /// The connection was reset: nobody has read the request, or the process was killed.
+    /// The connection was reset: the request was never read, or the process was killed.
     Reset,
     /// The stream ended, and no reset followed: the request was read and dropped.
     EndOfStream,
-    /// The client waited for as long as clients wait, and closed the connection.
+    /// The client's time limit for the answer passed, and it closed the connection.
     TimedOut,
 }
 
-/// What a signal of the schedule does to a sender's process.
+/// An event of a sender's process. The soak prints the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessEvent {
     /// SIGTERM was sent.
@@ -40,32 +40,32 @@
     Kill,
     /// SIGHUP was sent.
     Reload,
-    /// The process was stopped.
+    /// The process was stopped with SIGSTOP.
     Pause,
-    /// The process goes on.
+    /// The process was continued with SIGCONT.
     Continue,
     /// Its wall clock was stepped.
     WallStep,
-    /// It exited.
+    /// It exited; with its exit code, unless a signal ended it.
     Exited(Option<i32>),
     /// It was started.
     Started,
     /// It answered its first health check.
     Ready,
-    /// It did not become ready in its time.
+    /// It did not become ready in time.
     NotReady,
 }
 
-/// One thing that happened. Spans are in milliseconds.
+/// A recorded event. Spans are in milliseconds. The history file has the names of its variants and fields.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A client wrote the last byte of a message.
     Submitted {
-        /// What a repeat does.
+        /// The effect of a repeat.
         effect: Effect,
-        /// How long the message may still be delivered.
+        /// How long from now the message may be delivered.
         timeout: Millis,
-        /// How long the write took, in which the message was handed in at some instant.
+        /// How long the write took; the message was submitted at some instant within it.
         writing: Millis,
     },
     /// The client read an answer.
@@ -75,54 +75,54 @@
     },
     /// The client's connection ended without an answer.
     Unanswered(NoAnswerReason),
-    /// A client that stopped in the middle of its request was not dealt with in its time.
+    /// A client that stopped in the middle of its request was neither answered nor disconnected in time.
     BadClientIgnored,
-    /// The first byte of a request came to an endpoint.
+    /// An endpoint received the first byte of a request.
     RequestBegan {
         /// The endpoint.
         endpoint: usize,
         /// Its destination.
         destination: usize,
     },
-    /// The last byte of a request came to an endpoint.
+    /// An endpoint received the last byte of a request.
     RequestArrived {
         /// The endpoint.
         endpoint: usize,
         /// Its destination.
         destination: usize,
-        /// Body and key are those of the message.
+        /// Body and idempotency key are those of the message.
         intact: bool,
-        /// It takes effect, as far as the endpoint knows: it is not rejected.
+        /// The endpoint does not reject the request, so it may take effect.
         runs: bool,
     },
-    /// An endpoint wrote a whole response, on a connection that the soak does not disturb.
+    /// An endpoint began to write a response on a connection that the sender had not closed.
     Responded {
         /// The endpoint's destination.
         destination: usize,
         /// The status.
         status: u16,
-        /// How long the sender must wait.
+        /// The retry-after, if the response has one.
         retry_after: Option<Millis>,
     },
     /// The platform confirmed a status report.
     Reported {
-        /// The status that it names.
+        /// The status in the report.
         status: String,
     },
-    /// The agent wrote to the sender that an endpoint drains, or takes requests.
+    /// The sender was notified that an endpoint drains, or accepts requests.
     ListTold {
         /// The endpoint.
         endpoint: usize,
-        /// It takes requests.
+        /// Whether it accepts requests.
         active: bool,
     },
-    /// Something happened to the sender's process.
+    /// An event of the sender's process.
     Process(ProcessEvent),
-    /// A line of the sender's log that tells of a defect.
+    /// A line of the sender's log that shows a defect.
     LoggedDefect(String),
 }
 
-/// An event with its instant and what it concerns.
+/// An event with its time, its sender and its message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
     /// Milliseconds since the start of the soak.
@@ -131,7 +131,7 @@
     pub sender: usize,
     /// The id of the message; empty if the event concerns none.
     pub message: String,
-    /// What happened.
+    /// The event.
     pub event: Event,
 }
 
@@ -166,12 +166,12 @@
         self.started.elapsed().as_secs_f64() * 1e3
     }
 
-    /// Records an event of this instant.
+    /// Records an event that happens now.
     pub fn record(&self, sender: usize, message: &str, event: Event) {
         self.record_at(self.now(), sender, message, event);
     }
 
-    /// Records an event of an earlier instant.
+    /// Records an event with a given time.
     pub fn record_at(&self, at: Millis, sender: usize, message: &str, event: Event) {
         let record = Record {
             at,
@@ -184,7 +184,7 @@
         }
     }
 
-    /// All records in the order of time.
+    /// All records, in order of time.
     pub fn sorted(&self) -> Vec<Record> {
         let mut records = self
             .records
@@ -196,18 +196,19 @@
     }
 }
 
-/// The messages that are accepted and have no end by these records.
+/// The number of messages that are accepted and have no end in these records.
 pub fn unfinished_messages(records: &[Record]) -> usize {
-    let mut ends: HashMap<&str, (bool, bool)> = HashMap::new();
+    let mut progress: HashMap<&str, (bool, bool)> = HashMap::new();
     for record in records {
-        let entry = ends.entry(&record.message).or_default();
+        let (accepted, ended) = progress.entry(&record.message).or_default();
         match &record.event {
-            Event::Answered { status: 202 } => entry.0 = true,
-            Event::Responded { status: 200, .. } | Event::Reported { .. } => entry.1 = true,
+            Event::Answered { status: 202 } => *accepted = true,
+            Event::Responded { status: 200, .. } | Event::Reported { .. } => *ended = true,
             _ => {}
         }
     }
-    ends.values()
+    progress
+        .values()
         .filter(|(accepted, ended)| *accepted && !ended)
         .count()
 }
--- a/crates/lab/src/soak/http.rs
+++ b/crates/lab/src/soak/http.rs
@@ -1,4 +1,4 @@
-//! Blocking HTTP for the soak's peers, which look now and then whether the soak is over.
+//! Blocking HTTP for the soak's peers, which regularly check whether the soak has stopped.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -6,21 +6,21 @@
 
 use socket2::SockRef;
 
-/// How long one read waits.
-const READ_SLICE: Duration = Duration::from_millis(25);
-/// More than any message of a soak.
+/// Timeout of a single read.
+const READ_TIMEOUT: Duration = Duration::from_millis(25);
+/// Limit on buffered bytes; larger than any message of a soak.
 const MAX_MESSAGE: usize = 256 * 1024;
 
 /// A request or a response.
 pub struct HttpMessage {
-    /// The head, without its last line end.
+    /// The head, without the empty line that ends it.
     pub head: String,
     /// The body.
     pub body: Vec<u8>,
 }
 
 impl HttpMessage {
-    /// A header's value; the name in lower case.
+    /// The value of a header; the case of the name does not matter.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.lines().skip(1).find_map(|line| {
             let (header, value) = line.split_once(':')?;
@@ -28,7 +28,7 @@
         })
     }
 
-    /// The status of a response.
+    /// The status of a response; 0 if it cannot be parsed.
     pub fn status(&self) -> u16 {
         self.head
             .split(' ')
@@ -38,14 +38,14 @@
     }
 }
 
-/// Why no message came.
+/// Why no complete message was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadError {
-    /// The stream ended.
+    /// The stream ended, or sent more than the limit.
     Ended,
     /// The connection was reset.
     Reset,
-    /// The reader was told to stop.
+    /// The `stop` function returned true.
     Stopped,
 }
 
@@ -57,11 +57,11 @@
 }
 
 impl HttpStream {
-    /// Reads from a connection.
+    /// Sets up a connection for reading.
     pub fn new(stream: TcpStream) -> HttpStream {
-        // A connection that is gone already shows in the first read.
+        // If the connection has failed already, the first read reports it.
         let _ = stream.set_nonblocking(false);
-        let _ = stream.set_read_timeout(Some(READ_SLICE));
+        let _ = stream.set_read_timeout(Some(READ_TIMEOUT));
         let _ = stream.set_nodelay(true);
         HttpStream {
             stream,
@@ -69,10 +69,10 @@
         }
     }
 
-    /// Reads a message. `stop` is asked now and then, and told whether any byte of the message has come.
+    /// Reads a message. `stop` is called regularly, with whether any byte of the message has been received.
     ///
     /// # Errors
-    /// Where no whole message comes.
+    /// If the connection ends or `stop` returns true before a message is complete.
     pub fn read_message(
         &mut self,
         mut stop: impl FnMut(bool) -> bool,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Reads what has come, or waits for a moment.
+    /// Reads available bytes, waiting up to [`READ_TIMEOUT`].
     fn read_some(&mut self) -> Result<(), ReadError> {
         let mut bytes = [0; 16 * 1024];
         match self.stream.read(&mut bytes) {
@@ -109,7 +109,7 @@
         let end = self
             .buffer
             .windows(4)
-            .position(|four| four == b"\r\n\r\n")?;
+            .position(|bytes| bytes == b"\r\n\r\n")?;
         let mut message = HttpMessage {
             head: String::from_utf8_lossy(&self.buffer[..end]).into_owned(),
             body: Vec::new(),
@@ -118,12 +118,12 @@
             .header("content-length")
             .and_then(|length| length.parse().ok())
             .unwrap_or(0);
-        let whole = end + 4 + length;
-        if self.buffer.len() < whole {
+        let total = end + 4 + length;
+        if self.buffer.len() < total {
             return None;
         }
-        message.body = self.buffer[end + 4..whole].to_vec();
-        self.buffer.drain(..whole);
+        message.body = self.buffer[end + 4..total].to_vec();
+        self.buffer.drain(..total);
         Some(message)
     }
 
@@ -132,13 +132,13 @@
         matches!(self.peek(), Ok(0)) || self.is_reset()
     }
 
-    /// Whether the connection is reset.
+    /// Whether the connection was reset.
     pub fn is_reset(&self) -> bool {
         self.peek()
             .is_err_and(|error| error.kind() != ErrorKind::WouldBlock)
     }
 
-    /// How many bytes wait to be read, at most one.
+    /// Returns 1 if a byte can be read and 0 at the end of the stream, without blocking.
     fn peek(&self) -> std::io::Result<usize> {
         let _ = self.stream.set_nonblocking(true);
         let next = self.stream.peek(&mut [0]);
@@ -146,12 +146,12 @@
         next
     }
 
-    /// Writes text. False if the connection did not take it.
+    /// Writes text. Returns false if the write fails.
     pub fn write(&mut self, text: &str) -> bool {
         self.stream.write_all(text.as_bytes()).is_ok()
     }
 
-    /// Ends the connection with a reset.
+    /// Closes the connection with a reset.
     pub fn reset(self) {
         let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
--- a/crates/lab/src/soak/processes.rs
+++ b/crates/lab/src/soak/processes.rs
@@ -1,4 +1,4 @@
-//! The senders of a soak as processes: signals, restarts, wall clocks, folders and calls, by the schedule.
+//! The senders of a soak as processes: signals, restarts, wall clocks, folders and system calls, as scheduled.
 
 mod list_changes;
 
@@ -19,12 +19,13 @@
 use crate::error::{LabError, ProcessEnd};
 use crate::sockets::sender_process::{Preparation, SenderProcess};
 
-/// A process starts again so long after its end.
+/// Time from the exit of a process to its restart.
 const RESTART_DELAY: Millis = 600.0;
-/// Of ten thousand socket calls, so many fail while calls fail.
+/// How many of ten thousand socket system calls fail during [`FaultKind::CallsFail`].
 const CALLS_FAILING_PER_MYRIAD: u32 = 250;
 /// Time between two signals of [`SIGNAL_SERIES`].
 const SIGNAL_GAP: Millis = 40.0;
+/// Signals that follow the first SIGTERM of [`ProcessAction::TerminateRepeatedly`].
 const SIGNAL_SERIES: [Signal; 4] = [
     Signal::SIGHUP,
     Signal::SIGTERM,
@@ -32,10 +33,10 @@
     Signal::SIGTERM,
 ];
 const NANOS_PER_MILLI: f64 = 1e6;
-/// The course of each message goes to the log, for the timelines of violations.
+/// Logs the steps of each message, for the timelines of violations.
 const LOG_SETTINGS: &str = "log { level: DEBUG lines_per_second: 10000 }\n";
 
-/// What a process is doing.
+/// The state of a sender's process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ProcessState {
     Down { start_at: Millis },
@@ -44,16 +45,16 @@
     Terminating { since: Millis },
 }
 
-/// One sender.
+/// One sender: its process, agents and active faults.
 struct SenderSlot {
     process: SenderProcess,
     /// The addresses of its agents.
     agents: Vec<SocketAddr>,
     control: ControlBlock,
     state: ProcessState,
-    /// When it is continued after a pause.
+    /// When the paused process must be continued.
     continue_at: Option<Millis>,
-    /// Signals still to be sent, with their instants.
+    /// Signals that are still to be sent, and when.
     pending_signals: Vec<(Millis, Signal)>,
     disk_fault: DiskFault,
     calls_fail: bool,
@@ -66,8 +67,9 @@
     slots: Vec<SenderSlot>,
     actions: std::vec::IntoIter<ScheduledAction>,
     next_action: Option<ScheduledAction>,
+    /// List changes that are still to be made, see [`Schedule::drains`].
     drains: Vec<(Millis, usize, bool)>,
-    /// SIGKILL follows SIGTERM so long after.
+    /// Time from SIGTERM to SIGKILL.
     kill_after: Millis,
 }
 
@@ -75,7 +77,7 @@
     /// Prepares the senders, their endpoints and agents; no process runs yet.
     ///
     /// # Errors
-    /// Where a port, a folder or a control block cannot be had.
+    /// If a port cannot be bound, or a folder or control block cannot be created.
     pub fn prepare(
         world: &Arc<World>,
         pids: &Arc<Pids>,
@@ -126,17 +128,17 @@
         })
     }
 
-    /// Gives processes so much longer to end.
+    /// Gives processes this much more time to exit before SIGKILL.
     pub fn extend_kill_timeout(&mut self, slack: Millis) {
         self.kill_after = KILL_AFTER_TERMINATE + slack;
     }
 
-    /// Where clients reach a sender.
+    /// The address of a sender for clients.
     pub fn address(&self, sender: usize) -> SocketAddr {
         self.slots[sender].process.address
     }
 
-    /// The ids of the processes that run.
+    /// The ids of the running processes.
     pub fn pids(&self) -> Vec<u32> {
         self.slots
             .iter()
@@ -144,17 +146,17 @@
             .collect()
     }
 
-    /// Whether every sender serves.
+    /// Whether every sender is running.
     pub fn all_running(&self) -> bool {
         self.slots
             .iter()
             .all(|slot| slot.state == ProcessState::Running)
     }
 
-    /// Does what is due.
+    /// Runs all list changes, actions, faults and process transitions that are due.
     ///
     /// # Errors
-    /// Where a process cannot be started, or its control block cannot be written.
+    /// If a process cannot be started, or its control block cannot be written.
     pub fn run_due(&mut self) -> Result<(), LabError> {
         let now = self.world.now();
         self.apply_list_changes(now);
@@ -169,7 +171,7 @@
         Ok(())
     }
 
-    /// Tells every process to end.
+    /// Sends SIGTERM to every process.
     pub fn terminate_all(&mut self) {
         let now = self.world.now();
         for sender in 0..self.slots.len() {
@@ -177,7 +179,7 @@
         }
     }
 
-    /// Whether no process is left; those that end are recorded.
+    /// Records the processes that have exited, kills those that are late, and returns whether none is left.
     pub fn all_ended(&mut self) -> bool {
         let now = self.world.now();
         for sender in 0..self.slots.len() {
@@ -193,10 +195,10 @@
             .all(|slot| matches!(slot.state, ProcessState::Down { .. }))
     }
 
-    /// What each sender has written, to its log and to its errors.
+    /// The log and the error output of each sender.
     ///
     /// # Errors
-    /// Where a file cannot be read.
+    /// If a file cannot be read.
     pub fn logs(&self) -> Result<Vec<String>, LabError> {
         self.slots
             .iter()
@@ -275,7 +277,7 @@
         self.slots[sender].process.signal(Signal::SIGKILL);
     }
 
-    /// Has the sender's folder and calls fail as the schedule says.
+    /// Makes the sender's folder and system calls fail as scheduled.
     fn apply_faults(&mut self, sender: usize, now: Millis) -> Result<(), LabError> {
         let schedule = &self.world.schedule;
         let disk = [
--- a/crates/lab/src/soak/processes/list_changes.rs
+++ b/crates/lab/src/soak/processes/list_changes.rs
@@ -1,4 +1,4 @@
-//! The changes of the endpoint list, and what counts as told of them to each sender.
+//! Changes of the endpoint list, and when a sender counts as notified of them.
 
 use martenlatch_clock::Millis;
 
@@ -6,13 +6,13 @@
 use super::super::schedule::FaultKind;
 use super::{ProcessState, Processes};
 
-/// A change of the list is told behind its instant, when a fault may have begun.
+/// A sender may receive a change this long after it is made, when a fault may have begun.
 const UPDATE_MARGIN: Millis = 1_000.0;
-/// What discovery has at its new address counts so long after a move.
+/// After discovery has moved, changes at its new address count as received only after this time.
 const MOVE_GRACE: Millis = 4_000.0;
 
 impl Processes {
-    /// Makes the changes that are due.
+    /// Makes the list changes that are due.
     pub(super) fn apply_list_changes(&mut self, now: Millis) {
         let due: Vec<(Millis, usize, bool)> =
             self.drains.extract_if(.., |(at, ..)| *at <= now).collect();
@@ -30,8 +30,9 @@
         }
     }
 
-    /// What an agent has counts as told, whether or not a watch is open, from the first moment of a process: but not
-    /// while the agent or the sender's calls fail, nor soon after discovery has moved.
+    /// Records that all senders are notified of a change. A running process counts as notified as soon as its agent has
+    /// the change, whether or not a watch is open. It does not while the agent or the sender's system calls fail, or soon
+    /// after discovery has moved.
     fn record_list_change(&self, endpoint: usize, active: bool, now: Millis) {
         const EXCUSING_FAULTS: [FaultKind; 4] = [
             FaultKind::WatchSilent,
@@ -55,7 +56,7 @@
         }
     }
 
-    /// What a process is started with counts as told.
+    /// Records that a process is notified of the list that it is started with.
     pub(super) fn record_initial_list(&self, sender: usize) {
         let Ok(list) = self.world.list.lock() else {
             return;
@@ -67,7 +68,7 @@
         }
     }
 
-    /// The present list as a sender is given it.
+    /// The current list in the form that a sender's configuration has.
     pub(super) fn endpoint_list(&self, sender: usize) -> serde_json::Value {
         let all: Vec<usize> = (0..self.world.size.endpoints).collect();
         match (self.world.list.lock(), self.world.endpoint_addresses.lock()) {
--- a/crates/lab/src/soak/schedule.rs
+++ b/crates/lab/src/soak/schedule.rs
@@ -1,67 +1,67 @@
-//! The faults of a soak: a pure function of its seed.
+//! The schedule of a soak's faults: a pure function of its seed and size.
 
 use martenlatch_clock::Millis;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
-/// A fault that lasts for a while.
+/// A fault that lasts for some time. The soak prints the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// An endpoint reads requests and answers none.
+    /// An endpoint reads requests and does not answer.
     EndpointHangs,
     /// An endpoint resets its connections, and refuses new ones.
     EndpointDown,
-    /// An endpoint writes half an answer and ends the connection.
+    /// An endpoint writes a part of an answer and closes the connection.
     HalfAnswer,
     /// An endpoint announces a longer body than it sends.
     WrongLength,
     /// An endpoint's answer has a head that never ends.
     EndlessAnswer,
-    /// An endpoint takes long.
+    /// An endpoint takes long to answer.
     EndpointSlow,
-    /// An endpoint rejects requests and says how long to wait.
+    /// An endpoint rejects requests with 429 and a retry-after.
     EndpointBusy,
     /// An endpoint answers 500.
     EndpointFails,
     /// Connections to an endpoint are reset in the middle of a request.
     ResetInRequest,
-    /// Connections to an endpoint are reset behind a whole request.
+    /// Connections to an endpoint are reset after a complete request.
     ResetBehindRequest,
-    /// Answers of an endpoint come in two parts, the last byte late.
+    /// The last byte of an endpoint's answers is late.
     LastByteLate,
-    /// An endpoint ends its sending side behind each answer.
+    /// An endpoint shuts down its sending side after each answer.
     HalfClose,
-    /// New connections to an endpoint come up late.
+    /// New connections to an endpoint are established late.
     LateConnections,
-    /// An endpoint drains; afterwards it is replaced by another one at the same address.
+    /// An endpoint drains; at the end of the fault, another one replaces it at the same address.
     Drain,
-    /// A sender's watch is open and silent.
+    /// A sender's watch is open and receives nothing.
     WatchSilent,
-    /// A sender's agent closes every connection.
+    /// A sender's agent ends every watch.
     DiscoveryDown,
     /// A sender's agent answers late.
     DiscoverySlow,
-    /// Status reports of a sender are read and not confirmed.
+    /// A sender's status reports are read and not confirmed.
     ReportsUnconfirmed,
-    /// A sender's folder takes no more bytes.
+    /// Writes to a sender's folder fail as on a full disk.
     DiskFull,
-    /// Every write to a sender's folder fails.
+    /// Every write to a sender's folder fails with an I/O error.
     DiskBroken,
-    /// Writes to a sender's folder stop half-way.
+    /// Writes to a sender's folder stop halfway.
     DiskStopsHalfway,
-    /// Some of a sender's socket calls fail.
+    /// Some of a sender's socket system calls fail.
     CallsFail,
-    /// Many clients connect to a sender and say nothing.
+    /// Many clients connect to a sender and send nothing.
     Crowd,
-    /// An endpoint answers as the time of each message runs out, a little before or behind it.
+    /// An endpoint answers shortly before or after the deadline of each message.
     AnswersAsTimeRunsOut,
-    /// Status reports of a sender fail for a moment again and again.
+    /// A sender's status reports fail for a short time again and again.
     ReportsStutter,
-    /// A sender's log cannot be read.
+    /// A sender's write-ahead log cannot be read.
     LogUnreadable,
 }
 
-/// The faults of endpoints.
+/// The faults of endpoints; one that is listed twice is drawn twice as often.
 const ENDPOINT_FAULTS: [FaultKind; 14] = [
     FaultKind::EndpointHangs,
     FaultKind::EndpointDown,
@@ -92,16 +92,16 @@
     FaultKind::Crowd,
 ];
 
-/// The faults of endpoints that come beside the others.
+/// Extra faults of endpoints, drawn from the stream of [`EXTRA_FAULT_STREAM`].
 const EXTRA_ENDPOINT_FAULTS: [FaultKind; 1] = [FaultKind::AnswersAsTimeRunsOut];
 
-/// The faults of senders that come beside the others.
+/// Extra faults of senders and their agents, drawn from the stream of [`EXTRA_FAULT_STREAM`].
 const EXTRA_SENDER_FAULTS: [FaultKind; 2] = [FaultKind::ReportsStutter, FaultKind::LogUnreadable];
 
-/// A fault of one endpoint or sender, from an instant to another.
+/// A fault of one endpoint or sender and the time span in which it is active.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultWindow {
-    /// What happens.
+    /// The fault.
     pub fault: FaultKind,
     /// The endpoint or sender.
     pub target: usize,
@@ -111,73 +111,73 @@
     pub until: Millis,
 }
 
-/// What is done to a sender's process.
+/// An action on a sender's process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProcessAction {
-    /// SIGTERM; SIGKILL comes as early as the platform allows.
+    /// SIGTERM, with SIGKILL as early afterwards as the platform allows.
     Terminate,
-    /// SIGTERM several times, with SIGHUPs between.
+    /// SIGTERM several times, with SIGHUPs between them.
     TerminateRepeatedly,
     /// SIGKILL.
     Kill,
-    /// SIGKILL right behind the next 202.
+    /// SIGKILL immediately after the next 202.
     KillAfterAccept,
     /// SIGHUP.
     Reload,
-    /// Discovery moves to another address, and SIGHUP tells the sender.
+    /// Moves discovery to another address and notifies the sender with SIGHUP.
     MoveDiscovery,
-    /// SIGSTOP, and SIGCONT so much later.
+    /// SIGSTOP, with SIGCONT this much later.
     Pause(Millis),
-    /// The wall clock is stepped by so much.
+    /// Steps the wall clock by this much.
     StepWallClock(Millis),
 }
 
-/// An action on a sender's process.
+/// An action on a sender's process and its time.
 #[derive(Clone, Copy, Debug)]
 pub struct ScheduledAction {
-    /// When.
+    /// When it is due.
     pub at: Millis,
     /// The sender.
     pub sender: usize,
-    /// What is done.
+    /// The action.
     pub action: ProcessAction,
 }
 
-/// The whole schedule.
+/// The schedule of a soak.
 #[derive(Clone, Debug, Default)]
 pub struct Schedule {
-    /// Faults that last.
+    /// Faults that last for some time.
     pub fault_windows: Vec<FaultWindow>,
-    /// Actions, in the order of time.
+    /// Actions, in order of time.
     pub actions: Vec<ScheduledAction>,
 }
 
 /// The size of a soak.
 #[derive(Clone, Copy, Debug)]
 pub struct SoakSize {
-    /// Senders.
+    /// Number of senders.
     pub senders: usize,
-    /// Endpoints.
+    /// Number of endpoints.
     pub endpoints: usize,
-    /// How long faults are made.
+    /// How long faults are injected.
     pub duration: Millis,
 }
 
-/// No process is ended for so long before the end, so that all messages can have theirs.
+/// No action is scheduled this long before the end, so that all messages can end.
 const QUIET_END: Millis = 1_500.0;
-/// Faults that last do so for a span of this range.
+/// How long a fault lasts.
 const FAULT_DURATION: std::ops::Range<Millis> = 400.0..2_500.0;
-/// Between two actions on the same sender.
+/// Time between two actions on the same sender.
 const ACTION_GAP: std::ops::Range<Millis> = 600.0..2_800.0;
-/// Between two faults of the same endpoint or sender.
+/// Time between two faults of the same endpoint or sender.
 const FAULT_GAP: std::ops::Range<Millis> = 300.0..5_000.0;
-/// The longest stop of a process.
+/// The longest pause of a process that the platform makes.
 const MAX_PAUSE: Millis = 150.0;
-/// A process that is held up for longer than the platform's figure may miss what falls into that time, and nothing else.
+/// Pauses longer than the platform makes. A process may miss what falls due during such a pause, and nothing else.
 const LONG_PAUSE: std::ops::Range<Millis> = 250.0..390.0;
-/// Between two further actions on the same sender.
+/// Time between two extra actions on the same sender.
 const EXTRA_ACTION_GAP: std::ops::Range<Millis> = 1_500.0..4_500.0;
-/// Sets the random numbers of the further faults apart: those of the others stay as they are for each seed.
+/// Gives the extra faults a random stream of their own, so that they do not change the other faults of a seed.
 const EXTRA_FAULT_STREAM: u64 = 0x5851_F42D_4C95_7F2D;
 /// Steps of the wall clock, in milliseconds.
 const WALL_CLOCK_STEPS: [Millis; 8] = [3_600e3, -3_600e3, 5e3, -5e3, 900e3, -900e3, 2e3, -3e3];
@@ -189,7 +189,7 @@
         let mut schedule = Schedule::default();
         for endpoint in 0..size.endpoints {
             schedule.add_windows(&mut random, &ENDPOINT_FAULTS, endpoint, size.duration);
-            // The first endpoint of each destination stays listed.
+            // The first endpoint of each destination never drains.
             if endpoint % 2 == 1 {
                 schedule.add_windows(&mut random, &[FaultKind::Drain], endpoint, size.duration);
             }
@@ -255,7 +255,8 @@
         }
     }
 
-    /// When which endpoint drains (true) or is replaced.
+    /// The list changes of all drains: the time, the endpoint, and whether it starts to drain (true) or is replaced
+    /// (false).
     pub fn drains(&self) -> Vec<(Millis, usize, bool)> {
         self.fault_windows
             .iter()
@@ -269,13 +270,13 @@
             .collect()
     }
 
-    /// Takes the steps of wall clocks out.
+    /// Removes all steps of wall clocks.
     pub fn remove_wall_clock_steps(&mut self) {
         self.actions
             .retain(|scheduled| !matches!(scheduled.action, ProcessAction::StepWallClock(_)));
     }
 
-    /// Whether a fault of a target is on.
+    /// Whether a fault of an endpoint or sender is active.
     pub fn is_active(&self, fault: FaultKind, target: usize, now: Millis) -> bool {
         self.fault_windows.iter().any(|window| {
             window.fault == fault
@@ -284,7 +285,7 @@
         })
     }
 
-    /// The fault of an endpoint that is on.
+    /// The active fault of an endpoint.
     pub fn endpoint_fault(&self, endpoint: usize, now: Millis) -> Option<FaultKind> {
         self.fault_windows
             .iter()
--- a/crates/lab/src/soak/shim.rs
+++ b/crates/lab/src/soak/shim.rs
@@ -8,10 +8,10 @@
 
 use crate::error::LabError;
 
-/// The library's source, which is built when a soak starts.
+/// The source of the library, which is built when a soak starts.
 const SOURCE: &str = include_str!("../../shim/faults.c");
 
-/// What fails of a folder. The numbers are those of the source.
+/// How operations on a sender's folder fail. The numbers are those of the source.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DiskFault {
     /// Nothing fails.
@@ -19,29 +19,29 @@
     None = 0,
     /// Writes fail with ENOSPC.
     Full = 1,
-    /// Writes, cuts and renames fail with EIO.
+    /// Creating, writing, truncating, syncing and renaming files fails with EIO.
     Broken = 2,
-    /// Every second write stops half-way, the next one fails.
+    /// Every second write stops halfway, and the next one fails with ENOSPC.
     StopsHalfway = 3,
-    /// The log cannot be opened for reading.
+    /// The write-ahead log cannot be opened for reading.
     Unreadable = 4,
 }
 
-/// What a sender's control block says.
+/// The contents of a sender's control block.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ControlState {
-    /// By how much its wall clock is off, in nanoseconds.
+    /// The offset of the sender's wall clock, in nanoseconds.
     pub wall_offset_ns: i64,
-    /// The seed of its random numbers.
+    /// The seed of the library's random numbers.
     pub seed: u64,
-    /// How many of ten thousand socket calls fail.
+    /// How many of ten thousand socket system calls fail.
     pub calls_failing_per_myriad: u32,
-    /// What fails of its folder.
+    /// How operations on the sender's folder fail.
     pub disk: DiskFault,
 }
 
 impl ControlState {
-    /// The block's bytes, in the layout of the source.
+    /// The bytes of the block, in the layout of the source.
     fn encode(&self) -> [u8; 24] {
         let mut bytes = [0; 24];
         bytes[..8].copy_from_slice(&self.wall_offset_ns.to_ne_bytes());
@@ -52,10 +52,10 @@
     }
 }
 
-/// Builds the library in a folder. Returns its path.
+/// Builds the library in a folder and returns its path.
 ///
 /// # Errors
-/// Where the compiler cannot be run, or fails.
+/// If the source cannot be written, or the compiler cannot be run or fails.
 pub fn build(folder: &Path) -> Result<PathBuf, LabError> {
     let source = folder.join("faults.c");
     let library = folder.join("libfaults.so");
@@ -82,10 +82,10 @@
 }
 
 impl ControlBlock {
-    /// A block in which nothing fails.
+    /// Creates a control block with which nothing fails.
     ///
     /// # Errors
-    /// Where its file cannot be written.
+    /// If its file cannot be written.
     pub fn create(folder: &Path, sender: usize, seed: u64) -> Result<ControlBlock, LabError> {
         let path = folder.join(format!("control-{sender}"));
         let file = File::create(&path).map_err(LabError::file(&path))?;
@@ -98,10 +98,10 @@
         Ok(control)
     }
 
-    /// Changes what fails, at once also for a process that runs.
+    /// Changes the block, with immediate effect on a running process.
     ///
     /// # Errors
-    /// Where its file cannot be written.
+    /// If its file cannot be written.
     pub fn change(&mut self, change: impl FnOnce(&mut ControlState)) -> Result<(), LabError> {
         change(&mut self.state);
         self.file
@@ -109,7 +109,7 @@
             .map_err(LabError::file(&self.path))
     }
 
-    /// The environment of a process that the block rules.
+    /// The environment variables of a process that is to use the block.
     pub fn environment(&self, library: &Path) -> Vec<(OsString, OsString)> {
         vec![
             ("LD_PRELOAD".into(), library.into()),
--- a/crates/lab/src/soak/world.rs
+++ b/crates/lab/src/soak/world.rs
@@ -1,4 +1,4 @@
-//! What all threads of a soak share.
+//! State that all threads of a soak share, and the messages and settings of a soak.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,26 +12,26 @@
 use super::history::{Effect, History};
 use super::schedule::{Schedule, SoakSize};
 
-/// How long endpoints remember keys.
+/// How long endpoints remember idempotency keys.
 pub const IDEMPOTENCY_WINDOW: Millis = 2_000.0;
-/// Endpoints of one destination.
+/// Number of endpoints of one destination.
 pub const ENDPOINTS_PER_DESTINATION: usize = 2;
-/// Agents of one sender, of which discovery is one at a time.
+/// Number of agents of one sender; one at a time provides discovery.
 pub const AGENTS_PER_SENDER: usize = 2;
-/// How long a thread sleeps before it looks again whether the soak is over.
+/// Interval in which a thread checks whether the soak has stopped.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// An endpoint as discovery lists it.
 #[derive(Clone, Debug)]
 struct ListedEndpoint {
-    /// How many endpoints there were at this address before it.
+    /// The number of earlier endpoints at this address.
     generation: u32,
     state: &'static str,
 }
 
-/// The endpoint list.
+/// The endpoint list that discovery serves.
 pub struct EndpointList {
-    /// Its version.
+    /// The version of the list, from 1.
     pub version: u64,
     endpoints: Vec<ListedEndpoint>,
     /// For each version from the second one on, the endpoint that changed.
@@ -51,13 +51,13 @@
         }
     }
 
-    /// The endpoint drains.
+    /// Sets an endpoint to draining.
     pub fn drain(&mut self, endpoint: usize) {
         self.endpoints[endpoint].state = "terminating";
         self.record_change(endpoint);
     }
 
-    /// Another endpoint takes the place of one that drained.
+    /// Replaces a draining endpoint by another one at the same address.
     pub fn replace(&mut self, endpoint: usize) {
         self.endpoints[endpoint].generation += 1;
         self.endpoints[endpoint].state = "in_service";
@@ -69,7 +69,7 @@
         self.changes.push(endpoint);
     }
 
-    /// Whether an endpoint takes requests.
+    /// Whether an endpoint accepts requests.
     pub fn is_active(&self, endpoint: usize) -> bool {
         self.endpoints[endpoint].state == "in_service"
     }
@@ -104,7 +104,7 @@
         entries
     }
 
-    /// The list, or the changes of some endpoints, as a sender sees it.
+    /// The whole list, or the changes of some endpoints, in the form that discovery sends.
     pub fn to_json(&self, endpoints: &[usize], complete: bool, addresses: &[SocketAddr]) -> Value {
         let targets: Vec<Value> = endpoints
             .iter()
@@ -115,7 +115,7 @@
     }
 }
 
-/// The zone of an endpoint: those of one destination are in different ones.
+/// The zone of an endpoint. The endpoints of one destination are in different zones.
 pub fn zone_of(endpoint: usize) -> &'static str {
     if endpoint.is_multiple_of(ENDPOINTS_PER_DESTINATION) {
         "a"
@@ -124,13 +124,13 @@
     }
 }
 
-/// What all threads share.
+/// State that all threads of a soak share.
 pub struct World {
-    /// What happened.
+    /// The recorded events.
     pub history: History,
-    /// What happens to whom.
+    /// The scheduled faults and actions.
     pub schedule: Schedule,
-    /// How large the soak is.
+    /// The size of the soak.
     pub size: SoakSize,
     /// The seed.
     pub seed: u64,
@@ -138,29 +138,29 @@
     pub list: Mutex<EndpointList>,
     /// For each sender, the addresses of its endpoints.
     pub endpoint_addresses: Mutex<Vec<Vec<SocketAddr>>>,
-    /// Clients submit nothing more.
+    /// Set when clients must submit nothing more.
     pub clients_stopped: AtomicBool,
-    /// All threads end.
+    /// Set when all threads must end.
     pub stopped: AtomicBool,
-    /// For each sender, how many messages it has accepted.
+    /// For each sender, the number of messages that it has accepted.
     pub accepted: Vec<AtomicUsize>,
-    /// When the time of each message is up, by its id.
+    /// The deadline of each submitted message, by its id.
     pub deadlines: Mutex<HashMap<String, Millis>>,
-    /// For each sender, where discovery is.
+    /// For each sender, the agent that provides discovery.
     pub discovery: Vec<Mutex<ActiveAgent>>,
 }
 
-/// Which of its agents a sender's discovery is.
+/// The agent that provides a sender's discovery.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ActiveAgent {
-    /// The agent.
+    /// The index of the agent among those of the sender.
     pub agent: usize,
-    /// Since when.
+    /// When discovery moved to it; 0 for the first agent.
     pub since: Millis,
 }
 
 impl World {
-    /// A world in which nothing runs yet.
+    /// The state before anything runs.
     pub fn new(seed: u64, size: SoakSize) -> World {
         World {
             history: History::default(),
@@ -177,19 +177,19 @@
         }
     }
 
-    /// Whether all threads are to end.
+    /// Whether all threads must end.
     pub fn is_stopped(&self) -> bool {
         self.stopped.load(Ordering::Relaxed)
     }
 
-    /// Notes that a message is handed in at an instant.
+    /// Stores the deadline of a message that is being submitted.
     pub fn set_deadline(&self, id: &str, deadline: Millis) {
         if let Ok(mut deadlines) = self.deadlines.lock() {
             deadlines.insert(id.to_string(), deadline);
         }
     }
 
-    /// When the time of a message is up; none if no client has handed it in.
+    /// The deadline of a message; `None` if no client has submitted it.
     pub fn deadline(&self, id: &str) -> Option<Millis> {
         self.deadlines.lock().ok()?.get(id).copied()
     }
@@ -201,7 +201,7 @@
             .is_ok_and(|active| active.since > 0.0 && active.since >= since)
     }
 
-    /// Moves the discovery of a sender to the next of its agents. Returns that.
+    /// Moves the discovery of a sender to its next agent. Returns the index of that agent.
     pub fn move_discovery(&self, sender: usize) -> usize {
         let now = self.now();
         let Ok(mut active) = self.discovery[sender].lock() else {
@@ -214,22 +214,22 @@
         active.agent
     }
 
-    /// Milliseconds since the start.
+    /// Milliseconds since the start of the soak.
     pub fn now(&self) -> Millis {
         self.history.now()
     }
 }
 
-/// A message of the soak: all that is told of it follows from its id.
+/// A message of the soak. All its properties follow from its id.
 pub struct Message {
     /// Its id.
     pub id: String,
-    /// What a repeat does.
+    /// The effect of a repeat.
     pub effect: Effect,
 }
 
 impl Message {
-    /// The message of an id; none if no client of a soak would have given it.
+    /// The message with an id; `None` if the id is not one that clients of a soak use.
     pub fn from_id(id: &str) -> Option<Message> {
         let effect = match id.chars().next()? {
             'u' => Effect::NonIdempotent,
@@ -244,7 +244,7 @@
         })
     }
 
-    /// The first letter of the ids of messages of an effect.
+    /// The first letter of the ids of messages with an effect.
     pub fn id_prefix(effect: Effect) -> char {
         match effect {
             Effect::NonIdempotent => 'u',
@@ -254,7 +254,7 @@
         }
     }
 
-    /// The name of its class.
+    /// The name of its message class.
     pub fn class(&self) -> &'static str {
         match self.effect {
             Effect::NonIdempotent => "debit",
@@ -269,7 +269,7 @@
         format!("key-of-{}", self.id)
     }
 
-    /// Its body: as long as its id says.
+    /// Its body, whose length and content follow from its id.
     pub fn body(&self) -> String {
         const MAX_LENGTH: u32 = 3_000;
         let length = fnv1a(&self.id) % MAX_LENGTH;
@@ -281,14 +281,14 @@
     }
 }
 
-/// A number that is the same for the same text.
+/// The 32-bit FNV-1a hash of a text.
 fn fnv1a(text: &str) -> u32 {
     text.bytes().fold(2_166_136_261, |hash, byte| {
         (hash ^ u32::from(byte)).wrapping_mul(16_777_619)
     })
 }
 
-/// The settings that senders get from the platform.
+/// The platform settings of the senders.
 pub fn platform_settings(senders: usize) -> Value {
     let category = |name: &str, effect: &str, key_scope: &str| {
         json!({"Name": name, "Target": 1_000_000_000u64, "Deadline": 4_000_000_000u64, "Effect": effect,
