--- a/crates/lab/src/soak/agent.rs
+++ b/crates/lab/src/soak/agent.rs
@@ -14,7 +14,7 @@
 use super::world::{AGENTS_PER_SENDER, POLL_INTERVAL, World};
 use crate::error::LabError;
 
-/// Interval of empty lines on a watch without updates.
+/// Interval between empty lines on a watch without updates.
 const KEEP_ALIVE: Millis = 2_000.0;
 /// Delay of a slow agent's answer.
 const SLOW_ANSWER_DELAY: Duration = Duration::from_millis(700);
@@ -24,7 +24,7 @@
 /// While reports stutter, they fail at the beginning of each period, alternately by the end of their connection and by
 /// the lack of an answer.
 const STUTTER_PERIOD: Millis = 500.0;
-const STUTTER_FAILURE: Millis = 120.0;
+const STUTTER_FAILURE_TIME: Millis = 120.0;
 
 /// An agent of one sender.
 #[derive(Clone)]
@@ -115,7 +115,7 @@
         }
         let now = self.world.now();
         let stutters = self.has_fault(FaultKind::ReportsStutter)
-            && now.rem_euclid(STUTTER_PERIOD) < STUTTER_FAILURE;
+            && now.rem_euclid(STUTTER_PERIOD) < STUTTER_FAILURE_TIME;
         if !stutters {
             return ReportReply::Confirm;
         }
--- a/crates/lab/src/soak/client.rs
+++ b/crates/lab/src/soak/client.rs
@@ -33,7 +33,7 @@
 /// Pause after a failed connection, and after a crowd.
 const CONNECT_PAUSE: Duration = Duration::from_millis(40);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// A misbehaving client loses an answer after every this many misbehaviours.
+/// Number of misbehaviours after which a misbehaving client loses an answer.
 const LOST_ANSWER_PERIOD: usize = 3;
 /// Timeout of a message whose answer is lost, and when it is submitted again: after its deadline.
 const LOST_ANSWER_TIMEOUT: Millis = 700.0;
@@ -78,16 +78,16 @@
         }
     }
 
-    fn new_message(&self, count: usize, random: &mut Pcg64) -> (Message, Millis) {
+    fn new_message(&self, count: usize, rng: &mut Pcg64) -> (Message, Millis) {
         let effects = [Effect::NonIdempotent, Effect::Keyed, Effect::Idempotent];
-        let effect = match effects[random.random_range(0..effects.len())] {
+        let effect = match effects[rng.random_range(0..effects.len())] {
             // For every second message with an idempotency key, the key is valid in one zone only.
             Effect::Keyed if count.is_multiple_of(2) => Effect::KeyedInZone,
             effect => effect,
         };
         let prefix = Message::id_prefix(effect);
         let id = format!("{prefix}{}-{}-{count}", self.sender, self.number);
-        let timeout = TIMEOUTS[random.random_range(0..TIMEOUTS.len())];
+        let timeout = TIMEOUTS[rng.random_range(0..TIMEOUTS.len())];
         (
             Message::from_id(&id).expect("the id has a known prefix"),
             timeout,
@@ -97,7 +97,7 @@
     /// Sends requests over one connection until it ends, then over the next one. Only every second client obeys
     /// `Connection: close`.
     pub fn keep_busy(&self) {
-        let mut random = self.rng();
+        let mut rng = self.rng();
         let obeys_close = self.number.is_multiple_of(2);
         let mut connection = None;
         let mut count = 0;
@@ -106,27 +106,27 @@
                 continue;
             };
             count += 1;
-            let (message, timeout) = self.new_message(count, &mut random);
-            if let Some(closes) = self.exchange(&mut stream, &message, timeout, &mut random)
+            let (message, timeout) = self.new_message(count, &mut rng);
+            if let Some(closes) = self.exchange(&mut stream, &message, timeout, &mut rng)
                 && !(closes && obeys_close)
             {
                 connection = Some(stream);
             }
-            let pause = random.random_range(THINK_TIME);
+            let pause = rng.random_range(THINK_TIME);
             thread::sleep(Duration::from_secs_f64(pause / 1e3));
         }
     }
 
-    /// Submits a message and reads the answer. Returns whether the answer announces the end of the connection; `None` if
-    /// the connection has ended.
+    /// Submits a message and reads the answer. Returns whether the answer announces the end of the connection, and
+    /// `None` if the connection has ended or the answer is late.
     fn exchange(
         &self,
         stream: &mut HttpStream,
         message: &Message,
         timeout: Millis,
-        random: &mut Pcg64,
+        rng: &mut Pcg64,
     ) -> Option<bool> {
-        let text = self.request_text(message, timeout, random);
+        let text = self.request_text(message, timeout, rng);
         self.exchange_request(stream, message, timeout, &text)
     }
 
@@ -179,7 +179,7 @@
         Some(answer.header("connection") == Some("close"))
     }
 
-    fn request_text(&self, message: &Message, timeout: Millis, random: &mut Pcg64) -> String {
+    fn request_text(&self, message: &Message, timeout: Millis, rng: &mut Pcg64) -> String {
         let body = message.body();
         let destinations = self.world.size.endpoints / super::world::ENDPOINTS_PER_DESTINATION;
         format!(
@@ -189,7 +189,7 @@
             message.id,
             timeout / 1e3,
             message.key(),
-            random.random_range(0..destinations),
+            rng.random_range(0..destinations),
             body.len()
         )
     }
@@ -222,10 +222,10 @@
             .record_at(at, self.sender, &message.id, Event::Unanswered(reason));
     }
 
-    /// Misbehaves in different ways: stops in the middle of a request, disconnects after a request, sends two requests at
-    /// once, or opens a crowd of connections.
+    /// Misbehaves in different ways: stops in the middle of a request, disconnects after a request, sends two requests
+    /// at once, or opens a crowd of connections.
     pub fn misbehave(&self) {
-        let mut random = self.rng();
+        let mut rng = self.rng();
         let mut count = 0;
         while !self.is_stopped() {
             count += 1;
@@ -236,10 +236,10 @@
             let Some(mut stream) = self.connect() else {
                 continue;
             };
-            let (message, timeout) = self.new_message(count, &mut random);
-            let text = self.request_text(&message, timeout, &mut random);
-            match random.random_range(0..3) {
-                0 => self.stop_in_request(&mut stream, &text, &mut random),
+            let (message, timeout) = self.new_message(count, &mut rng);
+            let text = self.request_text(&message, timeout, &mut rng);
+            match rng.random_range(0..3) {
+                0 => self.stop_in_request(&mut stream, &text, &mut rng),
                 1 => _ = stream.write(&text),
                 _ => {
                     stream.write(&format!("{text}{text}"));
@@ -247,20 +247,21 @@
                     let _ = stream.read_message(|_| self.world.now() > until);
                 }
             }
-            thread::sleep(Duration::from_millis(random.random_range(50..600)));
+            thread::sleep(Duration::from_millis(rng.random_range(50..600)));
             if count.is_multiple_of(LOST_ANSWER_PERIOD) && !self.is_stopped() {
-                self.lose_answer(count, &mut random);
+                self.lose_answer(count, &mut rng);
             }
         }
     }
 
     /// Submits a message, resets the connection without reading the answer, and submits the message again after its
-    /// deadline. As no client received the 202, the message must be reported after the second submission.
-    fn lose_answer(&self, count: usize, random: &mut Pcg64) {
+    /// deadline. A report sent in between is not enough, because no client had received the 202: the sender must report
+    /// the message again.
+    fn lose_answer(&self, count: usize, rng: &mut Pcg64) {
         let prefix = Message::id_prefix(Effect::NonIdempotent);
         let id = format!("{prefix}{}-{}-{count}-again", self.sender, self.number);
         let message = Message::from_id(&id).expect("the id has a known prefix");
-        let text = self.request_text(&message, LOST_ANSWER_TIMEOUT, random);
+        let text = self.request_text(&message, LOST_ANSWER_TIMEOUT, rng);
         let Some(mut stream) = self.connect() else {
             return;
         };
@@ -270,7 +271,7 @@
         {
             return;
         }
-        thread::sleep(Duration::from_millis(random.random_range(0..60)));
+        thread::sleep(Duration::from_millis(rng.random_range(0..60)));
         stream.reset();
         thread::sleep(Duration::from_secs_f64(LOST_ANSWER_RETRY_DELAY / 1e3));
         if let Some(mut stream) = self.connect() {
@@ -278,8 +279,8 @@
         }
     }
 
-    fn stop_in_request(&self, stream: &mut HttpStream, text: &str, random: &mut Pcg64) {
-        let length = random.random_range(1..text.len());
+    fn stop_in_request(&self, stream: &mut HttpStream, text: &str, rng: &mut Pcg64) {
+        let length = rng.random_range(1..text.len());
         if !stream.write(&text[..length]) {
             return;
         }
@@ -309,7 +310,7 @@
     }
 }
 
-/// Whether the connection is reset within [`RESET_TIMEOUT`].
+/// Waits up to [`RESET_TIMEOUT`] for a reset of the connection and returns whether it came.
 fn is_reset_within_timeout(stream: &TcpStream) -> bool {
     let until = Instant::now() + RESET_TIMEOUT;
     while Instant::now() < until {
--- a/crates/lab/src/soak/endpoint.rs
+++ b/crates/lab/src/soak/endpoint.rs
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Delays new connections: while the backlog is full, the kernel does not answer them, and they are retried late.
+    /// Delays new connections by filling the backlog: the kernel does not answer them, and their retries come late.
     fn delay_connections(&self, listener: Option<TcpListener>, address: SocketAddr) {
         drop(listener);
         let Ok(short_listener) = listen(address, SHORT_BACKLOG) else {
@@ -147,7 +147,7 @@
     }
 
     /// Serves the requests of one connection.
-    fn serve(&self, mut stream: HttpStream, random: &mut Pcg64) {
+    fn serve(&self, mut stream: HttpStream, rng: &mut Pcg64) {
         loop {
             let mut began_at = None;
             let request = stream.read_message(|has_begun| {
@@ -172,7 +172,7 @@
                     destination: self.destination(),
                 },
             );
-            if !self.answer(&mut stream, &request, &id, random) {
+            if !self.answer(&mut stream, &request, &id, rng) {
                 return stream.reset();
             }
         }
@@ -196,7 +196,7 @@
         stream: &mut HttpStream,
         request: &HttpMessage,
         id: &str,
-        random: &mut Pcg64,
+        rng: &mut Pcg64,
     ) -> bool {
         let fault = self.fault();
         self.record(
@@ -227,28 +227,28 @@
                 false
             }
             Some(FaultKind::EndlessAnswer) => self.answer_without_end(stream, id),
-            Some(FaultKind::EndpointBusy) => self.respond_busy(stream, id, random),
+            Some(FaultKind::EndpointBusy) => self.respond_busy(stream, id, rng),
             Some(FaultKind::EndpointFails) => self.respond(
                 stream,
                 id,
                 500,
                 "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n",
             ),
-            Some(FaultKind::LastByteLate) => self.answer_with_late_last_byte(stream, id, random),
+            Some(FaultKind::LastByteLate) => self.answer_with_late_last_byte(stream, id, rng),
             Some(FaultKind::HalfClose) => {
                 self.respond_ok(stream, id);
                 stream.stream.shutdown(Shutdown::Write).is_ok()
             }
             Some(FaultKind::AnswersAsTimeRunsOut) => {
-                self.wait_until_about_deadline(id, random);
+                self.wait_until_about_deadline(id, rng);
                 self.respond_ok(stream, id)
             }
             Some(FaultKind::EndpointSlow) => {
-                sleep(random.random_range(SLOW_WORK_TIME));
+                sleep(rng.random_range(SLOW_WORK_TIME));
                 self.respond_ok(stream, id)
             }
             _ => {
-                sleep(random.random_range(USUAL_WORK_TIME));
+                sleep(rng.random_range(USUAL_WORK_TIME));
                 self.respond_ok(stream, id)
             }
         }
@@ -263,14 +263,14 @@
     }
 
     /// Waits until shortly before or after the deadline of a message.
-    fn wait_until_about_deadline(&self, id: &str, random: &mut Pcg64) {
+    fn wait_until_about_deadline(&self, id: &str, rng: &mut Pcg64) {
         let Some(deadline) = self.world.deadline(id) else {
             return;
         };
-        let at = deadline + random.random_range(DEADLINE_OFFSET);
-        let left = at - self.world.now();
-        if left > 0.0 {
-            sleep(left);
+        let at = deadline + rng.random_range(DEADLINE_OFFSET);
+        let remaining = at - self.world.now();
+        if remaining > 0.0 {
+            sleep(remaining);
         }
     }
 
@@ -298,7 +298,7 @@
         text: &str,
     ) -> bool {
         let was_open = !stream.has_ended();
-        // An answer counts only if its first byte is written before the deadline, so the time is taken before the write.
+        // An answer counts only if its first byte is written before the deadline, so `at` is taken before the write.
         let at = self.world.now();
         let written = stream.write(text);
         // If the sender closed the connection at the same moment, a reset comes back: the answer was never read.
@@ -313,8 +313,8 @@
         written
     }
 
-    fn respond_busy(&self, stream: &mut HttpStream, id: &str, random: &mut Pcg64) -> bool {
-        let wait = random.random_range(RETRY_AFTER).round();
+    fn respond_busy(&self, stream: &mut HttpStream, id: &str, rng: &mut Pcg64) -> bool {
+        let wait = rng.random_range(RETRY_AFTER).round();
         let text = format!("HTTP/1.1 429 X\r\nX-Backoff-Ms: {wait}\r\nContent-Length: 0\r\n\r\n");
         self.respond_with_retry_after(stream, id, 429, Some(wait), &text)
     }
@@ -323,7 +323,7 @@
         &self,
         stream: &mut HttpStream,
         id: &str,
-        random: &mut Pcg64,
+        rng: &mut Pcg64,
     ) -> bool {
         let is_written = self.respond(
             stream,
@@ -331,7 +331,7 @@
             200,
             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\no",
         );
-        sleep(random.random_range(LAST_BYTE_DELAY));
+        sleep(rng.random_range(LAST_BYTE_DELAY));
         is_written && stream.write("k")
     }
 
--- a/crates/lab/src/soak/history.rs
+++ b/crates/lab/src/soak/history.rs
@@ -59,11 +59,11 @@
 /// A recorded event. Spans are in milliseconds. The history file has the names of its variants and fields.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A client wrote the last byte of a message.
+    /// A client wrote a complete request with a message. The time of the record is the beginning of the write.
     Submitted {
         /// The effect of a repeat.
         effect: Effect,
-        /// How long from now the message may be delivered.
+        /// How long after its submission the message may be delivered.
         timeout: Millis,
         /// How long the write took; the message was submitted at some instant within it.
         writing: Millis,
--- a/crates/lab/src/soak/mod.rs
+++ b/crates/lab/src/soak/mod.rs
@@ -47,7 +47,7 @@
 const EXIT_TIMEOUT: Millis = 8_000.0;
 /// A sender's system calls count as failing also this long before and after their fault window.
 const FAILING_CALLS_MARGIN: Millis = 600.0;
-/// Unconfirmed reports are repeated within this time after their fault window.
+/// Reports that were not confirmed are repeated within this time after their fault window.
 const UNCONFIRMED_REPORTS_MARGIN: Millis = 1_500.0;
 /// Senders and laboratory together may use the machine's memory divided by this.
 const MEMORY_DIVISOR: u64 = 2;
@@ -77,7 +77,7 @@
     pub violations: Vec<Violation>,
     /// Message counts.
     pub figures: Figures,
-    /// The number of faults and process events of each kind.
+    /// The number of faults and process events of each kind, by the names of their variants.
     pub faults: BTreeMap<String, usize>,
     /// The longest delay of the laboratory itself, in milliseconds.
     pub lateness: Millis,
@@ -166,8 +166,8 @@
     Ok(judge(&world, logs, lateness, options.slack))
 }
 
-/// Runs the schedule, waits for all messages to end, and ends the processes. Returns the longest delay of the laboratory
-/// itself.
+/// Runs the schedule, waits for all messages to end, and ends the processes. Returns the longest delay of the
+/// laboratory itself.
 fn run_schedule(
     world: &Arc<World>,
     pids: &Arc<Pids>,
--- a/crates/lab/src/soak/oracle.rs
+++ b/crates/lab/src/soak/oracle.rs
@@ -1,7 +1,7 @@
 //! The invariants of a soak, checked against the traffic on the sockets.
 //!
-//! The oracle reads the records of all clients, endpoints and agents in order of time. It uses a sender's own log for one
-//! thing only: a sender that logs a violated safety rule, or a panic, has a defect.
+//! The oracle reads the records of all clients, endpoints and agents in order of time. It uses a sender's own log for
+//! one thing only: a sender that logs a violated safety rule, or a panic, has a defect.
 
 mod due;
 mod process_events;
@@ -29,18 +29,18 @@
 const RETRY_AFTER_GRACE: Millis = 100.0;
 /// How long a sender may usually be delayed between reading its clock and writing.
 const USUAL_DELAY: Millis = 150.0;
-/// How long before its deadline a delivery is uncertain. A sender that was delayed, or has just started, may regard
-/// a request as up to 400 ms older than it is. It also reports a message that was answered in its last 50 ms, as it cannot
-/// know whether the answer was in time.
+/// A delivery less than this long before the deadline is uncertain: a sender that was delayed, or has just started, may
+/// regard a request as up to 400 ms older than it is. It also reports a message that was answered in the last 50 ms,
+/// because it cannot know whether the answer was in time.
 const UNCERTAIN_DELIVERY: Millis = 450.0;
-/// Added to limits for the transfer over sockets.
+/// Added to every limit for the transfer over sockets.
 const SOCKET_GRACE: Millis = 50.0;
 /// SIGKILL follows SIGTERM no earlier than this; the process must have exited before.
 pub const KILL_AFTER_TERMINATE: Millis = 3_700.0;
 
 /// Conditions of the soak itself that the oracle takes into account.
 pub struct Conditions<'a> {
-    /// The longest delay of the laboratory itself, and the slack that was asked for: extends all limits.
+    /// The longest delay of the laboratory itself plus the requested slack; extends all limits.
     pub lateness: Millis,
     /// How long endpoints remember idempotency keys.
     pub idempotency_window: Millis,
@@ -276,7 +276,7 @@
         let in_time = record.at <= progress.deadline() + progress.writing;
         if status == 200 && in_time && progress.delivered_at.is_none() {
             progress.delivered_at = Some(record.at);
-            // Stored now, as submitting the message again sets a later deadline, which does not apply to this delivery.
+            // Stored now, because another submission of the message sets a later deadline.
             progress.surely_delivered = record.at < progress.deadline() - UNCERTAIN_DELIVERY;
         }
         let may_be_lost = (self.conditions.calls_failed)(record.sender, record.at);
@@ -301,8 +301,8 @@
         let Some(delivered) = delivered else {
             return;
         };
-        let known = record.at > delivered + SOCKET_GRACE + delay + self.conditions.lateness;
-        if known && self.end_is_known(record.sender, delivered, record.at) {
+        let is_late = record.at > delivered + SOCKET_GRACE + delay + self.conditions.lateness;
+        if is_late && self.end_is_known(record.sender, delivered, record.at) {
             self.add_violation(Rule::TwoEnds, record);
         }
     }
--- a/crates/lab/src/soak/oracle/due.rs
+++ b/crates/lab/src/soak/oracle/due.rs
@@ -5,8 +5,8 @@
 use super::{END_GRACE, Oracle, REPORT_GRACE, RESTART_GRACE, SOCKET_GRACE, USUAL_DELAY};
 
 impl Oracle<'_> {
-    /// When a message of a sender must have its end. No end is overdue while the sender restarts or the platform confirms
-    /// nothing. Either may begin during the time that the other one adds.
+    /// When a message of a sender must have its end. No end is overdue while the sender restarts or the platform
+    /// confirms nothing. Either may begin during the time that the other one adds.
     pub(super) fn end_due_at(&self, sender: usize, deadline: Millis) -> Millis {
         let mut due = deadline + END_GRACE + SOCKET_GRACE;
         loop {
--- a/crates/lab/src/soak/oracle/tests.rs
+++ b/crates/lab/src/soak/oracle/tests.rs
@@ -1,4 +1,4 @@
-//! Each rule of the oracle is violated by a small history, and not by a similar history without the fault.
+//! Tests that each rule of the oracle is broken by a small history, and not by a similar history without the fault.
 
 use super::*;
 use crate::soak::history::ProcessEvent;
@@ -83,7 +83,7 @@
     record(at, "", Event::ListTold { endpoint, active })
 }
 
-/// The rules that a history violates.
+/// The rules that a history breaks.
 fn broken_rules(parts: &[&[Record]]) -> Vec<Rule> {
     let conditions = Conditions {
         lateness: 0.0,
@@ -160,10 +160,18 @@
 #[rstest::rstest]
 #[case::after_report(&[reported(100.0, "k1")], 400.0, Rule::ForwardedAfterEnd)]
 #[case::after_delivery(&[responded(100.0, "k1", 200, None)], 400.0, Rule::ForwardedAfterEnd)]
-#[case::after_rejection(&[record(2.0, "k1", Event::Answered { status: 503 }), reported(5_000.0, "k1")], 50.0, Rule::ForwardedAfterRejection)]
+#[case::after_rejection(
+    &[record(2.0, "k1", Event::Answered { status: 503 }), reported(5_000.0, "k1")],
+    50.0,
+    Rule::ForwardedAfterRejection
+)]
 #[case::after_deadline(&[reported(4_100.0, "k1")], 4_250.0, Rule::ForwardedLate)]
 #[case::to_draining_endpoint(&[drained(0.0), responded(1_300.0, "k1", 200, None)], 1_200.0, Rule::SentToDraining)]
-#[case::before_end_of_retry_after(&[responded(10.0, "k2", 429, Some(900.0)), responded(700.0, "k1", 200, None)], 600.0, Rule::RetryAfterIgnored)]
+#[case::before_end_of_retry_after(
+    &[responded(10.0, "k2", 429, Some(900.0)), responded(700.0, "k1", 200, None)],
+    600.0,
+    Rule::RetryAfterIgnored
+)]
 fn forbidden_request_breaks_its_rule(
     #[case] before: &[Record],
     #[case] at: Millis,
@@ -210,9 +218,19 @@
 #[rstest::rstest]
 #[case::without_signal(&[process(10.0, ProcessEvent::Exited(Some(0)))], Some(Rule::Crashed))]
 #[case::after_terminate(&[process(5.0, ProcessEvent::Terminate), process(10.0, ProcessEvent::Exited(Some(0)))], None)]
-#[case::failure_after_terminate(&[process(5.0, ProcessEvent::Terminate), process(10.0, ProcessEvent::Exited(Some(101)))], Some(Rule::Crashed))]
+#[case::failure_after_terminate(
+    &[process(5.0, ProcessEvent::Terminate), process(10.0, ProcessEvent::Exited(Some(101)))],
+    Some(Rule::Crashed)
+)]
 #[case::killed(&[process(5.0, ProcessEvent::Kill), process(10.0, ProcessEvent::Exited(None))], None)]
-#[case::too_late_after_terminate(&[process(5.0, ProcessEvent::Terminate), process(3_705.0, ProcessEvent::Kill), process(3_710.0, ProcessEvent::Exited(None))], Some(Rule::ExitedLate))]
+#[case::too_late_after_terminate(
+    &[
+        process(5.0, ProcessEvent::Terminate),
+        process(3_705.0, ProcessEvent::Kill),
+        process(3_710.0, ProcessEvent::Exited(None)),
+    ],
+    Some(Rule::ExitedLate)
+)]
 fn process_exit_must_follow_a_signal_in_time(
     #[case] records: &[Record],
     #[case] rule: Option<Rule>,
--- a/crates/lab/src/soak/oracle/verdict.rs
+++ b/crates/lab/src/soak/oracle/verdict.rs
@@ -77,7 +77,7 @@
     pub delivered: usize,
     /// Messages ended by a status report.
     pub reported: usize,
-    /// Of these, messages without any request to an endpoint whose deadline was more than two seconds away.
+    /// Of these, messages that never reached an endpoint and were reported more than two seconds before their deadline.
     pub ended_early: usize,
     /// Process starts beyond the first one of each sender.
     pub restarts: usize,
--- a/crates/lab/src/soak/processes.rs
+++ b/crates/lab/src/soak/processes.rs
@@ -67,7 +67,7 @@
     slots: Vec<SenderSlot>,
     actions: std::vec::IntoIter<ScheduledAction>,
     next_action: Option<ScheduledAction>,
-    /// List changes that are still to be made, see [`Schedule::drains`].
+    /// List changes that are still to be made, in the form of `Schedule::drains`.
     drains: Vec<(Millis, usize, bool)>,
     /// Time from SIGTERM to SIGKILL.
     kill_after: Millis,
@@ -255,12 +255,12 @@
     }
 
     fn move_discovery(&mut self, sender: usize) -> Result<(), LabError> {
-        let known = self.endpoint_list(sender);
+        let list = self.endpoint_list(sender);
         let agent = self.world.move_discovery(sender);
         let slot = &mut self.slots[sender];
         let address = slot.agents[agent];
         slot.process.set_discovery(address);
-        slot.process.configure(known)?;
+        slot.process.configure(list)?;
         slot.process.signal(Signal::SIGHUP);
         self.record(sender, ProcessEvent::Reload);
         Ok(())
@@ -280,7 +280,7 @@
     /// Makes the sender's folder and system calls fail as scheduled.
     fn apply_faults(&mut self, sender: usize, now: Millis) -> Result<(), LabError> {
         let schedule = &self.world.schedule;
-        let disk = [
+        let disk_fault = [
             (FaultKind::DiskFull, DiskFault::Full),
             (FaultKind::DiskBroken, DiskFault::Broken),
             (FaultKind::DiskStopsHalfway, DiskFault::StopsHalfway),
@@ -288,15 +288,15 @@
         ]
         .into_iter()
         .find(|(fault, _)| schedule.is_active(*fault, sender, now))
-        .map_or(DiskFault::None, |(_, disk)| disk);
+        .map_or(DiskFault::None, |(_, disk_fault)| disk_fault);
         let calls_fail = schedule.is_active(FaultKind::CallsFail, sender, now);
         let slot = &mut self.slots[sender];
-        if (disk, calls_fail) == (slot.disk_fault, slot.calls_fail) {
+        if (disk_fault, calls_fail) == (slot.disk_fault, slot.calls_fail) {
             return Ok(());
         }
-        (slot.disk_fault, slot.calls_fail) = (disk, calls_fail);
+        (slot.disk_fault, slot.calls_fail) = (disk_fault, calls_fail);
         slot.control.change(|state| {
-            state.disk = disk;
+            state.disk_fault = disk_fault;
             state.calls_failing_per_myriad = if calls_fail {
                 CALLS_FAILING_PER_MYRIAD
             } else {
@@ -360,9 +360,9 @@
     }
 
     fn start(&mut self, sender: usize) -> Result<(), LabError> {
-        let known = self.endpoint_list(sender);
+        let list = self.endpoint_list(sender);
         let slot = &mut self.slots[sender];
-        slot.process.configure(known)?;
+        slot.process.configure(list)?;
         slot.process.start()?;
         slot.state = ProcessState::Starting;
         let pid = slot.process.pid().unwrap_or_default();
--- a/crates/lab/src/soak/processes/list_changes.rs
+++ b/crates/lab/src/soak/processes/list_changes.rs
@@ -6,7 +6,7 @@
 use super::super::schedule::FaultKind;
 use super::{ProcessState, Processes};
 
-/// A sender may receive a change this long after it is made, when a fault may have begun.
+/// A sender may receive a change this much later, so a fault that is active by then also excuses it.
 const UPDATE_MARGIN: Millis = 1_000.0;
 /// After discovery has moved, changes at its new address count as received only after this time.
 const MOVE_GRACE: Millis = 4_000.0;
@@ -30,9 +30,9 @@
         }
     }
 
-    /// Records that all senders are notified of a change. A running process counts as notified as soon as its agent has
-    /// the change, whether or not a watch is open. It does not while the agent or the sender's system calls fail, or soon
-    /// after discovery has moved.
+    /// Records that senders were notified of a change. From its start, a process counts as notified as soon as its
+    /// agent has the change, whether or not a watch is open; but not while the agent or the sender's system calls fail,
+    /// or soon after discovery has moved.
     fn record_list_change(&self, endpoint: usize, active: bool, now: Millis) {
         const EXCUSING_FAULTS: [FaultKind; 4] = [
             FaultKind::WatchSilent,
--- a/crates/lab/src/soak/schedule.rs
+++ b/crates/lab/src/soak/schedule.rs
@@ -171,9 +171,10 @@
 const ACTION_GAP: std::ops::Range<Millis> = 600.0..2_800.0;
 /// Time between two faults of the same endpoint or sender.
 const FAULT_GAP: std::ops::Range<Millis> = 300.0..5_000.0;
-/// The longest pause of a process that the platform makes.
+/// Longest pause of a process that the platform itself may cause.
 const MAX_PAUSE: Millis = 150.0;
-/// Pauses longer than the platform makes. A process may miss what falls due during such a pause, and nothing else.
+/// Pauses longer than the platform itself may cause. A process may miss what falls due during such a pause, and nothing
+/// else.
 const LONG_PAUSE: std::ops::Range<Millis> = 250.0..390.0;
 /// Time between two extra actions on the same sender.
 const EXTRA_ACTION_GAP: std::ops::Range<Millis> = 1_500.0..4_500.0;
@@ -185,18 +186,18 @@
 impl Schedule {
     /// The schedule of a seed.
     pub fn new(seed: u64, size: SoakSize) -> Schedule {
-        let mut random = Pcg64::seed_from_u64(seed);
+        let mut rng = Pcg64::seed_from_u64(seed);
         let mut schedule = Schedule::default();
         for endpoint in 0..size.endpoints {
-            schedule.add_windows(&mut random, &ENDPOINT_FAULTS, endpoint, size.duration);
+            schedule.add_windows(&mut rng, &ENDPOINT_FAULTS, endpoint, size.duration);
             // The first endpoint of each destination never drains.
             if endpoint % 2 == 1 {
-                schedule.add_windows(&mut random, &[FaultKind::Drain], endpoint, size.duration);
+                schedule.add_windows(&mut rng, &[FaultKind::Drain], endpoint, size.duration);
             }
         }
         for sender in 0..size.senders {
-            schedule.add_windows(&mut random, &SENDER_FAULTS, sender, size.duration);
-            schedule.add_actions(&mut random, sender, size.duration - QUIET_END);
+            schedule.add_windows(&mut rng, &SENDER_FAULTS, sender, size.duration);
+            schedule.add_actions(&mut rng, sender, size.duration - QUIET_END);
         }
         schedule.add_extra_faults(seed, size);
         schedule.actions.sort_by(|a, b| a.at.total_cmp(&b.at));
@@ -204,54 +205,48 @@
     }
 
     fn add_extra_faults(&mut self, seed: u64, size: SoakSize) {
-        let mut random = Pcg64::seed_from_u64(seed ^ EXTRA_FAULT_STREAM);
+        let mut rng = Pcg64::seed_from_u64(seed ^ EXTRA_FAULT_STREAM);
         for endpoint in 0..size.endpoints {
             let faults = &EXTRA_ENDPOINT_FAULTS;
-            self.add_windows(&mut random, faults, endpoint, size.duration);
+            self.add_windows(&mut rng, faults, endpoint, size.duration);
         }
         for sender in 0..size.senders {
             let faults = &EXTRA_SENDER_FAULTS;
-            self.add_windows(&mut random, faults, sender, size.duration);
-            let mut at = random.random_range(EXTRA_ACTION_GAP);
+            self.add_windows(&mut rng, faults, sender, size.duration);
+            let mut at = rng.random_range(EXTRA_ACTION_GAP);
             while at < size.duration - QUIET_END {
-                let action = if random.random_bool(0.5) {
-                    ProcessAction::Pause(random.random_range(LONG_PAUSE))
+                let action = if rng.random_bool(0.5) {
+                    ProcessAction::Pause(rng.random_range(LONG_PAUSE))
                 } else {
                     ProcessAction::MoveDiscovery
                 };
                 self.actions.push(ScheduledAction { at, sender, action });
-                at += random.random_range(EXTRA_ACTION_GAP);
+                at += rng.random_range(EXTRA_ACTION_GAP);
             }
         }
     }
 
-    fn add_windows(
-        &mut self,
-        random: &mut Pcg64,
-        faults: &[FaultKind],
-        target: usize,
-        end: Millis,
-    ) {
-        let mut at = random.random_range(FAULT_GAP);
+    fn add_windows(&mut self, rng: &mut Pcg64, faults: &[FaultKind], target: usize, end: Millis) {
+        let mut at = rng.random_range(FAULT_GAP);
         while at < end {
             let from = at;
-            let until = from + random.random_range(FAULT_DURATION);
+            let until = from + rng.random_range(FAULT_DURATION);
             self.fault_windows.push(FaultWindow {
-                fault: faults[random.random_range(0..faults.len())],
+                fault: faults[rng.random_range(0..faults.len())],
                 target,
                 from,
                 until,
             });
-            at = until + random.random_range(FAULT_GAP);
+            at = until + rng.random_range(FAULT_GAP);
         }
     }
 
-    fn add_actions(&mut self, random: &mut Pcg64, sender: usize, end: Millis) {
-        let mut at = random.random_range(ACTION_GAP);
+    fn add_actions(&mut self, rng: &mut Pcg64, sender: usize, end: Millis) {
+        let mut at = rng.random_range(ACTION_GAP);
         while at < end {
-            let action = draw_action(random);
+            let action = draw_action(rng);
             self.actions.push(ScheduledAction { at, sender, action });
-            at += random.random_range(ACTION_GAP);
+            at += rng.random_range(ACTION_GAP);
         }
     }
 
@@ -300,16 +295,16 @@
     }
 }
 
-fn draw_action(random: &mut Pcg64) -> ProcessAction {
-    match random.random_range(0..12) {
+fn draw_action(rng: &mut Pcg64) -> ProcessAction {
+    match rng.random_range(0..12) {
         0 | 1 => ProcessAction::Terminate,
         2 => ProcessAction::TerminateRepeatedly,
         3 | 4 => ProcessAction::Kill,
         5 | 6 => ProcessAction::KillAfterAccept,
         7 => ProcessAction::Reload,
-        8 | 9 => ProcessAction::Pause(random.random_range(20.0..MAX_PAUSE)),
+        8 | 9 => ProcessAction::Pause(rng.random_range(20.0..MAX_PAUSE)),
         _ => ProcessAction::StepWallClock(
-            WALL_CLOCK_STEPS[random.random_range(0..WALL_CLOCK_STEPS.len())],
+            WALL_CLOCK_STEPS[rng.random_range(0..WALL_CLOCK_STEPS.len())],
         ),
     }
 }
--- a/crates/lab/src/soak/shim.rs
+++ b/crates/lab/src/soak/shim.rs
@@ -37,7 +37,7 @@
     /// How many of ten thousand socket system calls fail.
     pub calls_failing_per_myriad: u32,
     /// How operations on the sender's folder fail.
-    pub disk: DiskFault,
+    pub disk_fault: DiskFault,
 }
 
 impl ControlState {
@@ -47,7 +47,7 @@
         bytes[..8].copy_from_slice(&self.wall_offset_ns.to_ne_bytes());
         bytes[8..16].copy_from_slice(&self.seed.to_ne_bytes());
         bytes[16..20].copy_from_slice(&self.calls_failing_per_myriad.to_ne_bytes());
-        bytes[20..].copy_from_slice(&(self.disk as u32).to_ne_bytes());
+        bytes[20..].copy_from_slice(&(self.disk_fault as u32).to_ne_bytes());
         bytes
     }
 }
--- a/crates/lab/src/soak/world.rs
+++ b/crates/lab/src/soak/world.rs
@@ -18,7 +18,7 @@
 pub const ENDPOINTS_PER_DESTINATION: usize = 2;
 /// Number of agents of one sender; one at a time provides discovery.
 pub const AGENTS_PER_SENDER: usize = 2;
-/// Interval in which a thread checks whether the soak has stopped.
+/// Interval at which threads poll for changes and for the end of the soak.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// An endpoint as discovery lists it.
@@ -76,13 +76,14 @@
 
     /// The endpoints that changed after a version.
     pub fn changed_since(&self, version: u64) -> Vec<usize> {
-        let known = (version.max(1) - 1) as usize;
-        let mut changed: Vec<usize> = self.changes.iter().skip(known).copied().collect();
+        let known_changes = (version.max(1) - 1) as usize;
+        let mut changed: Vec<usize> = self.changes.iter().skip(known_changes).copied().collect();
         changed.sort_unstable();
         changed.dedup();
         changed
     }
 
+    /// The entry of an endpoint, and that of the endpoint that it replaced.
     fn entries_at(&self, endpoint: usize, address: SocketAddr) -> Vec<Value> {
         let ListedEndpoint { generation, state } = self.endpoints[endpoint];
         let entry = |generation: u32, state: &str| {
