--- a/crates/lab/src/soak/agent.rs
+++ b/crates/lab/src/soak/agent.rs
@@ -1,4 +1,4 @@
-//! The platform of a soak: each sender's discovery agent, which also takes status reports.
+//! The platform of a soak: the agents of each sender, which provide discovery and receive status reports.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -10,21 +10,21 @@
 
 use super::history::Event;
 use super::http::{HttpMessage, HttpStream};
-use super::schedule::Fault;
+use super::schedule::FaultKind;
 use super::world::{AGENTS_PER_SENDER, POLL_INTERVAL, World};
 use crate::error::LabError;
 
-/// An open watch brings an empty line so often.
+/// Interval between empty lines on a watch without updates.
 const KEEP_ALIVE: Millis = 2_000.0;
-/// How late a slow agent answers.
-const SLOW_ANSWER: Duration = Duration::from_millis(700);
+/// Delay of a slow agent's answer.
+const SLOW_ANSWER_DELAY: Duration = Duration::from_millis(700);
 
-/// Discovery's old address is silent so long after a move.
+/// An agent stops serving this long after discovery has moved to another address.
 const MOVE_GRACE: Millis = 1_000.0;
-/// While reports stutter, they fail at the beginning of each period: by the end of their connection and by silence, in
-/// turns.
+/// While reports stutter, they fail at the beginning of each period, alternately by the end of their connection and by
+/// the lack of an answer.
 const STUTTER_PERIOD: Millis = 500.0;
-const STUTTER_FAILURE: Millis = 120.0;
+const STUTTER_FAILURE_TIME: Millis = 120.0;
 
 /// An agent of one sender.
 #[derive(Clone)]
@@ -34,17 +34,17 @@
     number: usize,
 }
 
-/// What an agent does with a request that reports final statuses.
+/// How an agent reacts to a request with status reports.
 enum ReportReply {
     Confirm,
     EndConnection,
     StaySilent,
 }
 
-/// Opens the agents of a sender. Returns their addresses.
+/// Opens the agents of a sender and returns their addresses.
 ///
 /// # Errors
-/// Where no port can be bound.
+/// If no port can be bound.
 pub fn open(world: &Arc<World>, sender: usize) -> Result<Vec<SocketAddr>, LabError> {
     (0..AGENTS_PER_SENDER)
         .map(|number| {
@@ -63,21 +63,21 @@
 }
 
 impl Agent {
-    fn is_faulty(&self, fault: Fault) -> bool {
+    fn has_fault(&self, fault: FaultKind) -> bool {
         let now = self.world.now();
-        self.world.schedule.is_on(fault, self.sender, now)
+        self.world.schedule.is_active(fault, self.sender, now)
     }
 
-    /// Whether discovery has moved away for long enough.
-    fn is_left(&self) -> bool {
+    /// Whether discovery moved to another agent longer than [`MOVE_GRACE`] ago.
+    fn is_abandoned(&self) -> bool {
         let now = self.world.now();
         self.world.discovery[self.sender]
             .lock()
-            .is_ok_and(|place| place.agent != self.number && now > place.since + MOVE_GRACE)
+            .is_ok_and(|active| active.agent != self.number && now > active.since + MOVE_GRACE)
     }
 
     fn accept_all(&self, listener: &TcpListener) {
-        while !self.world.is_over() {
+        while !self.world.is_stopped() {
             while let Ok((stream, _)) = listener.accept() {
                 let agent = self.clone();
                 thread::spawn(move || agent.serve(stream));
@@ -88,9 +88,9 @@
 
     fn serve(&self, stream: TcpStream) {
         let mut stream = HttpStream::new(stream);
-        // Reports are taken also while discovery is down.
-        while let Ok(request) = stream.read_message(|_| self.world.is_over()) {
-            if self.is_left() {
+        // Reports are received even while discovery is down.
+        while let Ok(request) = stream.read_message(|_| self.world.is_stopped()) {
+            if self.is_abandoned() {
                 return;
             }
             if request.head.starts_with("POST /reports") {
@@ -102,20 +102,20 @@
                 }
                 continue;
             }
-            if self.is_faulty(Fault::DiscoverySlow) {
-                thread::sleep(SLOW_ANSWER);
+            if self.has_fault(FaultKind::DiscoverySlow) {
+                thread::sleep(SLOW_ANSWER_DELAY);
             }
             return self.watch(&mut stream, &request);
         }
     }
 
     fn report_reply(&self) -> ReportReply {
-        if self.is_faulty(Fault::ReportsUnconfirmed) {
+        if self.has_fault(FaultKind::ReportsUnconfirmed) {
             return ReportReply::EndConnection;
         }
         let now = self.world.now();
-        let stutters = self.is_faulty(Fault::ReportsStutter)
-            && now.rem_euclid(STUTTER_PERIOD) < STUTTER_FAILURE;
+        let stutters = self.has_fault(FaultKind::ReportsStutter)
+            && now.rem_euclid(STUTTER_PERIOD) < STUTTER_FAILURE_TIME;
         if !stutters {
             return ReportReply::Confirm;
         }
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Takes status reports. False if the connection has ended.
+    /// Records status reports and confirms them. Returns false if the connection has ended.
     fn confirm_reports(&self, stream: &mut HttpStream, request: &HttpMessage) -> bool {
         let reports: Vec<Value> = String::from_utf8_lossy(&request.body)
             .lines()
@@ -141,7 +141,7 @@
         stream.write("HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n")
     }
 
-    /// Tells changes until the connection ends.
+    /// Sends the endpoint list and its changes until the connection or the watch ends.
     fn watch(&self, stream: &mut HttpStream, request: &HttpMessage) {
         let from = request
             .head
@@ -149,21 +149,24 @@
             .and_then(|(_, rest)| rest.split([' ', '&']).next()?.parse().ok())
             .unwrap_or(0);
         stream.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        let mut told: u64 = from;
-        let mut first = true;
+        let mut known_version: u64 = from;
+        let mut is_first = true;
         let mut last_line = self.world.now();
-        while !self.world.is_over() && !self.is_left() && !self.is_faulty(Fault::DiscoveryDown) {
+        while !self.world.is_stopped()
+            && !self.is_abandoned()
+            && !self.has_fault(FaultKind::DiscoveryDown)
+        {
             thread::sleep(POLL_INTERVAL);
-            // What is written to a process that has ended is told to nobody.
+            // An update written to a process that has ended reaches nobody and must not be recorded.
             if stream.has_ended() {
                 return;
             }
-            if self.is_faulty(Fault::WatchSilent) {
+            if self.has_fault(FaultKind::WatchSilent) {
                 continue;
             }
             let now = self.world.now();
-            let line = self.next_line(&mut told, first);
-            first = false;
+            let line = self.next_line(&mut known_version, is_first);
+            is_first = false;
             let text = match line {
                 Some(line) => line,
                 None if now - last_line >= KEEP_ALIVE => String::new(),
@@ -176,19 +179,19 @@
         }
     }
 
-    /// What is to be told next: the whole list first, then what has changed.
-    fn next_line(&self, told: &mut u64, first: bool) -> Option<String> {
+    /// The next update to send, `None` if nothing has changed: the whole list at first, then the changes.
+    fn next_line(&self, known_version: &mut u64, is_first: bool) -> Option<String> {
         let list = self.world.list.lock().ok()?;
         let addresses = self.world.endpoint_addresses.lock().ok()?;
-        if !first && list.version == *told {
+        if !is_first && list.version == *known_version {
             return None;
         }
-        let endpoints = if first {
+        let endpoints = if is_first {
             (0..self.world.size.endpoints).collect()
         } else {
-            list.changed_since(*told)
+            list.changed_since(*known_version)
         };
-        *told = list.version;
+        *known_version = list.version;
         for endpoint in &endpoints {
             let event = Event::ListTold {
                 endpoint: *endpoint,
@@ -196,7 +199,7 @@
             };
             self.world.history.record(self.sender, "", event);
         }
-        let described = list.describe(&endpoints, first, &addresses[self.sender]);
-        Some(described.to_string())
+        let update = list.to_json(&endpoints, is_first, &addresses[self.sender]);
+        Some(update.to_string())
     }
 }
--- a/crates/lab/src/soak/client.rs
+++ b/crates/lab/src/soak/client.rs
@@ -1,4 +1,4 @@
-//! The clients of a soak: busy ones, which use their connections until these end, and misbehaving ones.
+//! The clients of a soak: busy clients, which reuse each connection until it ends, and misbehaving clients.
 
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -12,60 +12,60 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
-use super::history::{Effect, Event, ProcessEvent, Unanswered};
+use super::history::{Effect, Event, NoAnswerReason, ProcessEvent};
 use super::http::{HttpStream, ReadError};
 use super::pids::Pids;
-use super::schedule::Fault;
+use super::schedule::FaultKind;
 use super::world::{Message, POLL_INTERVAL, World};
 
 /// How long a client waits for an answer.
 const ANSWER_TIMEOUT: Millis = 400.0;
-/// A request that nobody has read brings a reset within this time of the end of the stream.
+/// If a request was never read, a reset follows the end of the stream within this time.
 const RESET_TIMEOUT: Duration = Duration::from_millis(800);
-/// A client that stops in the middle of its request is answered, or its connection closed, within this time.
+/// A client that stops in the middle of its request must be answered or disconnected within this time.
 const BAD_CLIENT_TIMEOUT: Millis = 3_000.0;
-/// More for a machine that is busy.
-const BAD_CLIENT_SLACK: Millis = 1_500.0;
-/// How long messages may be delivered.
+/// Added to [`BAD_CLIENT_TIMEOUT`] for a busy machine.
+const BAD_CLIENT_GRACE: Millis = 1_500.0;
+/// Timeouts of messages, from submission to deadline.
 const TIMEOUTS: [Millis; 3] = [4_000.0, 2_500.0, 1_200.0];
-/// Between two requests of a busy client.
+/// Time between two requests of a busy client.
 const THINK_TIME: std::ops::Range<Millis> = 0.0..160.0;
-/// Between two tries to connect.
+/// Pause after a failed connection, and after a crowd.
 const CONNECT_PAUSE: Duration = Duration::from_millis(40);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// A misbehaving client loses an answer each time that it has misbehaved so often.
-const LOST_ANSWERS_APART: usize = 3;
-/// How long a message may be delivered whose answer is lost, and when it is handed in again: behind its end.
+/// Number of misbehaviours after which a misbehaving client loses an answer.
+const LOST_ANSWER_PERIOD: usize = 3;
+/// Timeout of a message whose answer is lost, and when it is submitted again: after its deadline.
 const LOST_ANSWER_TIMEOUT: Millis = 700.0;
-const LOST_ANSWER_PAUSE: Millis = 1_000.0;
-/// Connections of a crowd.
-const CROWD: usize = 120;
+const LOST_ANSWER_RETRY_DELAY: Millis = 1_000.0;
+/// Number of connections of a crowd.
+const CROWD_SIZE: usize = 120;
 
-/// Busy clients of a sender.
+/// Number of busy clients of each sender.
 pub const BUSY_CLIENTS: usize = 6;
 
 /// One client.
 pub struct Client {
-    /// What all threads share.
+    /// The state that all threads share.
     pub world: Arc<World>,
-    /// The processes, of which a client may kill one right behind a 202.
+    /// The senders' processes, of which a client may kill its own sender's immediately after a 202.
     pub pids: Arc<Pids>,
-    /// The sender that it hands messages to.
+    /// The sender that it submits messages to.
     pub sender: usize,
-    /// Where that is.
+    /// The address of that sender.
     pub address: SocketAddr,
-    /// The client's number among those of its sender.
+    /// The client's number among the clients of its sender.
     pub number: usize,
 }
 
 impl Client {
-    fn random(&self) -> Pcg64 {
-        let place = (self.sender << 8 | self.number) as u64;
-        Pcg64::seed_from_u64(self.world.seed.wrapping_mul(0x9E37_79B9) ^ place)
+    fn rng(&self) -> Pcg64 {
+        let client_seed = (self.sender << 8 | self.number) as u64;
+        Pcg64::seed_from_u64(self.world.seed.wrapping_mul(0x9E37_79B9) ^ client_seed)
     }
 
     fn is_stopped(&self) -> bool {
-        self.world.clients_stopped.load(Ordering::Relaxed) || self.world.is_over()
+        self.world.clients_stopped.load(Ordering::Relaxed) || self.world.is_stopped()
     }
 
     fn connect(&self) -> Option<HttpStream> {
@@ -78,23 +78,27 @@
         }
     }
 
-    fn message(&self, count: usize, random: &mut Pcg64) -> (Message, Millis) {
+    fn new_message(&self, count: usize, rng: &mut Pcg64) -> (Message, Millis) {
         let effects = [Effect::NonIdempotent, Effect::Keyed, Effect::Idempotent];
-        let effect = match effects[random.random_range(0..effects.len())] {
-            // Of every other message with a key, that holds in one zone only.
+        let effect = match effects[rng.random_range(0..effects.len())] {
+            // For every second message with an idempotency key, the key is valid in one zone only.
             Effect::Keyed if count.is_multiple_of(2) => Effect::KeyedInZone,
             effect => effect,
         };
-        let prefix = Message::prefix(effect);
+        let prefix = Message::id_prefix(effect);
         let id = format!("{prefix}{}-{}-{count}", self.sender, self.number);
-        let timeout = TIMEOUTS[random.random_range(0..TIMEOUTS.len())];
-        (Message::of(&id).expect("an id of ours"), timeout)
+        let timeout = TIMEOUTS[rng.random_range(0..TIMEOUTS.len())];
+        (
+            Message::from_id(&id).expect("the id has a known prefix"),
+            timeout,
+        )
     }
 
-    /// Keeps a connection busy until it ends, then the next one. Every second client heeds `Connection: close`.
+    /// Sends requests over one connection until it ends, then over the next one. Only every second client obeys
+    /// `Connection: close`.
     pub fn keep_busy(&self) {
-        let mut random = self.random();
-        let heeds_close = self.number.is_multiple_of(2);
+        let mut rng = self.rng();
+        let obeys_close = self.number.is_multiple_of(2);
         let mut connection = None;
         let mut count = 0;
         while !self.is_stopped() {
@@ -102,31 +106,32 @@
                 continue;
             };
             count += 1;
-            let (message, timeout) = self.message(count, &mut random);
-            if let Some(closes) = self.exchange(&mut stream, &message, timeout, &mut random)
-                && !(closes && heeds_close)
+            let (message, timeout) = self.new_message(count, &mut rng);
+            if let Some(closes) = self.exchange(&mut stream, &message, timeout, &mut rng)
+                && !(closes && obeys_close)
             {
                 connection = Some(stream);
             }
-            let pause = random.random_range(THINK_TIME);
+            let pause = rng.random_range(THINK_TIME);
             thread::sleep(Duration::from_secs_f64(pause / 1e3));
         }
     }
 
-    /// Hands a message in. Returns whether the answer ends the connection; none if the connection is gone.
+    /// Submits a message and reads the answer. Returns whether the answer announces the end of the connection, and
+    /// `None` if the connection has ended or the answer is late.
     fn exchange(
         &self,
         stream: &mut HttpStream,
         message: &Message,
         timeout: Millis,
-        random: &mut Pcg64,
+        rng: &mut Pcg64,
     ) -> Option<bool> {
-        let text = self.request(message, timeout, random);
-        self.exchange_text(stream, message, timeout, &text)
+        let text = self.request_text(message, timeout, rng);
+        self.exchange_request(stream, message, timeout, &text)
     }
 
-    /// Writes the request of a message, and records that it was handed in. Returns when; none if it cannot be written.
-    fn hand_in(
+    /// Writes the request of a message and records the submission. Returns its time; `None` if the write fails.
+    fn submit(
         &self,
         stream: &mut HttpStream,
         message: &Message,
@@ -134,7 +139,7 @@
         text: &str,
     ) -> Option<Millis> {
         let at = self.world.now();
-        self.world.note_deadline(&message.id, at + timeout);
+        self.world.set_deadline(&message.id, at + timeout);
         if !stream.write(text) {
             return None;
         }
@@ -149,15 +154,15 @@
         Some(at)
     }
 
-    /// Hands a message in and reads the answer.
-    fn exchange_text(
+    /// Submits a message as a given request text and reads the answer, with the result of [`Client::exchange`].
+    fn exchange_request(
         &self,
         stream: &mut HttpStream,
         message: &Message,
         timeout: Millis,
         text: &str,
     ) -> Option<bool> {
-        let until = self.hand_in(stream, message, timeout, text)? + ANSWER_TIMEOUT;
+        let until = self.submit(stream, message, timeout, text)? + ANSWER_TIMEOUT;
         let answer = stream.read_message(|_| self.world.now() > until);
         let answer = match answer {
             Ok(answer) => answer,
@@ -174,7 +179,7 @@
         Some(answer.header("connection") == Some("close"))
     }
 
-    fn request(&self, message: &Message, timeout: Millis, random: &mut Pcg64) -> String {
+    fn request_text(&self, message: &Message, timeout: Millis, rng: &mut Pcg64) -> String {
         let body = message.body();
         let destinations = self.world.size.endpoints / super::world::ENDPOINTS_PER_DESTINATION;
         format!(
@@ -184,15 +189,15 @@
             message.id,
             timeout / 1e3,
             message.key(),
-            random.random_range(0..destinations),
+            rng.random_range(0..destinations),
             body.len()
         )
     }
 
-    /// The sender has taken a message on. It may be killed right behind that.
+    /// Counts an accepted message, and kills the sender if that is scheduled for its next 202.
     fn on_accepted(&self) {
         self.world.accepted[self.sender].fetch_add(1, Ordering::Relaxed);
-        if let Some(pid) = self.pids.take_armed(self.sender) {
+        if let Some(pid) = self.pids.take_kill_target(self.sender) {
             let killed = kill(Pid::from_raw(pid), Signal::SIGKILL);
             if killed.is_ok() {
                 self.record("", Event::Process(ProcessEvent::Kill));
@@ -206,34 +211,35 @@
 
     fn record_unanswered(&self, stream: &HttpStream, message: &Message, error: ReadError) {
         let at = self.world.now();
-        let end = match error {
-            ReadError::Stopped => Unanswered::TimedOut,
-            ReadError::Reset => Unanswered::Reset,
-            ReadError::Ended if is_reset_soon(&stream.stream) => Unanswered::Reset,
-            ReadError::Ended => Unanswered::EndOfStream,
+        let reason = match error {
+            ReadError::Stopped => NoAnswerReason::TimedOut,
+            ReadError::Reset => NoAnswerReason::Reset,
+            ReadError::Ended if is_reset_within_timeout(&stream.stream) => NoAnswerReason::Reset,
+            ReadError::Ended => NoAnswerReason::EndOfStream,
         };
         self.world
             .history
-            .record_at(at, self.sender, &message.id, Event::Unanswered(end));
+            .record_at(at, self.sender, &message.id, Event::Unanswered(reason));
     }
 
-    /// Misbehaves in turns: stops in the middle of a request, leaves behind one, sends two at once, or comes as a crowd.
+    /// Misbehaves in different ways: stops in the middle of a request, disconnects after a request, sends two requests
+    /// at once, or opens a crowd of connections.
     pub fn misbehave(&self) {
-        let mut random = self.random();
+        let mut rng = self.rng();
         let mut count = 0;
         while !self.is_stopped() {
             count += 1;
-            if self.is_crowded() {
-                self.crowd();
+            if self.has_crowd_fault() {
+                self.open_crowd();
                 continue;
             }
             let Some(mut stream) = self.connect() else {
                 continue;
             };
-            let (message, timeout) = self.message(count, &mut random);
-            let text = self.request(&message, timeout, &mut random);
-            match random.random_range(0..3) {
-                0 => self.stop_in_request(&mut stream, &text, &mut random),
+            let (message, timeout) = self.new_message(count, &mut rng);
+            let text = self.request_text(&message, timeout, &mut rng);
+            match rng.random_range(0..3) {
+                0 => self.stop_in_request(&mut stream, &text, &mut rng),
                 1 => _ = stream.write(&text),
                 _ => {
                     stream.write(&format!("{text}{text}"));
@@ -241,59 +247,62 @@
                     let _ = stream.read_message(|_| self.world.now() > until);
                 }
             }
-            thread::sleep(Duration::from_millis(random.random_range(50..600)));
-            if count.is_multiple_of(LOST_ANSWERS_APART) && !self.is_stopped() {
-                self.lose_answer(count, &mut random);
+            thread::sleep(Duration::from_millis(rng.random_range(50..600)));
+            if count.is_multiple_of(LOST_ANSWER_PERIOD) && !self.is_stopped() {
+                self.lose_answer(count, &mut rng);
             }
         }
     }
 
-    /// Hands a message in, resets the connection before the answer is read, and hands it in again once its time is up:
-    /// its end was reported to nobody who knew of it, and is owed.
-    fn lose_answer(&self, count: usize, random: &mut Pcg64) {
-        let prefix = Message::prefix(Effect::NonIdempotent);
+    /// Submits a message, resets the connection without reading the answer, and submits the message again after its
+    /// deadline. A report sent in between is not enough, because no client had received the 202: the sender must report
+    /// the message again.
+    fn lose_answer(&self, count: usize, rng: &mut Pcg64) {
+        let prefix = Message::id_prefix(Effect::NonIdempotent);
         let id = format!("{prefix}{}-{}-{count}-again", self.sender, self.number);
-        let message = Message::of(&id).expect("an id of ours");
-        let text = self.request(&message, LOST_ANSWER_TIMEOUT, random);
+        let message = Message::from_id(&id).expect("the id has a known prefix");
+        let text = self.request_text(&message, LOST_ANSWER_TIMEOUT, rng);
         let Some(mut stream) = self.connect() else {
             return;
         };
         if self
-            .hand_in(&mut stream, &message, LOST_ANSWER_TIMEOUT, &text)
+            .submit(&mut stream, &message, LOST_ANSWER_TIMEOUT, &text)
             .is_none()
         {
             return;
         }
-        thread::sleep(Duration::from_millis(random.random_range(0..60)));
+        thread::sleep(Duration::from_millis(rng.random_range(0..60)));
         stream.reset();
-        thread::sleep(Duration::from_secs_f64(LOST_ANSWER_PAUSE / 1e3));
+        thread::sleep(Duration::from_secs_f64(LOST_ANSWER_RETRY_DELAY / 1e3));
         if let Some(mut stream) = self.connect() {
-            self.exchange_text(&mut stream, &message, LOST_ANSWER_TIMEOUT, &text);
+            self.exchange_request(&mut stream, &message, LOST_ANSWER_TIMEOUT, &text);
         }
     }
 
-    fn stop_in_request(&self, stream: &mut HttpStream, text: &str, random: &mut Pcg64) {
-        let part = random.random_range(1..text.len());
-        if !stream.write(&text[..part]) {
+    fn stop_in_request(&self, stream: &mut HttpStream, text: &str, rng: &mut Pcg64) {
+        let length = rng.random_range(1..text.len());
+        if !stream.write(&text[..length]) {
             return;
         }
-        let until = self.world.now() + BAD_CLIENT_TIMEOUT + BAD_CLIENT_SLACK;
-        let answer = stream.read_message(|_| self.world.now() > until || self.world.is_over());
-        if matches!(answer, Err(ReadError::Stopped)) && !self.world.is_over() {
+        let until = self.world.now() + BAD_CLIENT_TIMEOUT + BAD_CLIENT_GRACE;
+        let answer = stream.read_message(|_| self.world.now() > until || self.world.is_stopped());
+        if matches!(answer, Err(ReadError::Stopped)) && !self.world.is_stopped() {
             self.record("", Event::BadClientIgnored);
         }
     }
 
-    fn is_crowded(&self) -> bool {
+    fn has_crowd_fault(&self) -> bool {
         let now = self.world.now();
-        self.world.schedule.is_on(Fault::Crowd, self.sender, now)
+        self.world
+            .schedule
+            .is_active(FaultKind::Crowd, self.sender, now)
     }
 
-    fn crowd(&self) {
-        let connections: Vec<TcpStream> = (0..CROWD)
+    fn open_crowd(&self) {
+        let connections: Vec<TcpStream> = (0..CROWD_SIZE)
             .filter_map(|_| TcpStream::connect_timeout(&self.address, CONNECT_TIMEOUT).ok())
             .collect();
-        while self.is_crowded() && !self.is_stopped() {
+        while self.has_crowd_fault() && !self.is_stopped() {
             thread::sleep(POLL_INTERVAL);
         }
         drop(connections);
@@ -301,7 +310,8 @@
     }
 }
 
-fn is_reset_soon(stream: &TcpStream) -> bool {
+/// Waits up to [`RESET_TIMEOUT`] for a reset of the connection and returns whether it came.
+fn is_reset_within_timeout(stream: &TcpStream) -> bool {
     let until = Instant::now() + RESET_TIMEOUT;
     while Instant::now() < until {
         if !matches!(stream.take_error(), Ok(None)) {
--- a/crates/lab/src/soak/mod.rs
+++ b/crates/lab/src/soak/mod.rs
@@ -1,11 +1,11 @@
-//! The soak: many senders as real processes on loopback, under faults that overlap in time, judged by what crossed the
-//! sockets.
+//! The soak: runs many senders as real processes on loopback under faults that overlap in time, and judges them by the
+//! traffic on their sockets.
 //!
 //! - `schedule`: the faults of a seed
-//! - `world`: what all threads share; the messages and the endpoint list
+//! - `world`: the state that all threads share, the messages and the endpoint list
 //! - `endpoint`, `agent`, `client`: the peers of the senders, with the network's faults
-//! - `processes`: the senders themselves; signals, restarts, clocks, folders and failing calls (`shim`)
-//! - `history`, `oracle`: what happened, and the invariants asked of it
+//! - `processes`: the senders themselves; signals, restarts, clocks, folders and failing system calls (`shim`)
+//! - `history`, `oracle`: the recorded events, and the invariants checked against them
 
 mod agent;
 mod client;
@@ -34,86 +34,90 @@
 use oracle::{Conditions, Figures, Oracle, Violation};
 use pids::Pids;
 use processes::Processes;
-use schedule::{Fault, Size};
+use schedule::{FaultKind, SoakSize};
 use world::{IDEMPOTENCY_WINDOW, World};
 
-/// Endpoints, two for each destination.
+/// Number of endpoints, two for each destination.
 const ENDPOINTS: usize = 6;
-/// How often the schedule is looked at.
+/// Interval between checks of the schedule.
 const TICK: Duration = Duration::from_millis(4);
-/// After the last submission, messages get so long for their ends.
-const LONGEST_END: Millis = 9_000.0;
-/// All processes have ended so long after they were told to.
-const LONGEST_EXIT: Millis = 8_000.0;
-/// A sender's own calls failed around an instant if they did so within this time of it.
-const CALLS_MARGIN: Millis = 600.0;
-/// Reports that were not confirmed are repeated within this time.
-const REPORTS_MARGIN: Millis = 1_500.0;
-/// Senders and laboratory together may take this part of the machine's memory, as a divisor.
+/// How long messages may take to end after the last submission.
+const END_TIMEOUT: Millis = 9_000.0;
+/// How long the processes may take to exit after SIGTERM.
+const EXIT_TIMEOUT: Millis = 8_000.0;
+/// A sender's system calls count as failing also this long before and after their fault window.
+const FAILING_CALLS_MARGIN: Millis = 600.0;
+/// Reports that were not confirmed are repeated within this time after their fault window.
+const UNCONFIRMED_REPORTS_MARGIN: Millis = 1_500.0;
+/// Senders and laboratory together may use the machine's memory divided by this.
 const MEMORY_DIVISOR: u64 = 2;
-/// Between two looks at the memory.
-const MEMORY_CHECK: Duration = Duration::from_secs(1);
+/// Interval between checks of the memory in use.
+const MEMORY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What to soak.
+/// Parameters of a soak.
 pub struct Options {
     /// The seed of the schedule.
     pub seed: u64,
-    /// How long faults are made, in seconds.
+    /// How long faults are injected, in seconds.
     pub seconds: f64,
-    /// Senders.
+    /// Number of senders.
     pub processes: usize,
-    /// The sender's program.
+    /// The sender's executable.
     pub program: PathBuf,
-    /// By how much every limit on time is longer, in milliseconds, for a machine that does other work too. The
-    /// lateness of the laboratory itself is added in any case.
+    /// Extends every time limit, in milliseconds, for a machine that does other work too. The lateness of the
+    /// laboratory itself is always added.
     pub slack: Millis,
-    /// The wall clocks of the senders are left alone; all other faults are those of the seed.
+    /// Never steps the senders' wall clocks; all other faults of the seed stay.
     pub keep_wall_clock: bool,
 }
 
-/// What a soak found.
-pub struct Report {
-    /// Broken rules, in the order of time.
+/// The result of a soak.
+pub struct SoakReport {
+    /// Violations, in order of time.
     pub violations: Vec<Violation>,
-    /// Figures of the messages.
+    /// Message counts.
     pub figures: Figures,
-    /// How many faults of each kind there were.
+    /// The number of faults and process events of each kind, by the names of their variants.
     pub faults: BTreeMap<String, usize>,
-    /// By how much the laboratory itself was late at most, in milliseconds.
+    /// The longest delay of the laboratory itself, in milliseconds.
     pub lateness: Millis,
-    /// Everything that happened, in the order of time.
+    /// All recorded events, in order of time.
     pub records: Vec<Record>,
     logs: Vec<String>,
 }
 
-impl Report {
-    /// What a sender logged about the message of a violation, with the times of its own wall clock; without a message,
-    /// why its processes ended.
+impl SoakReport {
+    /// The sender's log lines about the message of a violation, with the times of the sender's wall clock; if the
+    /// violation concerns no message, the lines that say why its processes ended.
     pub fn sender_log(&self, violation: &Violation) -> Vec<String> {
         let log = &self.logs[violation.sender];
         if violation.message.is_empty() {
-            let last_words = log.lines().filter(|line| line.starts_with("martenlatch:"));
-            return last_words.map(str::to_string).collect();
+            let exit_reasons = log.lines().filter(|line| line.starts_with("martenlatch:"));
+            return exit_reasons.map(str::to_string).collect();
         }
-        lines_about(log, &violation.message)
+        log_lines_of_message(log, &violation.message)
     }
 
-    /// The records that concern a violation, in the order of time: those of its message, and what happened to its
-    /// sender meanwhile.
+    /// The records that concern a violation, in order of time: those of its message, and the events of its sender
+    /// during that time.
     pub fn timeline(&self, violation: &Violation) -> Vec<&Record> {
-        let own =
+        let of_message =
             |record: &&Record| !violation.message.is_empty() && record.message == violation.message;
-        let first = self.records.iter().find(own).map_or(violation.at, |r| r.at);
+        let first = self
+            .records
+            .iter()
+            .find(of_message)
+            .map_or(violation.at, |record| record.at);
         let last = self
             .records
             .iter()
-            .rfind(own)
-            .map_or(violation.at, |r| r.at);
+            .rfind(of_message)
+            .map_or(violation.at, |record| record.at);
         let (from, until) = (first - 1_000.0, last.max(violation.at) + 1_000.0);
         self.records
             .iter()
             .filter(|record| {
-                let wait = matches!(
+                let asks_to_wait = matches!(
                     record.event,
                     Event::Responded {
                         retry_after: Some(_),
@@ -121,23 +125,23 @@
                     }
                 );
                 let of_sender = record.sender == violation.sender
-                    && (record.message.is_empty() || wait)
+                    && (record.message.is_empty() || asks_to_wait)
                     && (from..until).contains(&record.at);
-                own(record) || of_sender
+                of_message(record) || of_sender
             })
             .collect()
     }
 }
 
-/// Plays one soak. Once `stop` is set, it ends at once with an error; all processes are ended in any case.
+/// Runs one soak. Once `stop` is set, it returns an error immediately; all processes are ended in any case.
 ///
 /// # Errors
-/// Where it cannot be played.
-pub fn soak(options: &Options, stop: &AtomicBool) -> Result<Report, LabError> {
-    let size = Size {
+/// If the soak cannot be run, is stopped, or uses too much memory.
+pub fn soak(options: &Options, stop: &AtomicBool) -> Result<SoakReport, LabError> {
+    let size = SoakSize {
         senders: options.processes,
         endpoints: ENDPOINTS,
-        length: options.seconds * 1e3,
+        duration: options.seconds * 1e3,
     };
     let folder = tempfile::Builder::new()
         .prefix("martenlatch-soak-")
@@ -146,50 +150,51 @@
     let library = shim::build(folder.path())?;
     let mut world = World::new(options.seed, size);
     if options.keep_wall_clock {
-        world.schedule.leave_wall_clocks_alone();
+        world.schedule.remove_wall_clock_steps();
     }
     let world = Arc::new(world);
     let pids = Arc::new(Pids::new(size.senders));
     let mut processes =
         Processes::prepare(&world, &pids, &options.program, folder.path(), &library)?;
-    processes.set_slack(options.slack);
-    let played = play(&world, &pids, &mut processes, stop);
+    processes.extend_kill_timeout(options.slack);
+    let result = run_schedule(&world, &pids, &mut processes, stop);
     world.clients_stopped.store(true, Ordering::Relaxed);
     world.stopped.store(true, Ordering::Relaxed);
-    let lateness = played?;
+    let lateness = result?;
     let logs = processes.logs()?;
     record_logged_defects(&world, &logs);
     Ok(judge(&world, logs, lateness, options.slack))
 }
 
-/// Runs the schedule, lets all messages end, and ends the processes. Returns by how much the laboratory was late.
-fn play(
+/// Runs the schedule, waits for all messages to end, and ends the processes. Returns the longest delay of the
+/// laboratory itself.
+fn run_schedule(
     world: &Arc<World>,
     pids: &Arc<Pids>,
     processes: &mut Processes,
     stop: &AtomicBool,
 ) -> Result<Millis, LabError> {
-    let mut watch = Watch::new();
+    let mut monitor = Monitor::new();
     start_clients(world, pids, processes);
-    while world.now() < world.size.length {
-        watch.tick(processes, stop)?;
+    while world.now() < world.size.duration {
+        monitor.tick(processes, stop)?;
         processes.run_due()?;
     }
     world.clients_stopped.store(true, Ordering::Relaxed);
-    let until = world.now() + LONGEST_END;
+    let until = world.now() + END_TIMEOUT;
     while world.now() < until {
-        watch.tick(processes, stop)?;
+        monitor.tick(processes, stop)?;
         processes.run_due()?;
         if processes.all_running() && history::unfinished_messages(&world.history.sorted()) == 0 {
             break;
         }
     }
     processes.terminate_all();
-    let until = world.now() + LONGEST_EXIT;
+    let until = world.now() + EXIT_TIMEOUT;
     while !processes.all_ended() && world.now() < until {
-        watch.tick(processes, stop)?;
+        monitor.tick(processes, stop)?;
     }
-    Ok(watch.lateness)
+    Ok(monitor.lateness)
 }
 
 fn start_clients(world: &Arc<World>, pids: &Arc<Pids>, processes: &Processes) {
@@ -213,21 +218,21 @@
     }
 }
 
-/// Watches the laboratory itself: whether it is stopped, late, or takes too much memory.
-struct Watch {
+/// Monitors the laboratory itself: whether it is stopped, late, or uses too much memory.
+struct Monitor {
     lateness: Millis,
     memory_checked: Instant,
 }
 
-impl Watch {
-    fn new() -> Watch {
-        Watch {
+impl Monitor {
+    fn new() -> Monitor {
+        Monitor {
             lateness: 0.0,
             memory_checked: Instant::now(),
         }
     }
 
-    /// Waits for a tick.
+    /// Sleeps for one [`TICK`] and runs the checks.
     fn tick(&mut self, processes: &Processes, stop: &AtomicBool) -> Result<(), LabError> {
         if stop.load(Ordering::Relaxed) {
             return Err(LabError::Stopped);
@@ -236,7 +241,7 @@
         thread::sleep(TICK);
         let late = before.elapsed().saturating_sub(TICK);
         self.lateness = self.lateness.max(late.as_secs_f64() * 1e3);
-        if self.memory_checked.elapsed() >= MEMORY_CHECK {
+        if self.memory_checked.elapsed() >= MEMORY_CHECK_INTERVAL {
             self.memory_checked = Instant::now();
             check_memory(processes)?;
         }
@@ -250,29 +255,29 @@
         .pids()
         .into_iter()
         .chain([own])
-        .filter_map(|pid| kilobytes(&format!("/proc/{pid}/status"), "VmRSS:"))
+        .filter_map(|pid| read_kilobytes(&format!("/proc/{pid}/status"), "VmRSS:"))
         .sum();
-    let total = kilobytes("/proc/meminfo", "MemTotal:").unwrap_or(u64::MAX);
+    let total = read_kilobytes("/proc/meminfo", "MemTotal:").unwrap_or(u64::MAX);
     if used > total / MEMORY_DIVISOR {
         return Err(LabError::TooMuchMemory { used_kb: used });
     }
     Ok(())
 }
 
-/// The number behind a name in a file of the system.
-fn kilobytes(file: &str, name: &str) -> Option<u64> {
+/// The number after a name in a file of `/proc`.
+fn read_kilobytes(file: &str, name: &str) -> Option<u64> {
     let text = std::fs::read_to_string(file).ok()?;
     let line = text.lines().find(|line| line.starts_with(name))?;
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
-/// Records the lines of the senders' logs that tell of a defect.
+/// Records the lines of the senders' logs that show a defect.
 fn record_logged_defects(world: &World, logs: &[String]) {
-    const DEFECTS: [&str; 2] = ["safety rule violated", "panicked at"];
+    const DEFECT_MARKERS: [&str; 2] = ["safety rule violated", "panicked at"];
     for (sender, text) in logs.iter().enumerate() {
         let defects = text
             .lines()
-            .filter(|line| DEFECTS.iter().any(|defect| line.contains(defect)));
+            .filter(|line| DEFECT_MARKERS.iter().any(|marker| line.contains(marker)));
         for line in defects {
             let event = Event::LoggedDefect(line.to_string());
             world.history.record(sender, "", event);
@@ -280,8 +285,8 @@
     }
 }
 
-/// The lines of a sender's log about a message. The log numbers messages anew in each process.
-fn lines_about(log: &str, message: &str) -> Vec<String> {
+/// The lines of a sender's log about a message. Each process of the sender numbers messages anew.
+fn log_lines_of_message(log: &str, message: &str) -> Vec<String> {
     let id = format!(" id={message} ");
     let mut number = None;
     let mut lines = Vec::new();
@@ -304,24 +309,25 @@
     lines
 }
 
-fn judge(world: &World, logs: Vec<String>, lateness: Millis, slack: Millis) -> Report {
+fn judge(world: &World, logs: Vec<String>, lateness: Millis, slack: Millis) -> SoakReport {
     let records = world.history.sorted();
     let calls_failed = |sender: usize, at: Millis| {
-        world.schedule.windows.iter().any(|window| {
-            window.fault == Fault::CallsFail
+        world.schedule.fault_windows.iter().any(|window| {
+            window.fault == FaultKind::CallsFail
                 && window.target == sender
-                && (window.from - CALLS_MARGIN..window.until + CALLS_MARGIN).contains(&at)
+                && (window.from - FAILING_CALLS_MARGIN..window.until + FAILING_CALLS_MARGIN)
+                    .contains(&at)
         })
     };
     let unconfirmed_until = |sender: usize, at: Millis| {
         world
             .schedule
-            .windows
+            .fault_windows
             .iter()
             .filter(|window| {
-                window.fault == Fault::ReportsUnconfirmed
+                window.fault == FaultKind::ReportsUnconfirmed
                     && window.target == sender
-                    && (window.from..window.until + REPORTS_MARGIN).contains(&at)
+                    && (window.from..window.until + UNCONFIRMED_REPORTS_MARGIN).contains(&at)
             })
             .map(|window| window.until)
             .next_back()
@@ -335,7 +341,7 @@
     let (mut violations, figures) = Oracle::new(conditions).judge(&records);
     violations.sort_by(|a, b| a.at.total_cmp(&b.at));
     let mut faults = BTreeMap::new();
-    for window in &world.schedule.windows {
+    for window in &world.schedule.fault_windows {
         *faults.entry(format!("{:?}", window.fault)).or_insert(0) += 1;
     }
     for record in &records {
@@ -343,7 +349,7 @@
             *faults.entry(format!("{event:?}")).or_insert(0) += 1;
         }
     }
-    Report {
+    SoakReport {
         violations,
         figures,
         faults,
--- a/crates/lab/src/soak/schedule.rs
+++ b/crates/lab/src/soak/schedule.rs
@@ -1,108 +1,108 @@
-//! The faults of a soak: a pure function of its seed.
+//! The schedule of a soak's faults: a pure function of its seed and size.
 
 use martenlatch_clock::Millis;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
-/// A fault that lasts for a while.
+/// A fault that lasts for some time. The soak prints the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
-    /// An endpoint reads requests and answers none.
+pub enum FaultKind {
+    /// An endpoint reads requests and does not answer.
     EndpointHangs,
     /// An endpoint resets its connections, and refuses new ones.
     EndpointDown,
-    /// An endpoint writes half an answer and ends the connection.
+    /// An endpoint writes a part of an answer and closes the connection.
     HalfAnswer,
     /// An endpoint announces a longer body than it sends.
     WrongLength,
     /// An endpoint's answer has a head that never ends.
     EndlessAnswer,
-    /// An endpoint takes long.
+    /// An endpoint takes long to answer.
     EndpointSlow,
-    /// An endpoint rejects requests and says how long to wait.
+    /// An endpoint rejects requests with 429 and a retry-after.
     EndpointBusy,
     /// An endpoint answers 500.
     EndpointFails,
     /// Connections to an endpoint are reset in the middle of a request.
     ResetInRequest,
-    /// Connections to an endpoint are reset behind a whole request.
+    /// Connections to an endpoint are reset after a complete request.
     ResetBehindRequest,
-    /// Answers of an endpoint come in two parts, the last byte late.
+    /// The last byte of an endpoint's answers is late.
     LastByteLate,
-    /// An endpoint ends its sending side behind each answer.
+    /// An endpoint shuts down its sending side after each answer.
     HalfClose,
-    /// New connections to an endpoint come up late.
+    /// New connections to an endpoint are established late.
     LateConnections,
-    /// An endpoint drains; afterwards it is replaced by another one at the same address.
+    /// An endpoint drains; at the end of the fault, another one replaces it at the same address.
     Drain,
-    /// A sender's watch is open and silent.
+    /// A sender's watch is open and receives nothing.
     WatchSilent,
-    /// A sender's agent closes every connection.
+    /// A sender's agent ends every watch.
     DiscoveryDown,
     /// A sender's agent answers late.
     DiscoverySlow,
-    /// Status reports of a sender are read and not confirmed.
+    /// A sender's status reports are read and not confirmed.
     ReportsUnconfirmed,
-    /// A sender's folder takes no more bytes.
+    /// Writes to a sender's folder fail as on a full disk.
     DiskFull,
-    /// Every write to a sender's folder fails.
+    /// Every write to a sender's folder fails with an I/O error.
     DiskBroken,
-    /// Writes to a sender's folder stop half-way.
+    /// Writes to a sender's folder stop halfway.
     DiskStopsHalfway,
-    /// Some of a sender's socket calls fail.
+    /// Some of a sender's socket system calls fail.
     CallsFail,
-    /// Many clients connect to a sender and say nothing.
+    /// Many clients connect to a sender and send nothing.
     Crowd,
-    /// An endpoint answers as the time of each message runs out, a little before or behind it.
+    /// An endpoint answers shortly before or after the deadline of each message.
     AnswersAsTimeRunsOut,
-    /// Status reports of a sender fail for a moment again and again.
+    /// A sender's status reports fail for a short time again and again.
     ReportsStutter,
-    /// A sender's log cannot be read.
+    /// A sender's write-ahead log cannot be read.
     LogUnreadable,
 }
 
-/// The faults of endpoints.
-const ENDPOINT_FAULTS: [Fault; 14] = [
-    Fault::EndpointHangs,
-    Fault::EndpointDown,
-    Fault::HalfAnswer,
-    Fault::WrongLength,
-    Fault::EndlessAnswer,
-    Fault::EndpointSlow,
-    Fault::EndpointBusy,
-    Fault::EndpointBusy,
-    Fault::EndpointFails,
-    Fault::ResetInRequest,
-    Fault::ResetBehindRequest,
-    Fault::LastByteLate,
-    Fault::HalfClose,
-    Fault::LateConnections,
+/// The faults of endpoints; one that is listed twice is drawn twice as often.
+const ENDPOINT_FAULTS: [FaultKind; 14] = [
+    FaultKind::EndpointHangs,
+    FaultKind::EndpointDown,
+    FaultKind::HalfAnswer,
+    FaultKind::WrongLength,
+    FaultKind::EndlessAnswer,
+    FaultKind::EndpointSlow,
+    FaultKind::EndpointBusy,
+    FaultKind::EndpointBusy,
+    FaultKind::EndpointFails,
+    FaultKind::ResetInRequest,
+    FaultKind::ResetBehindRequest,
+    FaultKind::LastByteLate,
+    FaultKind::HalfClose,
+    FaultKind::LateConnections,
 ];
 
 /// The faults of senders and their agents.
-const SENDER_FAULTS: [Fault; 9] = [
-    Fault::WatchSilent,
-    Fault::DiscoveryDown,
-    Fault::DiscoverySlow,
-    Fault::ReportsUnconfirmed,
-    Fault::DiskFull,
-    Fault::DiskBroken,
-    Fault::DiskStopsHalfway,
-    Fault::CallsFail,
-    Fault::Crowd,
+const SENDER_FAULTS: [FaultKind; 9] = [
+    FaultKind::WatchSilent,
+    FaultKind::DiscoveryDown,
+    FaultKind::DiscoverySlow,
+    FaultKind::ReportsUnconfirmed,
+    FaultKind::DiskFull,
+    FaultKind::DiskBroken,
+    FaultKind::DiskStopsHalfway,
+    FaultKind::CallsFail,
+    FaultKind::Crowd,
 ];
 
-/// The faults of endpoints that come beside the others.
-const FURTHER_ENDPOINT_FAULTS: [Fault; 1] = [Fault::AnswersAsTimeRunsOut];
+/// Extra faults of endpoints, drawn from the stream of [`EXTRA_FAULT_STREAM`].
+const EXTRA_ENDPOINT_FAULTS: [FaultKind; 1] = [FaultKind::AnswersAsTimeRunsOut];
 
-/// The faults of senders that come beside the others.
-const FURTHER_SENDER_FAULTS: [Fault; 2] = [Fault::ReportsStutter, Fault::LogUnreadable];
+/// Extra faults of senders and their agents, drawn from the stream of [`EXTRA_FAULT_STREAM`].
+const EXTRA_SENDER_FAULTS: [FaultKind; 2] = [FaultKind::ReportsStutter, FaultKind::LogUnreadable];
 
-/// A fault of one endpoint or sender, from an instant to another.
+/// A fault of one endpoint or sender and the time span in which it is active.
 #[derive(Clone, Copy, Debug)]
-pub struct Window {
-    /// What happens.
-    pub fault: Fault,
+pub struct FaultWindow {
+    /// The fault.
+    pub fault: FaultKind,
     /// The endpoint or sender.
     pub target: usize,
     /// When it begins.
@@ -111,149 +111,151 @@
     pub until: Millis,
 }
 
-/// What is done to a sender's process.
+/// An action on a sender's process.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Action {
-    /// SIGTERM; SIGKILL comes as early as the platform allows.
+pub enum ProcessAction {
+    /// SIGTERM, with SIGKILL as early afterwards as the platform allows.
     Terminate,
-    /// SIGTERM several times, with SIGHUPs between.
-    TerminateInSeries,
+    /// SIGTERM several times, with SIGHUPs between them.
+    TerminateRepeatedly,
     /// SIGKILL.
     Kill,
-    /// SIGKILL right behind the next 202.
-    KillBehindAccept,
+    /// SIGKILL immediately after the next 202.
+    KillAfterAccept,
     /// SIGHUP.
     Reload,
-    /// Discovery moves to another address, and SIGHUP tells the sender.
+    /// Moves discovery to another address and notifies the sender with SIGHUP.
     MoveDiscovery,
-    /// SIGSTOP, and SIGCONT so much later.
+    /// SIGSTOP, with SIGCONT this much later.
     Pause(Millis),
-    /// The wall clock is stepped by so much.
-    StepWall(Millis),
+    /// Steps the wall clock by this much.
+    StepWallClock(Millis),
 }
 
-/// An action on a sender's process.
+/// An action on a sender's process and its time.
 #[derive(Clone, Copy, Debug)]
-pub struct Step {
-    /// When.
+pub struct ScheduledAction {
+    /// When it is due.
     pub at: Millis,
     /// The sender.
     pub sender: usize,
-    /// What is done.
-    pub action: Action,
+    /// The action.
+    pub action: ProcessAction,
 }
 
-/// The whole schedule.
+/// The schedule of a soak.
 #[derive(Clone, Debug, Default)]
 pub struct Schedule {
-    /// Faults that last.
-    pub windows: Vec<Window>,
-    /// Actions, in the order of time.
-    pub steps: Vec<Step>,
+    /// Faults that last for some time.
+    pub fault_windows: Vec<FaultWindow>,
+    /// Actions, in order of time.
+    pub actions: Vec<ScheduledAction>,
 }
 
 /// The size of a soak.
 #[derive(Clone, Copy, Debug)]
-pub struct Size {
-    /// Senders.
+pub struct SoakSize {
+    /// Number of senders.
     pub senders: usize,
-    /// Endpoints.
+    /// Number of endpoints.
     pub endpoints: usize,
-    /// How long faults are made.
-    pub length: Millis,
+    /// How long faults are injected.
+    pub duration: Millis,
 }
 
-/// No process is ended for so long before the end, so that all messages can have theirs.
+/// No action is scheduled this long before the end, so that all messages can end.
 const QUIET_END: Millis = 1_500.0;
-/// Faults that last do so for a span of this range.
-const WINDOW: std::ops::Range<Millis> = 400.0..2_500.0;
-/// Between two actions on the same sender.
-const STEP_GAP: std::ops::Range<Millis> = 600.0..2_800.0;
-/// Between two faults of the same endpoint or sender.
+/// How long a fault lasts.
+const FAULT_DURATION: std::ops::Range<Millis> = 400.0..2_500.0;
+/// Time between two actions on the same sender.
+const ACTION_GAP: std::ops::Range<Millis> = 600.0..2_800.0;
+/// Time between two faults of the same endpoint or sender.
 const FAULT_GAP: std::ops::Range<Millis> = 300.0..5_000.0;
-/// The longest stop of a process.
-const LONGEST_PAUSE: Millis = 150.0;
-/// A process that is held up for longer than the platform's figure may miss what falls into that time, and nothing else.
+/// Longest pause of a process that the platform itself may cause.
+const MAX_PAUSE: Millis = 150.0;
+/// Pauses longer than the platform itself may cause. A process may miss what falls due during such a pause, and nothing
+/// else.
 const LONG_PAUSE: std::ops::Range<Millis> = 250.0..390.0;
-/// Between two further actions on the same sender.
-const FURTHER_STEP_GAP: std::ops::Range<Millis> = 1_500.0..4_500.0;
-/// Sets the random numbers of the further faults apart: those of the others stay as they are for each seed.
-const FURTHER_STREAM: u64 = 0x5851_F42D_4C95_7F2D;
+/// Time between two extra actions on the same sender.
+const EXTRA_ACTION_GAP: std::ops::Range<Millis> = 1_500.0..4_500.0;
+/// Gives the extra faults a random stream of their own, so that they do not change the other faults of a seed.
+const EXTRA_FAULT_STREAM: u64 = 0x5851_F42D_4C95_7F2D;
 /// Steps of the wall clock, in milliseconds.
-const WALL_STEPS: [Millis; 8] = [3_600e3, -3_600e3, 5e3, -5e3, 900e3, -900e3, 2e3, -3e3];
+const WALL_CLOCK_STEPS: [Millis; 8] = [3_600e3, -3_600e3, 5e3, -5e3, 900e3, -900e3, 2e3, -3e3];
 
 impl Schedule {
     /// The schedule of a seed.
-    pub fn new(seed: u64, size: Size) -> Schedule {
-        let mut random = Pcg64::seed_from_u64(seed);
+    pub fn new(seed: u64, size: SoakSize) -> Schedule {
+        let mut rng = Pcg64::seed_from_u64(seed);
         let mut schedule = Schedule::default();
         for endpoint in 0..size.endpoints {
-            schedule.add_windows(&mut random, &ENDPOINT_FAULTS, endpoint, size.length);
-            // The first endpoint of each destination stays listed.
+            schedule.add_windows(&mut rng, &ENDPOINT_FAULTS, endpoint, size.duration);
+            // The first endpoint of each destination never drains.
             if endpoint % 2 == 1 {
-                schedule.add_windows(&mut random, &[Fault::Drain], endpoint, size.length);
+                schedule.add_windows(&mut rng, &[FaultKind::Drain], endpoint, size.duration);
             }
         }
         for sender in 0..size.senders {
-            schedule.add_windows(&mut random, &SENDER_FAULTS, sender, size.length);
-            schedule.add_steps(&mut random, sender, size.length - QUIET_END);
+            schedule.add_windows(&mut rng, &SENDER_FAULTS, sender, size.duration);
+            schedule.add_actions(&mut rng, sender, size.duration - QUIET_END);
         }
-        schedule.add_further_faults(seed, size);
-        schedule.steps.sort_by(|a, b| a.at.total_cmp(&b.at));
+        schedule.add_extra_faults(seed, size);
+        schedule.actions.sort_by(|a, b| a.at.total_cmp(&b.at));
         schedule
     }
 
-    fn add_further_faults(&mut self, seed: u64, size: Size) {
-        let mut random = Pcg64::seed_from_u64(seed ^ FURTHER_STREAM);
+    fn add_extra_faults(&mut self, seed: u64, size: SoakSize) {
+        let mut rng = Pcg64::seed_from_u64(seed ^ EXTRA_FAULT_STREAM);
         for endpoint in 0..size.endpoints {
-            let faults = &FURTHER_ENDPOINT_FAULTS;
-            self.add_windows(&mut random, faults, endpoint, size.length);
+            let faults = &EXTRA_ENDPOINT_FAULTS;
+            self.add_windows(&mut rng, faults, endpoint, size.duration);
         }
         for sender in 0..size.senders {
-            let faults = &FURTHER_SENDER_FAULTS;
-            self.add_windows(&mut random, faults, sender, size.length);
-            let mut at = random.random_range(FURTHER_STEP_GAP);
-            while at < size.length - QUIET_END {
-                let action = if random.random_bool(0.5) {
-                    Action::Pause(random.random_range(LONG_PAUSE))
+            let faults = &EXTRA_SENDER_FAULTS;
+            self.add_windows(&mut rng, faults, sender, size.duration);
+            let mut at = rng.random_range(EXTRA_ACTION_GAP);
+            while at < size.duration - QUIET_END {
+                let action = if rng.random_bool(0.5) {
+                    ProcessAction::Pause(rng.random_range(LONG_PAUSE))
                 } else {
-                    Action::MoveDiscovery
+                    ProcessAction::MoveDiscovery
                 };
-                self.steps.push(Step { at, sender, action });
-                at += random.random_range(FURTHER_STEP_GAP);
+                self.actions.push(ScheduledAction { at, sender, action });
+                at += rng.random_range(EXTRA_ACTION_GAP);
             }
         }
     }
 
-    fn add_windows(&mut self, random: &mut Pcg64, faults: &[Fault], target: usize, end: Millis) {
-        let mut at = random.random_range(FAULT_GAP);
+    fn add_windows(&mut self, rng: &mut Pcg64, faults: &[FaultKind], target: usize, end: Millis) {
+        let mut at = rng.random_range(FAULT_GAP);
         while at < end {
             let from = at;
-            let until = from + random.random_range(WINDOW);
-            self.windows.push(Window {
-                fault: faults[random.random_range(0..faults.len())],
+            let until = from + rng.random_range(FAULT_DURATION);
+            self.fault_windows.push(FaultWindow {
+                fault: faults[rng.random_range(0..faults.len())],
                 target,
                 from,
                 until,
             });
-            at = until + random.random_range(FAULT_GAP);
+            at = until + rng.random_range(FAULT_GAP);
         }
     }
 
-    fn add_steps(&mut self, random: &mut Pcg64, sender: usize, end: Millis) {
-        let mut at = random.random_range(STEP_GAP);
+    fn add_actions(&mut self, rng: &mut Pcg64, sender: usize, end: Millis) {
+        let mut at = rng.random_range(ACTION_GAP);
         while at < end {
-            let action = draw_action(random);
-            self.steps.push(Step { at, sender, action });
-            at += random.random_range(STEP_GAP);
+            let action = draw_action(rng);
+            self.actions.push(ScheduledAction { at, sender, action });
+            at += rng.random_range(ACTION_GAP);
         }
     }
 
-    /// When which endpoint drains (true) or is replaced.
+    /// The list changes of all drains: the time, the endpoint, and whether it starts to drain (true) or is replaced
+    /// (false).
     pub fn drains(&self) -> Vec<(Millis, usize, bool)> {
-        self.windows
+        self.fault_windows
             .iter()
-            .filter(|window| window.fault == Fault::Drain)
+            .filter(|window| window.fault == FaultKind::Drain)
             .flat_map(|window| {
                 [
                     (window.from, window.target, true),
@@ -263,44 +265,46 @@
             .collect()
     }
 
-    /// Takes the steps of wall clocks out.
-    pub fn leave_wall_clocks_alone(&mut self) {
-        self.steps
-            .retain(|step| !matches!(step.action, Action::StepWall(_)));
+    /// Removes all steps of wall clocks.
+    pub fn remove_wall_clock_steps(&mut self) {
+        self.actions
+            .retain(|scheduled| !matches!(scheduled.action, ProcessAction::StepWallClock(_)));
     }
 
-    /// Whether a fault of a target is on.
-    pub fn is_on(&self, fault: Fault, target: usize, now: Millis) -> bool {
-        self.windows.iter().any(|window| {
+    /// Whether a fault of an endpoint or sender is active.
+    pub fn is_active(&self, fault: FaultKind, target: usize, now: Millis) -> bool {
+        self.fault_windows.iter().any(|window| {
             window.fault == fault
                 && window.target == target
                 && (window.from..window.until).contains(&now)
         })
     }
 
-    /// The fault of an endpoint that is on.
-    pub fn endpoint_fault(&self, endpoint: usize, now: Millis) -> Option<Fault> {
-        self.windows
+    /// The active fault of an endpoint.
+    pub fn endpoint_fault(&self, endpoint: usize, now: Millis) -> Option<FaultKind> {
+        self.fault_windows
             .iter()
             .find(|window| {
-                let of_endpoint = ENDPOINT_FAULTS.contains(&window.fault)
-                    || FURTHER_ENDPOINT_FAULTS.contains(&window.fault);
+                let is_endpoint_fault = ENDPOINT_FAULTS.contains(&window.fault)
+                    || EXTRA_ENDPOINT_FAULTS.contains(&window.fault);
                 window.target == endpoint
-                    && of_endpoint
+                    && is_endpoint_fault
                     && (window.from..window.until).contains(&now)
             })
             .map(|window| window.fault)
     }
 }
 
-fn draw_action(random: &mut Pcg64) -> Action {
-    match random.random_range(0..12) {
-        0 | 1 => Action::Terminate,
-        2 => Action::TerminateInSeries,
-        3 | 4 => Action::Kill,
-        5 | 6 => Action::KillBehindAccept,
-        7 => Action::Reload,
-        8 | 9 => Action::Pause(random.random_range(20.0..LONGEST_PAUSE)),
-        _ => Action::StepWall(WALL_STEPS[random.random_range(0..WALL_STEPS.len())]),
+fn draw_action(rng: &mut Pcg64) -> ProcessAction {
+    match rng.random_range(0..12) {
+        0 | 1 => ProcessAction::Terminate,
+        2 => ProcessAction::TerminateRepeatedly,
+        3 | 4 => ProcessAction::Kill,
+        5 | 6 => ProcessAction::KillAfterAccept,
+        7 => ProcessAction::Reload,
+        8 | 9 => ProcessAction::Pause(rng.random_range(20.0..MAX_PAUSE)),
+        _ => ProcessAction::StepWallClock(
+            WALL_CLOCK_STEPS[rng.random_range(0..WALL_CLOCK_STEPS.len())],
+        ),
     }
 }
