--- a/crates/martenlatch/src/error.rs
+++ b/crates/martenlatch/src/error.rs
@@ -65,8 +65,8 @@
     #[error("the answer is out of order")]
     OutOfOrder,
     /// The response cannot be authenticated or decoded.
-    #[error("the answer is {0}")]
-    Malformed(#[source] wire::Fault),
+    #[error("the answer is invalid: {0}")]
+    Malformed(#[source] wire::FrameError),
     /// The response was not complete in time.
     #[error("no whole answer in time")]
     TimedOut,
--- a/crates/martenlatch/src/members.rs
+++ b/crates/martenlatch/src/members.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use martenlatch_peers::membership::{MemberUpdate, State};
-use martenlatch_peers::wire::{Fault, Page, Secret};
+use martenlatch_peers::wire::{FrameError, Page, Secret};
 use martenlatch_settings::program::Peers;
 use serde_json::json;
 
@@ -63,8 +63,8 @@
                 return Ok(members);
             }
             Ok(_) => return Err(QueryError::OutOfOrder),
-            Err(Fault::Short) => read_more(&mut stream, &mut received)?,
-            Err(fault) => return Err(QueryError::Malformed(fault)),
+            Err(FrameError::Incomplete) => read_more(&mut stream, &mut received)?,
+            Err(error) => return Err(QueryError::Malformed(error)),
         }
     }
     Err(QueryError::TimedOut)
--- a/crates/peers/src/wire.rs
+++ b/crates/peers/src/wire.rs
@@ -33,27 +33,27 @@
 /// Bytes of the truncated keyed hash.
 const TAG_BYTES: usize = 16;
 
-/// Why received bytes were rejected.
+/// Why a received frame was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
-pub enum Fault {
-    /// The frame is not complete; over a connection more may come.
-    #[error("cut short")]
-    Short,
-    /// The frame is longer than allowed, or bytes follow it in a datagram.
-    #[error("too long")]
-    Long,
-    /// The frame has another [`VERSION`].
-    #[error("unknown version")]
-    Version,
+pub enum FrameError {
+    /// Bytes of the frame are missing. On a connection they may still arrive.
+    #[error("the frame is incomplete")]
+    Incomplete,
+    /// The frame is longer than allowed, or a datagram has bytes after its frame.
+    #[error("the frame is too long")]
+    TooLong,
+    /// The version is not [`VERSION`].
+    #[error("the frame has an unsupported version")]
+    UnsupportedVersion,
     /// The frame is of another kind than expected.
-    #[error("unknown kind")]
-    Kind,
+    #[error("the frame is of an unexpected kind")]
+    UnexpectedKind,
     /// The keyed hash does not verify with the shared secret.
-    #[error("not keyed by our secret")]
-    Key,
-    /// The keyed hash verifies, but the body does not decode.
-    #[error("malformed")]
-    Form,
+    #[error("the frame is not authenticated with the shared secret")]
+    NotAuthenticated,
+    /// The keyed hash verifies, but the body cannot be decoded.
+    #[error("the frame's body cannot be decoded")]
+    Malformed,
 }
 
 /// A message over a connection. `no` is the number of a request; its answers repeat it, so that answers to an earlier
@@ -131,12 +131,12 @@
     ///
     /// # Errors
     /// Why it was rejected.
-    pub fn open_datagram(&self, bytes: &[u8]) -> Result<Datagram, Fault> {
+    pub fn open_datagram(&self, bytes: &[u8]) -> Result<Datagram, FrameError> {
         let (datagram, used) = self.open(Kind::Datagram, MAX_DATAGRAM_BYTES, bytes)?;
         if used == bytes.len() {
             Ok(datagram)
         } else {
-            Err(Fault::Long)
+            Err(FrameError::TooLong)
         }
     }
 
@@ -149,8 +149,8 @@
     /// length of its frame.
     ///
     /// # Errors
-    /// [`Fault::Short`] if more bytes are needed, otherwise why it was rejected.
-    pub fn open_page(&self, bytes: &[u8]) -> Result<(Page, usize), Fault> {
+    /// [`FrameError::Incomplete`] if more bytes are needed, otherwise why it was rejected.
+    pub fn open_page(&self, bytes: &[u8]) -> Result<(Page, usize), FrameError> {
         self.open(Kind::Page, MAX_PAGE_BYTES, bytes)
     }
 
@@ -172,30 +172,30 @@
         kind: Kind,
         max_bytes: usize,
         bytes: &[u8],
-    ) -> Result<(T, usize), Fault> {
-        let header = bytes.get(..HEADER_BYTES).ok_or(Fault::Short)?;
+    ) -> Result<(T, usize), FrameError> {
+        let header = bytes.get(..HEADER_BYTES).ok_or(FrameError::Incomplete)?;
         if header[0] != VERSION {
-            return Err(Fault::Version);
+            return Err(FrameError::UnsupportedVersion);
         }
         if header[1] != kind as u8 {
-            return Err(Fault::Kind);
+            return Err(FrameError::UnexpectedKind);
         }
         let body_end = HEADER_BYTES + usize::from(u16::from_le_bytes([header[2], header[3]]));
         let frame_end = body_end + TAG_BYTES;
         if frame_end > max_bytes {
-            return Err(Fault::Long);
+            return Err(FrameError::TooLong);
         }
-        let frame = bytes.get(..frame_end).ok_or(Fault::Short)?;
+        let frame = bytes.get(..frame_end).ok_or(FrameError::Incomplete)?;
         let (signed, tag) = frame.split_at(body_end);
         self.0
             .clone()
             .chain_update(signed)
             .verify_truncated_left(tag)
-            .map_err(|_| Fault::Key)?;
+            .map_err(|_| FrameError::NotAuthenticated)?;
         let body = &signed[HEADER_BYTES..];
-        let (value, rest) = postcard::take_from_bytes(body).map_err(|_| Fault::Form)?;
+        let (value, rest) = postcard::take_from_bytes(body).map_err(|_| FrameError::Malformed)?;
         if !rest.is_empty() {
-            return Err(Fault::Form);
+            return Err(FrameError::Malformed);
         }
         Ok((value, frame_end))
     }
--- a/crates/peers/tests/gossip/wire.rs
+++ b/crates/peers/tests/gossip/wire.rs
@@ -4,7 +4,7 @@
 use martenlatch_peers::latency_sketch::LatencySketch;
 use martenlatch_peers::partner_knowledge::{Digest, ReportedOutage};
 use martenlatch_peers::wire::{
-    Fault, MAX_DIGESTS_PER_PAGE, MAX_PAGE_BYTES, Page, PageAssembler, Secret,
+    FrameError, MAX_DIGESTS_PER_PAGE, MAX_PAGE_BYTES, Page, PageAssembler, Secret,
 };
 use proptest::prelude::*;
 
@@ -28,11 +28,11 @@
         let bytes = secret.seal_page(&page);
         prop_assert_eq!(secret.open_page(&bytes), Ok((page, bytes.len())));
         let at = at.index(bytes.len());
-        prop_assert_eq!(secret.open_page(&bytes[..at]), Err(Fault::Short));
+        prop_assert_eq!(secret.open_page(&bytes[..at]), Err(FrameError::Incomplete));
         let mut spoilt = bytes.clone();
         spoilt[at] ^= flip;
         prop_assert!(secret.open_page(&spoilt).is_err());
-        prop_assert_eq!(Secret::new(b"theirs").open_page(&bytes), Err(Fault::Key));
+        prop_assert_eq!(Secret::new(b"theirs").open_page(&bytes), Err(FrameError::NotAuthenticated));
     }
 }
 
@@ -90,11 +90,14 @@
     let secret = Secret::new(b"ours");
     let mut bytes = secret.seal_page(&Page::End { no: 1, pages: 0 });
     bytes[0] = 2;
-    assert_eq!(secret.open_page(&bytes), Err(Fault::Version));
+    assert_eq!(
+        secret.open_page(&bytes),
+        Err(FrameError::UnsupportedVersion)
+    );
     (bytes[0], bytes[3]) = (1, 0xff);
     assert_eq!(
         secret.open_page(&bytes),
-        Err(Fault::Long),
+        Err(FrameError::TooLong),
         "before more of it is waited for"
     );
 }
--- a/crates/sender/src/peer_service/datagrams.rs
+++ b/crates/sender/src/peer_service/datagrams.rs
@@ -31,7 +31,7 @@
     fn handle_datagram(&mut self, bytes: &[u8], now: Millis) {
         match self.secret.open_datagram(bytes) {
             Ok(datagram) => self.membership.handle_datagram(datagram, now),
-            Err(fault) => self.rejections.count(fault),
+            Err(error) => self.rejections.count(error),
         }
     }
 
--- a/crates/sender/src/peer_service/page_server.rs
+++ b/crates/sender/src/peer_service/page_server.rs
@@ -7,7 +7,7 @@
 use martenlatch_clock::Millis;
 use martenlatch_http::buffer_pool::BufferPool;
 use martenlatch_peers::membership::Membership;
-use martenlatch_peers::wire::{Fault, MAX_MEMBERS_PER_PAGE, Page, Secret};
+use martenlatch_peers::wire::{FrameError, MAX_MEMBERS_PER_PAGE, Page, Secret};
 use slab::Slab;
 
 use super::gossip::{ObservationCursor, OwnObservations};
@@ -142,13 +142,13 @@
     }
 
     /// Reads the request from what was received; none if more has to be received first.
-    fn read_request(&self, secret: &Secret) -> Result<Option<Response>, Fault> {
+    fn read_request(&self, secret: &Secret) -> Result<Option<Response>, FrameError> {
         match secret.open_page(self.connection.bytes()) {
             Ok((Page::Ask { no, .. }, _)) => Ok(Some(Response::new(no, Content::Digests(None)))),
             Ok((Page::Who { no }, _)) => Ok(Some(Response::new(no, Content::Members))),
-            Ok(_) => Err(Fault::Kind),
-            Err(Fault::Short) if !self.connection.eof => Ok(None),
-            Err(fault) => Err(fault),
+            Ok(_) => Err(FrameError::UnexpectedKind),
+            Err(FrameError::Incomplete) if !self.connection.eof => Ok(None),
+            Err(error) => Err(error),
         }
     }
 }
@@ -232,8 +232,8 @@
             match served.read_request(secret) {
                 Ok(Some(response)) => served.response = Some(response),
                 Ok(None) => return may_have_more,
-                Err(fault) => {
-                    rejections.count(fault);
+                Err(error) => {
+                    rejections.count(error);
                     served.rejected = true;
                     return false;
                 }
--- a/crates/sender/src/peer_service/rejections.rs
+++ b/crates/sender/src/peer_service/rejections.rs
@@ -1,6 +1,6 @@
 //! Counts of what was rejected, by reason.
 
-use martenlatch_peers::wire::Fault;
+use martenlatch_peers::wire::FrameError;
 
 /// How many datagrams, requests and connections were rejected.
 #[derive(Default)]
@@ -17,11 +17,14 @@
 
 impl Rejections {
     /// Counts a rejected datagram or request.
-    pub(super) fn count(&mut self, fault: Fault) {
-        match fault {
-            Fault::Key => self.unauthenticated += 1,
-            Fault::Version => self.other_version += 1,
-            Fault::Short | Fault::Long | Fault::Kind | Fault::Form => self.malformed += 1,
+    pub(super) fn count(&mut self, error: FrameError) {
+        match error {
+            FrameError::NotAuthenticated => self.unauthenticated += 1,
+            FrameError::UnsupportedVersion => self.other_version += 1,
+            FrameError::Incomplete
+            | FrameError::TooLong
+            | FrameError::UnexpectedKind
+            | FrameError::Malformed => self.malformed += 1,
         }
     }
 }
--- a/crates/sender/src/peer_service/seed_queries.rs
+++ b/crates/sender/src/peer_service/seed_queries.rs
@@ -7,7 +7,7 @@
 use martenlatch_clock::Millis;
 use martenlatch_http::buffer_pool::BufferPool;
 use martenlatch_peers::partner_knowledge::{Bounds, Digest, PartnerKnowledge};
-use martenlatch_peers::wire::{Fault, Page, PageAssembler, Secret};
+use martenlatch_peers::wire::{FrameError, Page, PageAssembler, Secret};
 use martenlatch_settings::program;
 use tracing::{info, warn};
 
@@ -199,9 +199,11 @@
             connection.consume(length);
             Ok(Some(page))
         }
-        Err(Fault::Short) if connection.eof || connection.broken => Err(QueryError::Closed),
-        Err(Fault::Short) => Ok(None),
-        Err(Fault::Key) => Err(QueryError::Unauthenticated),
+        Err(FrameError::Incomplete) if connection.eof || connection.broken => {
+            Err(QueryError::Closed)
+        }
+        Err(FrameError::Incomplete) => Ok(None),
+        Err(FrameError::NotAuthenticated) => Err(QueryError::Unauthenticated),
         Err(_) => Err(QueryError::Malformed),
     }
 }
