--- a/crates/martenlatch/src/members.rs
+++ b/crates/martenlatch/src/members.rs
@@ -45,21 +45,34 @@
     stream.set_read_timeout(Some(TIMEOUT))?;
     // The response repeats this number, so that an earlier one is not taken for it.
     let query_id = u64::from(std::process::id());
-    stream.write_all(&secret.seal_page(&Page::Who { no: query_id }))?;
+    stream.write_all(&secret.seal_page(&Page::MembersRequest {
+        request_id: query_id,
+    }))?;
     let start = Instant::now();
     let mut received = Vec::new();
     let mut members = Vec::new();
     let mut next_page = 0;
     while start.elapsed() < TIMEOUT {
         match secret.open_page(&received) {
-            Ok((Page::Membership { no, page, rumours }, length))
-                if no == query_id && page == next_page =>
-            {
+            Ok((
+                Page::Members {
+                    request_id,
+                    index,
+                    members: page,
+                },
+                length,
+            )) if request_id == query_id && index == next_page => {
                 received.drain(..length);
-                members.extend(rumours);
+                members.extend(page);
                 next_page += 1;
             }
-            Ok((Page::End { no, pages }, _)) if no == query_id && pages == next_page => {
+            Ok((
+                Page::End {
+                    request_id,
+                    page_count,
+                },
+                _,
+            )) if request_id == query_id && page_count == next_page => {
                 return Ok(members);
             }
             Ok(_) => return Err(QueryError::OutOfOrder),
--- a/crates/martenlatch/tests/members.rs
+++ b/crates/martenlatch/tests/members.rs
@@ -81,7 +81,7 @@
     let mut stream = TcpStream::connect(group.seeds[0]).unwrap();
     let other_secret = Secret::new(b"another secret altogether");
     stream
-        .write_all(&other_secret.seal_page(&Page::Who { no: 1 }))
+        .write_all(&other_secret.seal_page(&Page::MembersRequest { request_id: 1 }))
         .unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let mut response = Vec::new();
--- a/crates/martenlatch/tests/shared_knowledge.rs
+++ b/crates/martenlatch/tests/shared_knowledge.rs
@@ -58,15 +58,15 @@
         scripted_peer(group.seeds[alive], |query, stream| {
             stream
                 .write_all(&seal(&Page::Digests {
-                    no: query,
-                    page: 0,
+                    request_id: query,
+                    index: 0,
                     digests: vec![digest(7)],
                 }))
                 .unwrap();
             stream
                 .write_all(&seal(&Page::End {
-                    no: query,
-                    pages: 1,
+                    request_id: query,
+                    page_count: 1,
                 }))
                 .unwrap();
         });
@@ -86,13 +86,13 @@
     let group = Group::new("cut", 2);
     scripted_peer(group.seeds[1], |query, stream| {
         let complete = seal(&Page::Digests {
-            no: query,
-            page: 0,
+            request_id: query,
+            index: 0,
             digests: vec![digest(7), digest(8)],
         });
         let half = seal(&Page::Digests {
-            no: query,
-            page: 1,
+            request_id: query,
+            index: 1,
             digests: vec![digest(9)],
         });
         stream.write_all(&complete).unwrap();
@@ -130,8 +130,8 @@
                 ..digest(7)
             };
             let mut bytes = seal(&Page::Digests {
-                no: query,
-                page: 0,
+                request_id: query,
+                index: 0,
                 digests: vec![reported],
             });
             corrupt(&mut bytes);
@@ -158,8 +158,8 @@
     scripted_peer(group.seeds[1], |query, stream| {
         for number in 0..100_000 {
             let page = seal(&Page::Digests {
-                no: query,
-                page: number,
+                request_id: query,
+                index: number,
                 digests: vec![digest(u64::from(number))],
             });
             if stream.write_all(&page).is_err() {
@@ -192,15 +192,18 @@
         for part in all.chunks(32) {
             stream
                 .write_all(&seal(&Page::Digests {
-                    no: query,
-                    page: pages,
+                    request_id: query,
+                    index: pages,
                     digests: part.to_vec(),
                 }))
                 .unwrap();
             pages += 1;
         }
         stream
-            .write_all(&seal(&Page::End { no: query, pages }))
+            .write_all(&seal(&Page::End {
+                request_id: query,
+                page_count: pages,
+            }))
             .unwrap();
         let _ = stream.read(&mut [0; 1]);
     });
--- a/crates/martenlatch/tests/support/group.rs
+++ b/crates/martenlatch/tests/support/group.rs
@@ -181,8 +181,8 @@
         let count = stream.read(&mut part).unwrap();
         assert!(count > 0, "the connection was closed before the query");
         received.extend(&part[..count]);
-        if let Ok((Page::Ask { no, .. }, _)) = secret.open_page(&received) {
-            return no;
+        if let Ok((Page::DigestsRequest { request_id, .. }, _)) = secret.open_page(&received) {
+            return request_id;
         }
     }
 }
--- a/crates/peers/src/wire.rs
+++ b/crates/peers/src/wire.rs
@@ -56,46 +56,46 @@
     Malformed,
 }
 
-/// A message over a connection. `no` is the number of a request; its answers repeat it, so that answers to an earlier
-/// request are not mistaken for them.
+/// A request, or a part of the response to it, on a connection. A response repeats the id of its request, so that it is
+/// not mistaken for the response to another request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Page {
     /// Requests the digests of all partners that the receiver has observed.
-    Ask {
-        /// The number of the request.
-        no: u64,
-        /// The name of the requester.
-        name: String,
+    DigestsRequest {
+        /// Identifies the request.
+        request_id: u64,
+        /// The name of the requesting member.
+        requester: String,
     },
-    /// Answers [`Page::Ask`]: a part of the digests.
+    /// A part of the response to [`Page::DigestsRequest`].
     Digests {
-        /// The number of the request.
-        no: u64,
+        /// The id of the request.
+        request_id: u64,
         /// The index of this page, from 0.
-        page: u32,
+        index: u32,
         /// At most [`MAX_DIGESTS_PER_PAGE`].
         digests: Vec<Digest>,
     },
-    /// Completes an answer.
+    /// Ends a response.
     End {
-        /// The number of the request.
-        no: u64,
-        /// How many pages came before.
-        pages: u32,
+        /// The id of the request.
+        request_id: u64,
+        /// Number of pages that came before this one.
+        page_count: u32,
     },
     /// Requests the receiver's view of the membership, for an operator.
-    Who {
-        /// The number of the request.
-        no: u64,
+    MembersRequest {
+        /// Identifies the request.
+        request_id: u64,
     },
-    /// Answers [`Page::Who`]: a part of the view, which begins with the answering member itself.
-    Membership {
-        /// The number of the request.
-        no: u64,
+    /// A part of the response to [`Page::MembersRequest`]. The first page begins with the responding member itself.
+    Members {
+        /// The id of the request.
+        request_id: u64,
         /// The index of this page, from 0.
-        page: u32,
+        index: u32,
         /// At most [`MAX_MEMBERS_PER_PAGE`].
-        rumours: Vec<MemberUpdate>,
+        members: Vec<MemberUpdate>,
     },
 }
 
@@ -201,37 +201,44 @@
     }
 }
 
-/// Checks that the pages that answer a request come complete and in order.
+/// Checks that the pages of a response arrive completely and in order.
 #[derive(Debug)]
 pub struct PageAssembler {
-    request: u64,
-    next_page: u32,
+    request_id: u64,
+    next_index: u32,
     complete: bool,
 }
 
 impl PageAssembler {
-    /// For the answer to the request of this number.
-    pub fn new(request: u64) -> PageAssembler {
+    /// Assembles the response to the request with this id.
+    pub fn new(request_id: u64) -> PageAssembler {
         PageAssembler {
-            request,
-            next_page: 0,
+            request_id,
+            next_index: 0,
             complete: false,
         }
     }
 
-    /// Whether the whole answer was received.
+    /// Whether the whole response was received.
     pub fn is_complete(&self) -> bool {
         self.complete
     }
 
-    /// Takes a page: its digests, or `None` if it is not the next page of this answer.
+    /// Accepts the next page and returns its digests, or `None` if it is not the next page of this response.
     pub fn accept(&mut self, page: Page) -> Option<Vec<Digest>> {
         match page {
-            Page::Digests { no, page, digests } if self.expects(no, page) && !self.complete => {
-                self.next_page += 1;
+            Page::Digests {
+                request_id,
+                index,
+                digests,
+            } if self.expects(request_id, index) && !self.complete => {
+                self.next_index += 1;
                 Some(digests)
             }
-            Page::End { no, pages } if self.expects(no, pages) => {
+            Page::End {
+                request_id,
+                page_count,
+            } if self.expects(request_id, page_count) => {
                 self.complete = true;
                 Some(Vec::new())
             }
@@ -239,7 +246,7 @@
         }
     }
 
-    fn expects(&self, request: u64, page: u32) -> bool {
-        request == self.request && page == self.next_page
+    fn expects(&self, request_id: u64, index: u32) -> bool {
+        request_id == self.request_id && index == self.next_index
     }
 }
--- a/crates/peers/tests/gossip/wire.rs
+++ b/crates/peers/tests/gossip/wire.rs
@@ -24,7 +24,7 @@
     ) {
         let secret = Secret::new(b"ours");
         let digests: Vec<Digest> = received.into_iter().map(|r| r.digest).collect();
-        let page = Page::Digests { no: 7, page: 0, digests };
+        let page = Page::Digests { request_id: 7, index: 0, digests };
         let bytes = secret.seal_page(&page);
         prop_assert_eq!(secret.open_page(&bytes), Ok((page, bytes.len())));
         let at = at.index(bytes.len());
@@ -53,8 +53,8 @@
         ..digest(1)
     };
     let page = Page::Digests {
-        no: u64::MAX,
-        page: u32::MAX,
+        request_id: u64::MAX,
+        index: u32::MAX,
         digests: vec![largest; MAX_DIGESTS_PER_PAGE],
     };
     assert!(secret.seal_page(&page).len() <= MAX_PAGE_BYTES);
@@ -88,7 +88,10 @@
 #[test]
 fn another_version_and_an_excessive_length_are_reported() {
     let secret = Secret::new(b"ours");
-    let mut bytes = secret.seal_page(&Page::End { no: 1, pages: 0 });
+    let mut bytes = secret.seal_page(&Page::End {
+        request_id: 1,
+        page_count: 0,
+    });
     bytes[0] = 2;
     assert_eq!(
         secret.open_page(&bytes),
@@ -106,23 +109,37 @@
 fn an_interrupted_response_keeps_its_digests_and_is_incomplete() {
     let mut asking = PageAssembler::new(9);
     let page = |page: u32| Page::Digests {
-        no: 9,
-        page,
+        request_id: 9,
+        index: page,
         digests: vec![digest(page.into())],
     };
     assert_eq!(asking.accept(page(0)).map(|t| t.len()), Some(1));
     assert_eq!(asking.accept(page(2)), None, "a page is missing");
     assert_eq!(
         asking.accept(Page::Digests {
-            no: 8,
-            page: 1,
+            request_id: 8,
+            index: 1,
             digests: vec![]
         }),
         None,
         "of another asking"
     );
-    assert_eq!(asking.accept(Page::End { no: 9, pages: 5 }), None);
+    assert_eq!(
+        asking.accept(Page::End {
+            request_id: 9,
+            page_count: 5
+        }),
+        None
+    );
     assert!(!asking.is_complete());
     assert_eq!(asking.accept(page(1)).map(|t| t.len()), Some(1));
-    assert!(asking.accept(Page::End { no: 9, pages: 2 }).is_some() && asking.is_complete());
+    assert!(
+        asking
+            .accept(Page::End {
+                request_id: 9,
+                page_count: 2
+            })
+            .is_some()
+            && asking.is_complete()
+    );
 }
--- a/crates/sender/src/peer_service/page_server.rs
+++ b/crates/sender/src/peer_service/page_server.rs
@@ -33,7 +33,7 @@
 
 /// How far a response has come.
 struct Response {
-    request: u64,
+    request_id: u64,
     content: Content,
     /// The index of the next page.
     next_page: u32,
@@ -51,9 +51,9 @@
 }
 
 impl Response {
-    fn new(request: u64, content: Content) -> Response {
+    fn new(request_id: u64, content: Content) -> Response {
         Response {
-            request,
+            request_id,
             content,
             next_page: 0,
             complete: false,
@@ -74,8 +74,8 @@
         let page = page.unwrap_or_else(|| {
             self.complete = true;
             Page::End {
-                no: self.request,
-                pages: self.next_page,
+                request_id: self.request_id,
+                page_count: self.next_page,
             }
         });
         self.next_page += 1;
@@ -93,21 +93,21 @@
         let page = observed.digests(after, now);
         self.content = Content::Digests(page.next);
         Some(Page::Digests {
-            no: self.request,
-            page: self.next_page,
+            request_id: self.request_id,
+            index: self.next_page,
             digests: page.digests,
         })
     }
 
     fn members_page(&self, membership: &Membership) -> Option<Page> {
-        let members = std::iter::once(membership.local()).chain(membership.others());
+        let all = std::iter::once(membership.local()).chain(membership.others());
         let sent = self.next_page as usize * MAX_MEMBERS_PER_PAGE;
-        let page = members.skip(sent).take(MAX_MEMBERS_PER_PAGE);
-        let rumours: Vec<_> = page.cloned().collect();
-        (!rumours.is_empty()).then_some(Page::Membership {
-            no: self.request,
-            page: self.next_page,
-            rumours,
+        let page = all.skip(sent).take(MAX_MEMBERS_PER_PAGE);
+        let members: Vec<_> = page.cloned().collect();
+        (!members.is_empty()).then_some(Page::Members {
+            request_id: self.request_id,
+            index: self.next_page,
+            members,
         })
     }
 }
@@ -144,8 +144,12 @@
     /// Reads the request from what was received; none if more has to be received first.
     fn read_request(&self, secret: &Secret) -> Result<Option<Response>, FrameError> {
         match secret.open_page(self.connection.bytes()) {
-            Ok((Page::Ask { no, .. }, _)) => Ok(Some(Response::new(no, Content::Digests(None)))),
-            Ok((Page::Who { no }, _)) => Ok(Some(Response::new(no, Content::Members))),
+            Ok((Page::DigestsRequest { request_id, .. }, _)) => {
+                Ok(Some(Response::new(request_id, Content::Digests(None))))
+            }
+            Ok((Page::MembersRequest { request_id }, _)) => {
+                Ok(Some(Response::new(request_id, Content::Members)))
+            }
             Ok(_) => Err(FrameError::UnexpectedKind),
             Err(FrameError::Incomplete) if !self.connection.eof => Ok(None),
             Err(error) => Err(error),
--- a/crates/sender/src/peer_service/seed_queries.rs
+++ b/crates/sender/src/peer_service/seed_queries.rs
@@ -130,9 +130,9 @@
             let Ok(mut connection) = connection else {
                 continue;
             };
-            let request = Page::Ask {
-                no: self.last_request,
-                name: self.local_name.clone(),
+            let request = Page::DigestsRequest {
+                request_id: self.last_request,
+                requester: self.local_name.clone(),
             };
             connection.queue(&secret.seal_page(&request));
             connection.flush();
