--- a/crates/lab/src/members.rs
+++ b/crates/lab/src/members.rs
@@ -2,7 +2,7 @@
 //! and how often a running member is declared dead by mistake. The figures are a seed's, not the machine's.
 
 use martenlatch_clock::Millis;
-use martenlatch_peers::membership::State;
+use martenlatch_peers::membership::MemberState;
 use martenlatch_peers::simulated_network::SimulatedNetwork;
 
 /// Time from an empty network until figures are taken.
@@ -73,7 +73,7 @@
     network.kill(died);
     let knows_death = |network: &SimulatedNetwork, by: usize| {
         let state = network.state(by, died);
-        state.is_none_or(|state| state == State::Dead)
+        state.is_none_or(|state| state == MemberState::Dead)
     };
     let known = network.run_until(LONGEST_WAIT, |network| {
         (0..members).all(|by| knows_death(network, by))
--- a/crates/martenlatch/src/members.rs
+++ b/crates/martenlatch/src/members.rs
@@ -7,7 +7,7 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-use martenlatch_peers::membership::{MemberUpdate, State};
+use martenlatch_peers::membership::{MemberState, MemberUpdate};
 use martenlatch_peers::wire::{FrameError, Page, Secret};
 use martenlatch_settings::program::Peers;
 use serde_json::json;
@@ -114,9 +114,9 @@
 
 fn state_name(member: &MemberUpdate) -> &'static str {
     match member.state {
-        State::Alive => "alive",
-        State::Suspect => "suspect",
-        State::Dead => "dead",
-        State::Left => "left",
+        MemberState::Alive => "alive",
+        MemberState::Suspect => "suspect",
+        MemberState::Dead => "dead",
+        MemberState::Left => "left",
     }
 }
--- a/crates/peers/src/membership/dissemination.rs
+++ b/crates/peers/src/membership/dissemination.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use super::member::{MemberUpdate, State};
-use super::message::{Body, Datagram};
+use super::member::{MemberState, MemberUpdate};
+use super::message::{Datagram, Payload};
 use super::{MAX_UPDATES, Membership, SYNC_INTERVAL};
 
 /// An update is piggybacked this many times the binary logarithm of the group's size: enough to reach all members
@@ -54,12 +54,12 @@
     pub(super) fn send(
         &mut self,
         to: SocketAddr,
-        body: Body,
+        payload: Payload,
         about_receiver: Option<MemberUpdate>,
     ) {
-        let first = about_receiver.filter(|update| update.state != State::Alive);
+        let first = about_receiver.filter(|update| update.state != MemberState::Alive);
         let updates = self.next_updates(first);
-        self.queue_datagram(to, body, updates);
+        self.queue_datagram(to, payload, updates);
     }
 
     /// Takes the updates for one datagram from the queue, and queues those again that were not transmitted often enough.
@@ -92,11 +92,11 @@
         TRANSMISSIONS_FACTOR * (usize::BITS - group_size.leading_zeros())
     }
 
-    fn queue_datagram(&mut self, to: SocketAddr, body: Body, updates: Vec<MemberUpdate>) {
+    fn queue_datagram(&mut self, to: SocketAddr, payload: Payload, updates: Vec<MemberUpdate>) {
         let datagram = Datagram {
             from: self.local.clone(),
-            digest: self.digest,
-            body,
+            view_digest: self.view_digest,
+            payload,
             updates,
         };
         self.outgoing.push((to, datagram));
@@ -111,24 +111,24 @@
             .cloned()
             .collect();
         for part in updates.chunks(MAX_UPDATES) {
-            self.queue_datagram(to, Body::View, part.to_vec());
+            self.queue_datagram(to, Payload::View, part.to_vec());
         }
         if updates.is_empty() {
-            self.send(to, Body::View, None);
+            self.send(to, Payload::View, None);
         }
     }
 
     /// Sends what is new to some members without waiting for the next ping.
     pub(super) fn announce(&mut self, receivers: usize) {
         for to in self.random_members(receivers, None) {
-            self.send(to, Body::View, None);
+            self.send(to, Payload::View, None);
         }
     }
 
     /// Anti-entropy: requests the full view of a member after its digest has differed several times in a row, so that
     /// the halves of a healed network agree again.
-    pub(super) fn compare_digest(&mut self, from: SocketAddr, digest: u64) {
-        if digest == self.digest {
+    pub(super) fn compare_view_digest(&mut self, from: SocketAddr, view_digest: u64) {
+        if view_digest == self.view_digest {
             self.digest_mismatches = 0;
         } else {
             self.digest_mismatches += 1;
@@ -137,7 +137,7 @@
         if self.digest_mismatches >= MAX_DIGEST_MISMATCHES && sync_due {
             self.digest_mismatches = 0;
             self.last_sync = self.periods;
-            self.send(from, Body::Sync, None);
+            self.send(from, Payload::ViewRequest, None);
         }
     }
 }
--- a/crates/peers/src/membership/failure_detector.rs
+++ b/crates/peers/src/membership/failure_detector.rs
@@ -8,8 +8,8 @@
 use rand::seq::SliceRandom;
 
 use super::Membership;
-use super::member::{MemberUpdate, State};
-use super::message::Body;
+use super::member::{MemberState, MemberUpdate};
+use super::message::Payload;
 
 /// Forwarded pings without an ack yet, at most.
 const MAX_RELAYED_PINGS: usize = 64;
@@ -64,7 +64,7 @@
             return;
         };
         for to in self.random_members(self.settings.indirect_probes, Some(&target)) {
-            self.send(to, Body::PingRequest { sequence, address }, None);
+            self.send(to, Payload::PingRequest { sequence, address }, None);
         }
     }
 
@@ -87,7 +87,7 @@
 
     fn handle_probe_failure(&mut self, probe: &Probe, now: Millis) {
         let target = self.view.get(&probe.name).cloned();
-        let Some(target) = target.filter(|member| member.state == State::Alive) else {
+        let Some(target) = target.filter(|member| member.state == MemberState::Alive) else {
             self.probe_next(now);
             return;
         };
@@ -100,7 +100,7 @@
     }
 
     fn suspect(&mut self, target: MemberUpdate, now: Millis) {
-        let suspect = target.with_state(State::Suspect);
+        let suspect = target.with_state(MemberState::Suspect);
         self.merge(suspect.clone(), now);
         self.probe_next(now);
         // This ping lets it refute the suspicion at once, before dissemination reaches it.
@@ -122,7 +122,7 @@
     /// Sends a ping; returns its sequence number.
     fn ping(&mut self, target: MemberUpdate) -> u64 {
         let sequence = self.next_sequence();
-        self.send(target.address, Body::Ping { sequence }, Some(target));
+        self.send(target.address, Payload::Ping { sequence }, Some(target));
         sequence
     }
 
@@ -153,7 +153,7 @@
                 break;
             };
             let known = self.view.get(&name).cloned();
-            if let Some(dead) = known.filter(|member| member.state == State::Dead) {
+            if let Some(dead) = known.filter(|member| member.state == MemberState::Dead) {
                 self.lost.push_back(name);
                 self.ping(dead);
                 break;
@@ -169,7 +169,7 @@
         let seed = self.seeds[self.rng.random_range(0..self.seeds.len())];
         let mut members = self.view.values();
         if !members.any(|member| member.address == seed && member.state.is_live()) {
-            self.send(seed, Body::Sync, None);
+            self.send(seed, Payload::ViewRequest, None);
         }
     }
 
@@ -189,7 +189,7 @@
             requester,
             requester_sequence,
         });
-        self.send(target, Body::Ping { sequence }, None);
+        self.send(target, Payload::Ping { sequence }, None);
     }
 
     /// Takes an ack: it completes the current probe, or is forwarded to the member that requested the ping.
@@ -203,7 +203,7 @@
             .position(|ping| ping.sequence == sequence);
         if let Some(relayed) = position.and_then(|at| self.relayed_pings.remove(at)) {
             let sequence = relayed.requester_sequence;
-            self.send(relayed.requester, Body::Ack { sequence }, None);
+            self.send(relayed.requester, Payload::Ack { sequence }, None);
         }
     }
 
@@ -221,7 +221,7 @@
         let mut addresses: Vec<SocketAddr> = self
             .view
             .values()
-            .filter(|member| member.state == State::Alive)
+            .filter(|member| member.state == MemberState::Alive)
             .filter(|member| Some(member.name.as_str()) != excluded)
             .map(|member| member.address)
             .collect();
--- a/crates/peers/src/membership/member.rs
+++ b/crates/peers/src/membership/member.rs
@@ -11,7 +11,7 @@
 /// The state of a member, as far as is known. Of two updates with the same incarnation, the one whose state comes later
 /// in this order overrides the other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum State {
+pub enum MemberState {
     /// It answers probes.
     Alive,
     /// It did not answer probes and has not refuted the suspicion yet.
@@ -22,10 +22,10 @@
     Left,
 }
 
-impl State {
+impl MemberState {
     /// Whether a node in this state counts as a member of the group.
     pub fn is_live(self) -> bool {
-        matches!(self, State::Alive | State::Suspect)
+        matches!(self, MemberState::Alive | MemberState::Suspect)
     }
 }
 
@@ -39,7 +39,7 @@
     /// The incarnation that this update speaks of.
     pub incarnation: u64,
     /// The state of the member in that incarnation.
-    pub state: State,
+    pub state: MemberState,
 }
 
 impl MemberUpdate {
@@ -49,18 +49,18 @@
         self.precedence() > known.precedence()
     }
 
-    fn precedence(&self) -> (u64, State, SocketAddr) {
+    fn precedence(&self) -> (u64, MemberState, SocketAddr) {
         (self.incarnation, self.state, self.address)
     }
 
     /// This update with another state.
-    pub(super) fn with_state(self, state: State) -> MemberUpdate {
+    pub(super) fn with_state(self, state: MemberState) -> MemberUpdate {
         MemberUpdate { state, ..self }
     }
 
     /// The member's part of a view's digest: a hash of name and incarnation. A digest is the XOR of the parts of all
     /// live members, and has to be the same on every machine.
-    pub(super) fn digest(&self) -> u64 {
+    pub(super) fn digest_contribution(&self) -> u64 {
         let incarnation = self.incarnation.to_le_bytes();
         self.name
             .bytes()
--- a/crates/peers/src/membership/message.rs
+++ b/crates/peers/src/membership/message.rs
@@ -8,8 +8,8 @@
 
 /// What a datagram asks for or answers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Body {
-    /// Requests an [`Body::Ack`] with the same sequence number.
+pub enum Payload {
+    /// Requests an [`Payload::Ack`] with the same sequence number.
     Ping {
         /// Sequence number, unique at the sender of the ping.
         sequence: u64,
@@ -27,7 +27,7 @@
         address: SocketAddr,
     },
     /// Requests the receiver's full view.
-    Sync,
+    ViewRequest,
     /// A part of the sender's view.
     View,
 }
@@ -38,9 +38,9 @@
     /// The sender, as it describes itself.
     pub from: MemberUpdate,
     /// Digest of the live members in the sender's view.
-    pub digest: u64,
+    pub view_digest: u64,
     /// What the datagram is for.
-    pub body: Body,
+    pub payload: Payload,
     /// Piggybacked updates on other members, at most [`super::MAX_UPDATES`].
     pub updates: Vec<MemberUpdate>,
 }
--- a/crates/peers/src/membership/mod.rs
+++ b/crates/peers/src/membership/mod.rs
@@ -22,8 +22,8 @@
 
 use dissemination::UpdateQueue;
 use failure_detector::{Probe, RelayedPing};
-pub use member::{MemberUpdate, MembershipChange, State};
-pub use message::{Body, Datagram};
+pub use member::{MemberState, MemberUpdate, MembershipChange};
+pub use message::{Datagram, Payload};
 pub use settings::Settings;
 use view::Expiry;
 
@@ -46,7 +46,7 @@
     /// Number of live members in `view`.
     live: usize,
     /// XOR of the digests of this member and of the live members in `view`.
-    digest: u64,
+    view_digest: u64,
     /// Members still to be probed in the current pass over the view.
     probe_order: Vec<String>,
     /// Members that were declared dead and may be contacted again; some may be back or removed by now.
@@ -88,10 +88,10 @@
             name: truncate_name(name),
             address,
             incarnation,
-            state: State::Alive,
+            state: MemberState::Alive,
         };
         Membership {
-            digest: local.digest(),
+            view_digest: local.digest_contribution(),
             local,
             seeds: seeds.iter().copied().filter(|s| *s != address).collect(),
             view: BTreeMap::new(),
@@ -156,13 +156,13 @@
     /// Joins the group: requests the views of all seeds.
     pub fn join(&mut self) {
         for seed in self.seeds.clone() {
-            self.send(seed, Body::Sync, None);
+            self.send(seed, Payload::ViewRequest, None);
         }
     }
 
     /// Leaves the group: announces that to some members.
     pub fn leave(&mut self) {
-        self.local.state = State::Left;
+        self.local.state = MemberState::Left;
         self.announce(2 * self.settings.indirect_probes);
     }
 
@@ -179,8 +179,8 @@
     pub fn handle_datagram(&mut self, datagram: Datagram, now: Millis) {
         let Datagram {
             from,
-            digest,
-            body,
+            view_digest,
+            payload,
             updates,
         } = datagram;
         if from.name == self.local.name {
@@ -194,20 +194,20 @@
             self.merge(update, now);
         }
         let sender = self.view.get(&name).cloned();
-        match body {
-            Body::Ping { sequence } => self.send(address, Body::Ack { sequence }, sender),
-            Body::Ack { sequence } => self.handle_ack(sequence),
-            Body::PingRequest {
+        match payload {
+            Payload::Ping { sequence } => self.send(address, Payload::Ack { sequence }, sender),
+            Payload::Ack { sequence } => self.handle_ack(sequence),
+            Payload::PingRequest {
                 sequence,
                 address: target,
             } => self.relay_ping(address, sequence, target),
-            Body::Sync => {
+            Payload::ViewRequest => {
                 self.send_full_view(address);
                 return;
             }
-            Body::View => return,
+            Payload::View => return,
         }
-        self.compare_digest(address, digest);
+        self.compare_view_digest(address, view_digest);
     }
 }
 
--- a/crates/peers/src/membership/view.rs
+++ b/crates/peers/src/membership/view.rs
@@ -4,7 +4,7 @@
 use martenlatch_clock::Millis;
 use rand::RngExt;
 
-use super::member::{MemberUpdate, MembershipChange, State};
+use super::member::{MemberState, MemberUpdate, MembershipChange};
 use super::{MAX_NAME_BYTES, Membership, SYNC_INTERVAL};
 
 /// When a member that is not alive leaves its state: a suspect is declared dead, one that died or left is removed.
@@ -15,7 +15,7 @@
     due: u64,
     name: String,
     incarnation: u64,
-    state: State,
+    state: MemberState,
 }
 
 impl Expiry {
@@ -36,8 +36,8 @@
             let Some(member) = known.filter(|member| expiry.applies_to(member)) else {
                 continue;
             };
-            if expiry.state == State::Suspect {
-                self.merge(member.with_state(State::Dead), now);
+            if expiry.state == MemberState::Suspect {
+                self.merge(member.with_state(MemberState::Dead), now);
             } else {
                 self.remove(&expiry.name);
             }
@@ -72,7 +72,7 @@
         self.update_totals(previous.as_ref(), &update);
         self.record_change(previous.map(|member| member.state), &update);
         self.schedule_expiry(&update, now);
-        if update.state == State::Dead && !self.lost.contains(&update.name) {
+        if update.state == MemberState::Dead && !self.lost.contains(&update.name) {
             self.lost.push_back(update.name.clone());
         }
         self.update_queue.push(&update.name);
@@ -82,47 +82,47 @@
     /// Updates the digest and the number of live members.
     fn update_totals(&mut self, previous: Option<&MemberUpdate>, update: &MemberUpdate) {
         if let Some(previous) = previous.filter(|member| member.state.is_live()) {
-            self.digest ^= previous.digest();
+            self.view_digest ^= previous.digest_contribution();
             self.live -= 1;
         }
         if update.state.is_live() {
-            self.digest ^= update.digest();
+            self.view_digest ^= update.digest_contribution();
             self.live += 1;
         }
     }
 
-    fn record_change(&mut self, previous: Option<State>, update: &MemberUpdate) {
-        let was_live = previous.is_some_and(State::is_live);
+    fn record_change(&mut self, previous: Option<MemberState>, update: &MemberUpdate) {
+        let was_live = previous.is_some_and(MemberState::is_live);
         let name = update.name.clone();
         match update.state {
-            State::Alive if !was_live => {
+            MemberState::Alive if !was_live => {
                 // At a random place of the current pass, so that it is probed soon.
                 let place = self.rng.random_range(0..=self.probe_order.len());
                 self.probe_order.insert(place, name);
                 self.changes.push(MembershipChange::Joined(update.clone()));
             }
-            State::Alive if previous == Some(State::Suspect) => {
+            MemberState::Alive if previous == Some(MemberState::Suspect) => {
                 self.changes.push(MembershipChange::Refuted(name));
             }
-            State::Suspect if !was_live => {
+            MemberState::Suspect if !was_live => {
                 self.probe_order.push(name.clone());
                 self.changes.push(MembershipChange::Joined(update.clone()));
                 self.changes.push(MembershipChange::Suspected(name));
             }
-            State::Suspect if previous == Some(State::Alive) => {
+            MemberState::Suspect if previous == Some(MemberState::Alive) => {
                 self.changes.push(MembershipChange::Suspected(name));
             }
-            State::Dead if was_live => self.changes.push(MembershipChange::Died(name)),
-            State::Left if was_live => self.changes.push(MembershipChange::Left(name)),
+            MemberState::Dead if was_live => self.changes.push(MembershipChange::Died(name)),
+            MemberState::Left if was_live => self.changes.push(MembershipChange::Left(name)),
             _ => {}
         }
     }
 
     fn schedule_expiry(&mut self, update: &MemberUpdate, now: Millis) {
         let after = match update.state {
-            State::Alive => return,
-            State::Suspect => self.suspicion_timeout(),
-            State::Dead | State::Left => self.settings.retention,
+            MemberState::Alive => return,
+            MemberState::Suspect => self.suspicion_timeout(),
+            MemberState::Dead | MemberState::Left => self.settings.retention,
         };
         self.expiries.insert(Expiry {
             due: (now + after).ceil() as u64,
@@ -167,9 +167,9 @@
     /// Refutes an update on this member, or one under its name, by a higher incarnation.
     pub(super) fn refute(&mut self, update: &MemberUpdate) {
         let elsewhere = update.address != self.local.address;
-        let alive = update.state == State::Alive;
+        let alive = update.state == MemberState::Alive;
         let outdated = update.incarnation < self.local.incarnation;
-        if self.local.state != State::Alive || outdated || (alive && !elsewhere) {
+        if self.local.state != MemberState::Alive || outdated || (alive && !elsewhere) {
             return;
         }
         if elsewhere && alive {
@@ -183,9 +183,9 @@
             self.changes
                 .push(MembershipChange::NameConflict(update.address));
         }
-        self.digest ^= self.local.digest();
+        self.view_digest ^= self.local.digest_contribution();
         self.local.incarnation = update.incarnation.saturating_add(1);
-        self.digest ^= self.local.digest();
+        self.view_digest ^= self.local.digest_contribution();
         // At once, so that a suspicion is refuted before it becomes a death.
         self.announce(self.settings.indirect_probes);
     }
--- a/crates/peers/src/simulated_network.rs
+++ b/crates/peers/src/simulated_network.rs
@@ -9,7 +9,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
-use crate::membership::{Datagram, Membership, MembershipChange, Settings, State};
+use crate::membership::{Datagram, MemberState, Membership, MembershipChange, Settings};
 use crate::wire::Secret;
 
 /// Shortest and longest delay of a datagram.
@@ -196,7 +196,7 @@
     }
 
     /// The state of a member in the view of another, `by`.
-    pub fn state(&self, by: usize, no: usize) -> Option<State> {
+    pub fn state(&self, by: usize, no: usize) -> Option<MemberState> {
         let name = name(no);
         let mut others = self.nodes[&by].others();
         others.find(|o| o.name == name).map(|other| other.state)
@@ -225,7 +225,7 @@
     pub fn all_know(&self, no: usize) -> bool {
         self.nodes
             .keys()
-            .all(|by| *by == no || self.state(*by, no).is_some_and(State::is_live))
+            .all(|by| *by == no || self.state(*by, no).is_some_and(MemberState::is_live))
     }
 
     /// How often a member was declared dead so far, in all views.
--- a/crates/peers/tests/gossip/wire.rs
+++ b/crates/peers/tests/gossip/wire.rs
@@ -39,7 +39,7 @@
 #[test]
 fn the_largest_page_and_datagram_fit() {
     use martenlatch_peers::membership::{
-        Body, Datagram, MAX_NAME_BYTES, MAX_UPDATES, MemberUpdate, State,
+        Datagram, MAX_NAME_BYTES, MAX_UPDATES, MemberState, MemberUpdate, Payload,
     };
     use martenlatch_peers::wire::MAX_DATAGRAM_BYTES;
     let secret = Secret::new(b"ours");
@@ -64,17 +64,17 @@
             .parse()
             .unwrap(),
         incarnation: u64::MAX,
-        state: State::Left,
+        state: MemberState::Left,
     };
-    let body = Body::PingRequest {
+    let payload = Payload::PingRequest {
         sequence: u64::MAX,
         address: update.address,
     };
     let updates = vec![update.clone(); MAX_UPDATES];
     let bytes = secret.seal_datagram(&Datagram {
         from: update,
-        digest: u64::MAX,
-        body,
+        view_digest: u64::MAX,
+        payload,
         updates,
     });
     assert!(
--- a/crates/peers/tests/membership.rs
+++ b/crates/peers/tests/membership.rs
@@ -1,7 +1,7 @@
 //! The membership protocol over a simulated network with delays, losses and partitions: one test for each failure.
 
 use martenlatch_peers::membership::{
-    Body, Datagram, MemberUpdate, Membership, MembershipChange, Settings, State,
+    Datagram, MemberState, MemberUpdate, Membership, MembershipChange, Payload, Settings,
 };
 use martenlatch_peers::simulated_network::{SimulatedNetwork, address, name};
 
@@ -28,8 +28,8 @@
     net.leave(4);
     net.run(12_000.0);
     for no in [0, 1, 2, 5, 6, 7] {
-        assert_eq!(net.state(no, 3), Some(State::Dead), "seen by {no}");
-        assert_eq!(net.state(no, 4), Some(State::Left), "seen by {no}");
+        assert_eq!(net.state(no, 3), Some(MemberState::Dead), "seen by {no}");
+        assert_eq!(net.state(no, 4), Some(MemberState::Left), "seen by {no}");
     }
 }
 
@@ -67,7 +67,7 @@
             .all(|c| *c != MembershipChange::Died(name(2))),
         "it never died"
     );
-    assert_eq!(net.state(0, 2), Some(State::Alive));
+    assert_eq!(net.state(0, 2), Some(MemberState::Alive));
 }
 
 #[test]
@@ -76,8 +76,8 @@
     net.run(8_000.0);
     net.partition(Some(4));
     net.run(30_000.0);
-    assert_eq!(net.state(0, 7), Some(State::Dead));
-    assert_eq!(net.state(7, 0), Some(State::Dead));
+    assert_eq!(net.state(0, 7), Some(MemberState::Dead));
+    assert_eq!(net.state(7, 0), Some(MemberState::Dead));
     net.partition(None);
     net.run(20_000.0);
     assert_eq!(net.unknown(), 0);
@@ -99,12 +99,12 @@
         ..Settings::default()
     };
     let mut members = Membership::new("s0", address(0), 1, &[], set, 1, 0.0);
-    let tell = |members: &mut Membership, no: usize, state: State| {
+    let tell = |members: &mut Membership, no: usize, state: MemberState| {
         let from = MemberUpdate {
             name: name(no),
             address: address(no),
             incarnation: 1,
-            state: State::Alive,
+            state: MemberState::Alive,
         };
         let updates = vec![MemberUpdate {
             state,
@@ -113,29 +113,29 @@
         members.handle_datagram(
             Datagram {
                 from,
-                digest: 0,
-                body: Body::View,
+                view_digest: 0,
+                payload: Payload::View,
                 updates,
             },
             0.0,
         );
     };
-    (1..=4).for_each(|no| tell(&mut members, no, State::Alive));
-    tell(&mut members, 5, State::Alive);
+    (1..=4).for_each(|no| tell(&mut members, no, MemberState::Alive));
+    tell(&mut members, 5, MemberState::Alive);
     assert_eq!(
         (members.others().count(), members.rejected_updates),
         (4, 2),
         "the living stay; its own word and the rumour do not count"
     );
-    tell(&mut members, 4, State::Dead);
-    tell(&mut members, 5, State::Alive);
+    tell(&mut members, 4, MemberState::Dead);
+    tell(&mut members, 5, MemberState::Alive);
     assert!(
         members.others().any(|r| r.name == "s5"),
         "the dead give way"
     );
     assert_eq!(members.others().count(), 4);
     for no in 10..10_000 {
-        tell(&mut members, no, State::Alive);
+        tell(&mut members, no, MemberState::Alive);
         members.take_outgoing();
     }
     assert_eq!(members.others().count(), 4);
@@ -183,21 +183,21 @@
             name: "s1".into(),
             address: address(1),
             incarnation: 1,
-            state: State::Alive,
+            state: MemberState::Alive,
         };
-        let body = if no % 2 == 0 {
-            Body::PingRequest {
+        let payload = if no % 2 == 0 {
+            Payload::PingRequest {
                 sequence: no,
                 address: address(2),
             }
         } else {
-            Body::Ack { sequence: no }
+            Payload::Ack { sequence: no }
         };
         members.handle_datagram(
             Datagram {
                 from,
-                digest: no,
-                body,
+                view_digest: no,
+                payload,
                 updates: vec![],
             },
             no as f64,
--- a/crates/peers/tests/model.rs
+++ b/crates/peers/tests/model.rs
@@ -5,7 +5,7 @@
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 
-use martenlatch_peers::membership::{Body, Datagram, Membership, Settings, State};
+use martenlatch_peers::membership::{Datagram, MemberState, Membership, Payload, Settings};
 use stateright::{Checker, Model, Property};
 
 const STEP: f64 = 50.0;
@@ -146,8 +146,8 @@
                         .clone();
                 let datagram = Datagram {
                     from,
-                    digest: 0,
-                    body: Body::View,
+                    view_digest: 0,
+                    payload: Payload::View,
                     updates: vec![],
                 };
                 members.handle_datagram(datagram, 0.0);
@@ -293,7 +293,7 @@
 fn suspects(net: &SimulatedNetwork) -> Vec<String> {
     let views = net.nodes.iter().flatten().flat_map(|n| n.0.others());
     views
-        .filter(|r| r.state == State::Suspect)
+        .filter(|r| r.state == MemberState::Suspect)
         .map(|r| r.name.clone())
         .collect()
 }
