--- a/crates/lab/src/sim/gossip.rs
+++ b/crates/lab/src/sim/gossip.rs
@@ -45,7 +45,7 @@
             for observation in &observations {
                 let name = observation.endpoint.map(|endpoint| endpoint.0.to_string());
                 let digest = Digest::of(observation, name);
-                known.hear(&reporter, &digest, self.now, &bounds);
+                known.add_digest(&reporter, &digest, self.now, &bounds);
             }
             if next.is_none() {
                 return;
--- a/crates/lab/src/sim/lifecycle.rs
+++ b/crates/lab/src/sim/lifecycle.rs
@@ -62,7 +62,7 @@
             None => Some(None),
         };
         known
-            .told(self.now, &Bounds::default(), endpoint_number)
+            .priors(self.now, &Bounds::default(), endpoint_number)
             .into_iter()
             .map(Event::Gossip)
             .collect()
--- a/crates/peers/src/partner_knowledge/evidence.rs
+++ b/crates/peers/src/partner_knowledge/evidence.rs
@@ -1,4 +1,4 @@
-//! What several reporters have told about one subject. Merging is commutative, associative and idempotent.
+//! What several reporters have told about one route. Merging is commutative, associative and idempotent.
 
 use std::cmp::Ordering;
 
@@ -9,10 +9,10 @@
 use super::digest::{Digest, ReportedOutage};
 use crate::latency_sketch::LatencySketch;
 
-/// How many reports on one subject are kept: the latest ones.
+/// How many reports on one route are kept: the latest ones.
 const MAX_REPORTS: usize = 2;
 
-/// What one reporter has told about a subject. Of two reports by one reporter the later replaces the other.
+/// What one reporter has told about a route. Of two reports by one reporter the later replaces the other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct Report {
     pub(super) reporter: String,
@@ -49,7 +49,7 @@
     }
 }
 
-/// All that is known of one subject by gossip. Instants are in milliseconds by the clock of this sender.
+/// All that is known of one route by gossip. Instants are in milliseconds by the clock of this sender.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(super) struct Evidence {
     /// Nothing may be sent before this.
@@ -74,7 +74,7 @@
     pub(super) fn of(reporter: &str, digest: &Digest, now: Millis, bounds: &Bounds) -> Evidence {
         let observed_at = now - f64::from(digest.age);
         let mut evidence = Evidence {
-            wait_until: now + f64::from(digest.wait).min(bounds.max_wait),
+            wait_until: now + f64::from(digest.wait).min(bounds.max_retry_after),
             ..Evidence::default()
         };
         match digest.outage {
--- a/crates/peers/src/partner_knowledge/mod.rs
+++ b/crates/peers/src/partner_knowledge/mod.rs
@@ -21,7 +21,7 @@
 /// What a piece of knowledge is about: a destination, or one of its endpoints if limits apply to each endpoint
 /// separately.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Subject {
+pub struct RouteKey {
     /// The destination's number on the platform's endpoint list.
     pub destination: u64,
     /// The endpoint's name there.
@@ -34,23 +34,23 @@
     /// The time in which an observation loses half of its weight. An outage is believed for as long.
     pub half_life: Millis,
     /// Longest wait before the next call that is believed.
-    pub max_wait: Millis,
+    pub max_retry_after: Millis,
     /// Lowest latency that is believed.
     pub min_latency: Millis,
     /// Highest latency that is believed.
     pub max_latency: Millis,
-    /// Most subjects that are kept.
-    pub max_subjects: usize,
+    /// Most routes that are kept.
+    pub max_routes: usize,
 }
 
 impl Default for Bounds {
     fn default() -> Bounds {
         Bounds {
             half_life: 20_000.0,
-            max_wait: 120_000.0,
+            max_retry_after: 120_000.0,
             min_latency: 20.0,
             max_latency: 30_000.0,
-            max_subjects: 16_384,
+            max_routes: 16_384,
         }
     }
 }
@@ -58,104 +58,110 @@
 /// What is known of partners by gossip.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PartnerKnowledge {
-    by_subject: BTreeMap<Subject, Evidence>,
+    by_route: BTreeMap<RouteKey, Evidence>,
 }
 
 impl PartnerKnowledge {
-    /// The number of subjects that something is known of.
+    /// The number of routes that something is known of.
     pub fn len(&self) -> usize {
-        self.by_subject.len()
+        self.by_route.len()
     }
 
     /// Whether nothing is known.
     pub fn is_empty(&self) -> bool {
-        self.by_subject.is_empty()
+        self.by_route.is_empty()
     }
 
     /// Takes a digest that `reporter` sent and that was received now. Returns false, and takes nothing, if the digest
-    /// or the reporter's name is not valid, or if there is no room for another subject.
-    pub fn hear(&mut self, reporter: &str, digest: &Digest, now: Millis, bounds: &Bounds) -> bool {
+    /// or the reporter's name is not valid, or if there is no room for another route.
+    pub fn add_digest(
+        &mut self,
+        reporter: &str,
+        digest: &Digest,
+        now: Millis,
+        bounds: &Bounds,
+    ) -> bool {
         if !digest.is_valid() || reporter.is_empty() || reporter.len() > MAX_NAME_BYTES {
             return false;
         }
-        let subject = Subject {
+        let route = RouteKey {
             destination: digest.destination,
             endpoint: digest.endpoint.clone(),
         };
-        let full = self.by_subject.len() >= bounds.max_subjects;
-        if full && !self.by_subject.contains_key(&subject) {
+        let full = self.by_route.len() >= bounds.max_routes;
+        if full && !self.by_route.contains_key(&route) {
             return false;
         }
         let evidence = Evidence::of(reporter, digest, now, bounds);
-        self.by_subject.entry(subject).or_default().merge(&evidence);
+        self.by_route.entry(route).or_default().merge(&evidence);
         true
     }
 
-    /// Merges all that another store knows. Past `max_subjects` the oldest subjects are dropped, whichever store they
+    /// Merges all that another store knows. Past `max_routes` the oldest routes are dropped, whichever store they
     /// came from.
-    pub fn merge(&mut self, other: &PartnerKnowledge, max_subjects: usize) {
-        for (subject, evidence) in &other.by_subject {
-            match self.by_subject.entry(subject.clone()) {
+    pub fn merge(&mut self, other: &PartnerKnowledge, max_routes: usize) {
+        for (route, evidence) in &other.by_route {
+            match self.by_route.entry(route.clone()) {
                 Entry::Occupied(mut known) => known.get_mut().merge(evidence),
                 Entry::Vacant(unknown) => {
                     unknown.insert(evidence.clone());
                 }
             }
         }
-        if self.by_subject.len() > max_subjects {
-            self.drop_oldest(max_subjects);
+        if self.by_route.len() > max_routes {
+            self.drop_oldest(max_routes);
         }
     }
 
-    fn drop_oldest(&mut self, max_subjects: usize) {
-        let mut by_age: Vec<(Millis, Subject)> = self
-            .by_subject
+    fn drop_oldest(&mut self, max_routes: usize) {
+        let mut by_age: Vec<(Millis, RouteKey)> = self
+            .by_route
             .iter()
-            .map(|(subject, evidence)| (evidence.latest(), subject.clone()))
+            .map(|(route, evidence)| (evidence.latest(), route.clone()))
             .collect();
         by_age.sort_by(|a, b| b.0.total_cmp(&a.0).then_with(|| a.1.cmp(&b.1)));
-        for (_, subject) in by_age.drain(max_subjects..) {
-            self.by_subject.remove(&subject);
+        for (_, route) in by_age.drain(max_routes..) {
+            self.by_route.remove(&route);
         }
     }
 
     /// Drops all waits: after a restart a wait that an earlier process was told to keep does not bind this one.
-    pub fn forget_waits(&mut self) {
-        for evidence in self.by_subject.values_mut() {
+    pub fn clear_retry_after(&mut self) {
+        for evidence in self.by_route.values_mut() {
             evidence.wait_until = 0.0;
         }
     }
 
-    /// Takes what is known of one subject out of the store and weighs it into a prior for the decision module.
-    /// `endpoint` is the number of the subject's endpoint on the endpoint list.
+    /// Takes what is known of one route out of the store and weighs it into a prior for the decision module.
+    /// `endpoint` is the number of the route's endpoint on the endpoint list.
     pub fn take_prior(
         &mut self,
-        subject: &Subject,
+        route: &RouteKey,
         endpoint: Option<EndpointId>,
         now: Millis,
         bounds: &Bounds,
     ) -> Option<GossipedState> {
-        let evidence = self.by_subject.remove(subject)?;
+        let evidence = self.by_route.remove(route)?;
         let weighing = Weighing {
             evidence: &evidence,
             now,
             bounds,
         };
-        weighing.prior(subject.destination, endpoint)
+        weighing.prior(route.destination, endpoint)
     }
 
     /// Weighs all that is known into priors for the decision module. `number` maps a destination and the name of an
-    /// endpoint to the endpoint's number on the endpoint list, or to `None` if the subject is not listed.
-    pub fn told(
+    /// endpoint to the endpoint's number on the endpoint list, or to `None` if the route is not listed.
+    pub fn priors(
         &self,
         now: Millis,
         bounds: &Bounds,
         mut number: impl FnMut(u64, Option<&str>) -> Option<Option<EndpointId>>,
     ) -> Vec<GossipedState> {
         let mut priors = Vec::new();
-        for (subject, evidence) in &self.by_subject {
-            let destination = subject.destination;
-            let Some(endpoint) = number(destination, subject.endpoint.as_deref()) else {
+        for (route, evidence) in &self.by_route {
+            let destination = route.destination;
+            let Some(endpoint) = number(destination, route.endpoint.as_deref()) else {
                 continue;
             };
             let weighing = Weighing {
--- a/crates/peers/src/partner_knowledge/weighing.rs
+++ b/crates/peers/src/partner_knowledge/weighing.rs
@@ -1,4 +1,4 @@
-//! Weighs the evidence on one subject by its age, into the prior that the decision module starts from.
+//! Weighs the evidence on one route by its age, into the prior that the decision module starts from.
 
 use martenlatch_clock::{Millis, nanos};
 use martenlatch_policy::interface::{DestinationId, EndpointId, GossipedState, Outage};
@@ -18,7 +18,7 @@
 /// Evidence that weighs less than this is too old for a limit or an ongoing outage.
 const MIN_WEIGHT: f64 = 0.5;
 
-/// The evidence on one subject, at one time.
+/// The evidence on one route, at one time.
 pub(super) struct Weighing<'a> {
     pub(super) evidence: &'a Evidence,
     pub(super) now: Millis,
--- a/crates/peers/tests/gossip/partner_knowledge.rs
+++ b/crates/peers/tests/gossip/partner_knowledge.rs
@@ -11,11 +11,11 @@
     let (mut known, bounds) = (PartnerKnowledge::default(), Bounds::default());
     for (i, t) in digests.iter().enumerate() {
         assert!(
-            known.hear(&format!("t{i}"), t, 1_000_000.0, &bounds),
+            known.add_digest(&format!("t{i}"), t, 1_000_000.0, &bounds),
             "{t:?}"
         );
     }
-    known.told(1_000_000.0 + now, &bounds, listed)
+    known.priors(1_000_000.0 + now, &bounds, listed)
 }
 
 #[test]
@@ -30,10 +30,10 @@
     );
     assert_eq!(priors(std::slice::from_ref(&waiting), 4_001.0)[0].wait, 0);
     let (mut known, bounds) = (PartnerKnowledge::default(), Bounds::default());
-    known.hear("t", &waiting, 0.0, &bounds);
-    known.forget_waits();
+    known.add_digest("t", &waiting, 0.0, &bounds);
+    known.clear_retry_after();
     assert_eq!(
-        known.told(1.0, &bounds, listed)[0].wait,
+        known.priors(1.0, &bounds, listed)[0].wait,
         0,
         "not over a restart"
     );
@@ -44,7 +44,7 @@
     let told = |clock: f64| {
         let (mut known, bounds) = (PartnerKnowledge::default(), Bounds::default());
         let outage = Some(ReportedOutage::Recovering { since: 2_000.0 });
-        known.hear(
+        known.add_digest(
             "t",
             &Digest {
                 age: 700.0,
@@ -55,7 +55,7 @@
             clock,
             &bounds,
         );
-        known.told(clock + 1_000.0, &bounds, listed)
+        known.priors(clock + 1_000.0, &bounds, listed)
     };
     assert_eq!(told(1e6), told(1e6 + 7_000.0));
     assert_eq!(
@@ -198,9 +198,9 @@
             ..digest(1)
         },
     ] {
-        assert!(!known.hear("t", &bad, 0.0, &bounds), "{bad:?}");
+        assert!(!known.add_digest("t", &bad, 0.0, &bounds), "{bad:?}");
     }
-    assert!(!known.hear("", &digest(1), 0.0, &bounds));
+    assert!(!known.add_digest("", &digest(1), 0.0, &bounds));
     assert!(known.is_empty());
 }
 
@@ -209,19 +209,19 @@
     let (mut known, bounds) = (
         PartnerKnowledge::default(),
         Bounds {
-            max_subjects: 100,
+            max_routes: 100,
             ..Bounds::default()
         },
     );
     let taken = (0..1_000)
-        .filter(|d| known.hear("t", &digest(*d), 0.0, &bounds))
+        .filter(|d| known.add_digest("t", &digest(*d), 0.0, &bounds))
         .count();
     assert_eq!((taken, known.len()), (100, 100));
     assert!(
-        known.hear("u", &digest(5), 1.0, &bounds),
+        known.add_digest("u", &digest(5), 1.0, &bounds),
         "one that is there already has room"
     );
-    let told = known.told(1.0, &bounds, |d, _| (d < 10).then_some(None));
+    let told = known.priors(1.0, &bounds, |d, _| (d < 10).then_some(None));
     assert_eq!(told.len(), 10);
 }
 
@@ -231,7 +231,7 @@
     let wide = LatencySketch::of((0..40).map(|i| 100.0 * 1.05f64.powi(i)));
     for destination in 0..10_000 {
         for reporter in ["a", "b", "c"] {
-            known.hear(
+            known.add_digest(
                 reporter,
                 &Digest {
                     latency: wide.clone(),
--- a/crates/peers/tests/gossip/properties.rs
+++ b/crates/peers/tests/gossip/properties.rs
@@ -15,7 +15,7 @@
         at,
     } in received
     {
-        known.hear(reporter, digest, *at, &Bounds::default());
+        known.add_digest(reporter, digest, *at, &Bounds::default());
     }
     known
 }
@@ -54,7 +54,7 @@
     #[test]
     fn priors_stay_within_their_bounds(received in prop::collection::vec(any_received(), 0..12), later in 0u32..200) {
         let bounds = Bounds::default();
-        for told in store(&received).told(20_000.0 + f64::from(later) * 500.0, &bounds, listed) {
+        for told in store(&received).priors(20_000.0 + f64::from(later) * 500.0, &bounds, listed) {
             prop_assert!(told.wait <= 120_000 * MS && told.gap <= 1_000 * MS);
             prop_assert!(told.latencies.len() <= 12);
             prop_assert!(told.latencies.is_sorted());
--- a/crates/sender/src/peer_service/gossip.rs
+++ b/crates/sender/src/peer_service/gossip.rs
@@ -2,7 +2,7 @@
 //! observed becomes gossip for it.
 
 use martenlatch_clock::{Millis, nanos};
-use martenlatch_peers::partner_knowledge::{Digest, Subject};
+use martenlatch_peers::partner_knowledge::{Digest, RouteKey};
 use martenlatch_peers::wire::MAX_DIGESTS_PER_PAGE;
 use martenlatch_policy::Policy;
 use martenlatch_policy::interface::{
@@ -101,13 +101,13 @@
             Some(endpoint) => Some(endpoint_names(endpoint)?),
             None => None,
         };
-        let subject = Subject {
+        let key = RouteKey {
             destination: route.destination.0,
             endpoint,
         };
         let prior = self
             .knowledge
-            .take_prior(&subject, route.endpoint, now, &self.bounds)?;
+            .take_prior(&key, route.endpoint, now, &self.bounds)?;
         Some(Event::Gossip(prior))
     }
 }
--- a/crates/sender/src/peer_service/mod.rs
+++ b/crates/sender/src/peer_service/mod.rs
@@ -81,7 +81,7 @@
         let sockets = Sockets::bind(settings.listen, handle)?;
         let bounds = Bounds {
             half_life: settings.half_life_ms,
-            max_wait: settings.longest_wait_ms,
+            max_retry_after: settings.longest_wait_ms,
             ..Bounds::default()
         };
         let (mut snapshot_writer, snapshot) = SnapshotWriter::open(folder, settings.keep, now);
--- a/crates/sender/src/peer_service/seed_queries.rs
+++ b/crates/sender/src/peer_service/seed_queries.rs
@@ -52,10 +52,12 @@
 
 impl Learning<'_> {
     /// Takes the digests of one page; returns how many of them were accepted.
-    fn hear(&mut self, reporter: &str, digests: &[Digest]) -> u64 {
+    fn add_digests(&mut self, reporter: &str, digests: &[Digest]) -> u64 {
         let mut accepted = 0;
         for digest in digests {
-            let heard = self.knowledge.hear(reporter, digest, self.now, self.bounds);
+            let heard = self
+                .knowledge
+                .add_digest(reporter, digest, self.now, self.bounds);
             accepted += u64::from(heard);
         }
         accepted
@@ -178,7 +180,7 @@
     ) -> Result<Progress, QueryError> {
         while let Some(page) = next_page(&mut query.connection, secret)? {
             let digests = query.pages.accept(page).ok_or(QueryError::OutOfOrder)?;
-            self.digests_received += learning.hear(&reporter_name(slot), &digests);
+            self.digests_received += learning.add_digests(&reporter_name(slot), &digests);
             if query.pages.is_complete() {
                 return Ok(Progress::Complete);
             }
--- a/crates/sender/src/peer_service/snapshot_writer.rs
+++ b/crates/sender/src/peer_service/snapshot_writer.rs
@@ -57,10 +57,10 @@
         let mut knowledge = PartnerKnowledge::default();
         if self.enabled {
             for digest in &snapshot.digests {
-                knowledge.hear(EARLIER_PROCESS, digest, now, bounds);
+                knowledge.add_digest(EARLIER_PROCESS, digest, now, bounds);
             }
             // A wait that the earlier process was told to keep does not bind this one.
-            knowledge.forget_waits();
+            knowledge.clear_retry_after();
         }
         knowledge
     }
