--- a/crates/lab/src/sim/gossip.rs
+++ b/crates/lab/src/sim/gossip.rs
@@ -44,7 +44,7 @@
             let (observations, next) = policy.observations(now, after, PAGE_SIZE);
             for observation in &observations {
                 let name = observation.endpoint.map(|endpoint| endpoint.0.to_string());
-                let digest = Digest::of(observation, name);
+                let digest = Digest::from_observation(observation, name);
                 known.add_digest(&reporter, &digest, self.now, &bounds);
             }
             if next.is_none() {
--- a/crates/martenlatch/tests/shared_knowledge.rs
+++ b/crates/martenlatch/tests/shared_knowledge.rs
@@ -125,7 +125,7 @@
         let group = Group::new(test, 2);
         scripted_peer(group.seeds[1], move |query, stream| {
             let reported = Digest {
-                wait: 60_000.0,
+                retry_after: 60_000.0,
                 outage: Some(ReportedOutage::Rejecting),
                 ..digest(7)
             };
@@ -181,7 +181,7 @@
     let platform = Platform::new(&[]);
     let group = Group::new("many", 2);
     scripted_peer(group.seeds[1], |query, stream| {
-        let wide = LatencySketch::of((0..40).map(|power| 100.0 * 1.05f64.powi(power)));
+        let wide = LatencySketch::from_latencies((0..40).map(|power| 100.0 * 1.05f64.powi(power)));
         let all: Vec<Digest> = (0..10_000)
             .map(|destination| Digest {
                 latency: wide.clone(),
--- a/crates/martenlatch/tests/support/group.rs
+++ b/crates/martenlatch/tests/support/group.rs
@@ -200,8 +200,8 @@
 /// What a peer knows of a destination that works.
 pub fn digest(destination: u64) -> Digest {
     Digest {
-        served: 9.0,
-        latency: LatencySketch::of([200.0; 9]),
+        successes: 9.0,
+        latency: LatencySketch::from_latencies([200.0; 9]),
         ..Digest::new(destination)
     }
 }
--- a/crates/peers/src/latency_sketch.rs
+++ b/crates/peers/src/latency_sketch.rs
@@ -35,7 +35,7 @@
 
 impl LatencySketch {
     /// The sketch of these latencies, in milliseconds.
-    pub fn of(latencies: impl IntoIterator<Item = Millis>) -> LatencySketch {
+    pub fn from_latencies(latencies: impl IntoIterator<Item = Millis>) -> LatencySketch {
         let mut counts = BTreeMap::<u8, u16>::new();
         for latency in latencies {
             let index = latency.max(1.0).log2() * BUCKETS_PER_DOUBLING;
@@ -61,7 +61,7 @@
         self.buckets.iter().map(|b| u32::from(b.count)).sum()
     }
 
-    /// Whether a received sketch has the form that [`LatencySketch::of`] gives it: buckets in order, none twice, none
+    /// Whether a received sketch has the form that [`LatencySketch::from_latencies`] gives it: buckets in order, none twice, none
     /// empty and none past the last.
     pub fn is_valid(&self) -> bool {
         let in_order = self.buckets.is_sorted_by(|a, b| a.index < b.index);
--- a/crates/peers/src/partner_knowledge/digest.rs
+++ b/crates/peers/src/partner_knowledge/digest.rs
@@ -44,15 +44,15 @@
     /// Time since the latest call that the digest rests on.
     pub age: f32,
     /// How long nothing may be sent there yet.
-    pub wait: f32,
+    pub retry_after: f32,
     /// The pacing interval between two calls.
-    pub gap: f32,
+    pub pacing_interval: f32,
     /// Calls a second that the partner takes from all senders, if known.
-    pub limit: Option<f32>,
+    pub rate_limit: Option<f32>,
     /// Number of served calls, decaying exponentially with their age.
-    pub served: f32,
+    pub successes: f32,
     /// Number of rejected calls, decaying exponentially with their age.
-    pub refused: f32,
+    pub rejections: f32,
     /// Latencies of served calls.
     pub latency: LatencySketch,
     /// The outage that was observed, if any.
@@ -70,29 +70,29 @@
             destination,
             endpoint: None,
             age: 0.0,
-            wait: 0.0,
-            gap: 0.0,
-            limit: None,
-            served: 0.0,
-            refused: 0.0,
+            retry_after: 0.0,
+            pacing_interval: 0.0,
+            rate_limit: None,
+            successes: 0.0,
+            rejections: 0.0,
             latency: LatencySketch::default(),
             outage: None,
         }
     }
 
     /// The digest of an observation by the decision module, with the name that the endpoint list gives the endpoint.
-    pub fn of(observation: &Observation, endpoint: Option<String>) -> Digest {
+    pub fn from_observation(observation: &Observation, endpoint: Option<String>) -> Digest {
         let latencies = observation.latencies.iter().map(|nanos| millis(*nanos));
         Digest {
             destination: observation.destination.0,
             endpoint,
             age: span(observation.age),
-            wait: span(observation.wait),
-            gap: span(observation.gap),
-            limit: observation.limit.map(|limit| limit as f32),
-            served: observation.served as f32,
-            refused: observation.refused as f32,
-            latency: LatencySketch::of(latencies),
+            retry_after: span(observation.wait),
+            pacing_interval: span(observation.gap),
+            rate_limit: observation.limit.map(|limit| limit as f32),
+            successes: observation.served as f32,
+            rejections: observation.refused as f32,
+            latency: LatencySketch::from_latencies(latencies),
             outage: observation.outage.map(ReportedOutage::from),
         }
     }
@@ -101,7 +101,7 @@
     /// and the endpoint's name is neither empty nor too long.
     pub fn is_valid(&self) -> bool {
         self.has_valid_spans_and_counts()
-            && self.limit.is_none_or(|l| l.is_finite() && l > 0.0)
+            && self.rate_limit.is_none_or(|l| l.is_finite() && l > 0.0)
             && self.has_valid_endpoint()
             && self.latency.is_valid()
     }
@@ -113,10 +113,10 @@
         };
         [
             self.age,
-            self.wait,
-            self.gap,
-            self.served,
-            self.refused,
+            self.retry_after,
+            self.pacing_interval,
+            self.successes,
+            self.rejections,
             recovering_since,
         ]
         .into_iter()
--- a/crates/peers/src/partner_knowledge/evidence.rs
+++ b/crates/peers/src/partner_knowledge/evidence.rs
@@ -19,11 +19,11 @@
     /// When the reporter made its latest observation, by the clock of this sender.
     pub(super) observed_at: Millis,
     /// The pacing interval in milliseconds.
-    pub(super) gap: f32,
+    pub(super) pacing_interval: f32,
     /// Calls a second.
-    pub(super) limit: Option<f32>,
-    served: f32,
-    refused: f32,
+    pub(super) rate_limit: Option<f32>,
+    successes: f32,
+    rejections: f32,
     pub(super) latency: LatencySketch,
 }
 
@@ -41,10 +41,10 @@
     fn figures(&self) -> [f64; 5] {
         [
             self.observed_at,
-            self.gap.into(),
-            self.limit.map_or(-1.0, f64::from),
-            self.served.into(),
-            self.refused.into(),
+            self.pacing_interval.into(),
+            self.rate_limit.map_or(-1.0, f64::from),
+            self.successes.into(),
+            self.rejections.into(),
         ]
     }
 }
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(super) struct Evidence {
     /// Nothing may be sent before this.
-    pub(super) wait_until: Millis,
+    pub(super) not_before: Millis,
     /// When the partner was last observed not to respond.
     pub(super) unresponsive_at: Option<Millis>,
     /// When it was last observed to reject everything.
@@ -71,10 +71,15 @@
 
 impl Evidence {
     /// The evidence in a valid digest that was received now.
-    pub(super) fn of(reporter: &str, digest: &Digest, now: Millis, bounds: &Bounds) -> Evidence {
+    pub(super) fn from_digest(
+        reporter: &str,
+        digest: &Digest,
+        now: Millis,
+        bounds: &Bounds,
+    ) -> Evidence {
         let observed_at = now - f64::from(digest.age);
         let mut evidence = Evidence {
-            wait_until: now + f64::from(digest.wait).min(bounds.max_retry_after),
+            not_before: now + f64::from(digest.retry_after).min(bounds.max_retry_after),
             ..Evidence::default()
         };
         match digest.outage {
@@ -88,17 +93,17 @@
         evidence.reports.push(Report {
             reporter: reporter.into(),
             observed_at,
-            gap: digest.gap,
-            limit: digest.limit,
-            served: digest.served,
-            refused: digest.refused,
+            pacing_interval: digest.pacing_interval,
+            rate_limit: digest.rate_limit,
+            successes: digest.successes,
+            rejections: digest.rejections,
             latency: digest.latency.clone(),
         });
         evidence
     }
 
     pub(super) fn merge(&mut self, other: &Evidence) {
-        self.wait_until = self.wait_until.max(other.wait_until);
+        self.not_before = self.not_before.max(other.not_before);
         self.unresponsive_at = later(self.unresponsive_at, other.unresponsive_at);
         self.rejecting_at = later(self.rejecting_at, other.rejecting_at);
         self.recovering_at = later(self.recovering_at, other.recovering_at);
@@ -136,6 +141,6 @@
         let observed = self.reports.iter().map(|r| r.observed_at);
         later(self.outage_at(), observed.reduce(f64::max))
             .unwrap_or(0.0)
-            .max(self.wait_until)
+            .max(self.not_before)
     }
 }
--- a/crates/peers/src/partner_knowledge/mod.rs
+++ b/crates/peers/src/partner_knowledge/mod.rs
@@ -92,7 +92,7 @@
         if full && !self.by_route.contains_key(&route) {
             return false;
         }
-        let evidence = Evidence::of(reporter, digest, now, bounds);
+        let evidence = Evidence::from_digest(reporter, digest, now, bounds);
         self.by_route.entry(route).or_default().merge(&evidence);
         true
     }
@@ -128,7 +128,7 @@
     /// Drops all waits: after a restart a wait that an earlier process was told to keep does not bind this one.
     pub fn clear_retry_after(&mut self) {
         for evidence in self.by_route.values_mut() {
-            evidence.wait_until = 0.0;
+            evidence.not_before = 0.0;
         }
     }
 
--- a/crates/peers/src/partner_knowledge/weighing.rs
+++ b/crates/peers/src/partner_knowledge/weighing.rs
@@ -56,7 +56,7 @@
     }
 
     fn wait(&self) -> Millis {
-        (self.evidence.wait_until - self.now).max(0.0)
+        (self.evidence.not_before - self.now).max(0.0)
     }
 
     fn outage(&self) -> Option<Outage> {
@@ -93,8 +93,9 @@
 
     /// The longest of the pacing intervals, each reduced by its age, in nanoseconds.
     fn gap(&self) -> u64 {
-        let weighed =
-            |report: &Report| f64::from(report.gap).min(MAX_GAP) * self.weight(report.observed_at);
+        let weighed = |report: &Report| {
+            f64::from(report.pacing_interval).min(MAX_GAP) * self.weight(report.observed_at)
+        };
         let gap = self.evidence.reports.iter().map(weighed);
         let gap = gap.fold(0.0, f64::max);
         if gap < MIN_GAP { 0 } else { nanos(gap) }
@@ -109,7 +110,7 @@
             .iter()
             .filter(|report| self.weight(report.observed_at) >= MIN_WEIGHT)
             .filter(|report| outage_at.is_none_or(|at| report.observed_at > at))
-            .filter_map(|report| report.limit)
+            .filter_map(|report| report.rate_limit)
             .map(f64::from)
             .reduce(f64::min)
     }
--- a/crates/peers/tests/gossip/generators.rs
+++ b/crates/peers/tests/gossip/generators.rs
@@ -8,8 +8,8 @@
 /// A digest of a healthy partner.
 pub fn digest(destination: u64) -> Digest {
     Digest {
-        served: 20.0,
-        latency: LatencySketch::of([300.0; 20]),
+        successes: 20.0,
+        latency: LatencySketch::from_latencies([300.0; 20]),
         ..Digest::new(destination)
     }
 }
@@ -56,9 +56,9 @@
             |(reporter, destination, age, wait, outage, latencies, limit, at)| {
                 let digest = Digest {
                     age: age as f32 * 1_000.0,
-                    wait: wait as f32 * 700.0,
-                    limit: limit.map(|l| l as f32),
-                    latency: LatencySketch::of(latencies),
+                    retry_after: wait as f32 * 700.0,
+                    rate_limit: limit.map(|l| l as f32),
+                    latency: LatencySketch::from_latencies(latencies),
                     outage,
                     ..digest(destination)
                 };
--- a/crates/peers/tests/gossip/partner_knowledge.rs
+++ b/crates/peers/tests/gossip/partner_knowledge.rs
@@ -21,7 +21,7 @@
 #[test]
 fn an_active_wait_applies_and_an_expired_one_does_not() {
     let waiting = Digest {
-        wait: 4_000.0,
+        retry_after: 4_000.0,
         ..digest(1)
     };
     assert_eq!(
@@ -48,7 +48,7 @@
             "t",
             &Digest {
                 age: 700.0,
-                wait: 4_000.0,
+                retry_after: 4_000.0,
                 outage,
                 ..digest(1)
             },
@@ -70,7 +70,7 @@
         let told = priors(
             &[Digest {
                 age,
-                gap: 400.0,
+                pacing_interval: 400.0,
                 ..digest(1)
             }],
             0.0,
@@ -101,7 +101,7 @@
         "it may have come back unseen"
     );
     let shut = Digest {
-        wait: 40_000.0,
+        retry_after: 40_000.0,
         outage: Some(ReportedOutage::Rejecting),
         ..digest(1)
     };
@@ -131,7 +131,7 @@
 fn a_limit_from_before_an_outage_is_ignored() {
     let before = Digest {
         age: 6_000.0,
-        limit: Some(50.0),
+        rate_limit: Some(50.0),
         ..digest(1)
     };
     assert_eq!(
@@ -149,7 +149,7 @@
 #[test]
 fn the_lower_of_two_limits_counts() {
     let limit = |l: f32| Digest {
-        limit: Some(l),
+        rate_limit: Some(l),
         ..digest(1)
     };
     assert_eq!(priors(&[limit(9.0), limit(4.0)], 0.0)[0].limit, Some(4.0));
@@ -158,9 +158,9 @@
 #[test]
 fn implausible_figures_are_clamped() {
     let lie = Digest {
-        wait: 3.2e10,
-        gap: 1e9,
-        latency: LatencySketch::of([0.0; 40]),
+        retry_after: 3.2e10,
+        pacing_interval: 1e9,
+        latency: LatencySketch::from_latencies([0.0; 40]),
         ..digest(1)
     };
     let told = &priors(&[lie], 0.0)[0];
@@ -178,15 +178,15 @@
             ..digest(1)
         },
         Digest {
-            wait: -1.0,
+            retry_after: -1.0,
             ..digest(1)
         },
         Digest {
-            gap: f32::INFINITY,
+            pacing_interval: f32::INFINITY,
             ..digest(1)
         },
         Digest {
-            limit: Some(0.0),
+            rate_limit: Some(0.0),
             ..digest(1)
         },
         Digest {
@@ -228,7 +228,7 @@
 #[test]
 fn ten_thousand_partners_take_less_than_3_mb() {
     let (mut known, bounds) = (PartnerKnowledge::default(), Bounds::default());
-    let wide = LatencySketch::of((0..40).map(|i| 100.0 * 1.05f64.powi(i)));
+    let wide = LatencySketch::from_latencies((0..40).map(|i| 100.0 * 1.05f64.powi(i)));
     for destination in 0..10_000 {
         for reporter in ["a", "b", "c"] {
             known.add_digest(
--- a/crates/peers/tests/gossip/properties.rs
+++ b/crates/peers/tests/gossip/properties.rs
@@ -65,7 +65,7 @@
     fn quantiles_approximate_the_sketched_latencies(latencies in prop::collection::vec(1.0f64..50_000.0, 1..40)) {
         let mut sorted = latencies.clone();
         sorted.sort_by(f64::total_cmp);
-        let stands = LatencySketch::of(latencies).quantiles(sorted.len());
+        let stands = LatencySketch::from_latencies(latencies).quantiles(sorted.len());
         for (a, b) in sorted.iter().zip(&stands) {
             prop_assert!((a / b).log2().abs() < 0.26, "{a} and {b}");
         }
--- a/crates/peers/tests/gossip/wire.rs
+++ b/crates/peers/tests/gossip/wire.rs
@@ -43,11 +43,12 @@
     };
     use martenlatch_peers::wire::MAX_DATAGRAM_BYTES;
     let secret = Secret::new(b"ours");
-    let latency = LatencySketch::of((0..64).map(|i| 2f64.powf((f64::from(i) + 0.5) / 4.0)));
+    let latency =
+        LatencySketch::from_latencies((0..64).map(|i| 2f64.powf((f64::from(i) + 0.5) / 4.0)));
     let largest = Digest {
         destination: u64::MAX,
         endpoint: Some("e".repeat(128)),
-        limit: Some(1.0),
+        rate_limit: Some(1.0),
         latency,
         outage: Some(ReportedOutage::Recovering { since: 1.0 }),
         ..digest(1)
--- a/crates/sender/src/peer_service/gossip.rs
+++ b/crates/sender/src/peer_service/gossip.rs
@@ -39,7 +39,7 @@
                 .observations(nanos(now), after, MAX_DIGESTS_PER_PAGE);
         let digests = observations.iter().map(|observation| {
             let endpoint = observation.endpoint.and_then(self.endpoint_names);
-            Digest::of(observation, endpoint)
+            Digest::from_observation(observation, endpoint)
         });
         DigestPage {
             digests: digests.collect(),
--- a/crates/sender/src/pipeline/compatibility_tests.rs
+++ b/crates/sender/src/pipeline/compatibility_tests.rs
@@ -115,7 +115,7 @@
     let (mut file, snapshot) = PeerSnapshotFile::open(folder.path(), WRITTEN_AT);
     assert_eq!((snapshot.incarnation, snapshot.digests.len()), (4, 4));
     assert_eq!(snapshot.digests[1].endpoint.as_deref(), Some("alpha"));
-    assert_eq!(snapshot.digests[2].limit, Some(12.5));
+    assert_eq!(snapshot.digests[2].rate_limit, Some(12.5));
     std::fs::remove_file(folder.path().join("peers")).unwrap();
     file.write(4, WRITTEN_AT, snapshot.digests).unwrap();
     let read = |folder: &Path| std::fs::read(folder.join("peers")).unwrap();
