--- a/crates/lab/src/members.rs
+++ b/crates/lab/src/members.rs
@@ -31,7 +31,7 @@
 
 /// Measures one network. `loss` is the share of the datagrams that is lost. The same seed gives the same figures.
 pub fn measure(members: usize, loss: f64, seed: u64) -> Figures {
-    let mut network = SimulatedNetwork::of(members, loss, seed);
+    let mut network = SimulatedNetwork::new(members, loss, seed);
     network.run(SETTLING_TIME);
     let figures = measure_steady(&mut network, members);
     let newcomer = members;
@@ -46,15 +46,15 @@
 
 fn measure_steady(network: &mut SimulatedNetwork, members: usize) -> Figures {
     let (datagrams_before, bytes_before) = network.sent;
-    let deaths_before = network.deaths();
+    let deaths_before = network.death_count();
     network.run(STEADY_TIME);
     let (datagrams, bytes) = network.sent;
     let member_seconds = STEADY_TIME / 1e3 * members as f64;
     Figures {
         datagrams: (datagrams - datagrams_before) as f64 / member_seconds,
         bytes: (bytes - bytes_before) as f64 / member_seconds,
-        false_deaths: (network.deaths() - deaths_before) as u64,
-        unknown: network.unknown(),
+        false_deaths: (network.death_count() - deaths_before) as u64,
+        unknown: network.unknown_pairs(),
         ..Figures::default()
     }
 }
@@ -63,14 +63,14 @@
     let joined_at = network.now();
     network.add(newcomer);
     let known = network.run_until(LONGEST_WAIT, |network| {
-        network.all_know(newcomer) && network.node(newcomer).live() >= members
+        network.is_known_to_all(newcomer) && network.membership(newcomer).live_count() >= members
     });
     known.map(|at| at - joined_at)
 }
 
 fn measure_death(network: &mut SimulatedNetwork, died: usize, members: usize) -> Option<Millis> {
     let died_at = network.now();
-    network.kill(died);
+    network.crash(died);
     let knows_death = |network: &SimulatedNetwork, by: usize| {
         let state = network.state(by, died);
         state.is_none_or(|state| state == MemberState::Dead)
--- a/crates/peers/src/membership/dissemination.rs
+++ b/crates/peers/src/membership/dissemination.rs
@@ -88,7 +88,7 @@
     }
 
     fn max_transmissions(&self) -> u32 {
-        let group_size = self.live + 1;
+        let group_size = self.live_count + 1;
         TRANSMISSIONS_FACTOR * (usize::BITS - group_size.leading_zeros())
     }
 
--- a/crates/peers/src/membership/mod.rs
+++ b/crates/peers/src/membership/mod.rs
@@ -44,7 +44,7 @@
     /// The other members by name, including those that died or left and are still retained.
     view: BTreeMap<String, MemberUpdate>,
     /// Number of live members in `view`.
-    live: usize,
+    live_count: usize,
     /// XOR of the digests of this member and of the live members in `view`.
     view_digest: u64,
     /// Members still to be probed in the current pass over the view.
@@ -95,7 +95,7 @@
             local,
             seeds: seeds.iter().copied().filter(|s| *s != address).collect(),
             view: BTreeMap::new(),
-            live: 0,
+            live_count: 0,
             probe_order: Vec::new(),
             lost: VecDeque::new(),
             probe: None,
@@ -127,8 +127,8 @@
     }
 
     /// The number of other live members, suspects included.
-    pub fn live(&self) -> usize {
-        self.live
+    pub fn live_count(&self) -> usize {
+        self.live_count
     }
 
     /// Takes the datagrams to send since the last call, with their receivers.
--- a/crates/peers/src/membership/view.rs
+++ b/crates/peers/src/membership/view.rs
@@ -83,11 +83,11 @@
     fn update_totals(&mut self, previous: Option<&MemberUpdate>, update: &MemberUpdate) {
         if let Some(previous) = previous.filter(|member| member.state.is_live()) {
             self.view_digest ^= previous.digest_contribution();
-            self.live -= 1;
+            self.live_count -= 1;
         }
         if update.state.is_live() {
             self.view_digest ^= update.digest_contribution();
-            self.live += 1;
+            self.live_count += 1;
         }
     }
 
@@ -133,7 +133,7 @@
     }
 
     fn suspicion_timeout(&self) -> Millis {
-        let group_size = (self.live + 2) as f64;
+        let group_size = (self.live_count + 2) as f64;
         self.settings.suspicion_periods * group_size.log10().max(1.0) * self.settings.period
     }
 
--- a/crates/peers/src/simulated_network.rs
+++ b/crates/peers/src/simulated_network.rs
@@ -31,7 +31,7 @@
 }
 
 /// The number of a member by its address.
-fn number(address: SocketAddr) -> usize {
+fn number_of(address: SocketAddr) -> usize {
     usize::from(address.port()).saturating_sub(FIRST_PORT.into())
 }
 
@@ -93,7 +93,7 @@
 
 impl SimulatedNetwork {
     /// A network of `count` members that know only the first two at the start.
-    pub fn of(count: usize, loss: f64, seed: u64) -> SimulatedNetwork {
+    pub fn new(count: usize, loss: f64, seed: u64) -> SimulatedNetwork {
         let settings = Settings {
             max_members: 4 * count.max(64),
             ..Settings::default()
@@ -148,7 +148,7 @@
     ///
     /// # Panics
     /// If the member does not run.
-    pub fn node(&self, no: usize) -> &Membership {
+    pub fn membership(&self, no: usize) -> &Membership {
         &self.nodes[&no]
     }
 
@@ -163,7 +163,7 @@
     }
 
     /// Crashes a member.
-    pub fn kill(&mut self, no: usize) {
+    pub fn crash(&mut self, no: usize) {
         self.nodes.remove(&no);
         if let Some(due) = self.tick_of.remove(&no) {
             self.ticks.remove(&(due, no));
@@ -176,7 +176,7 @@
             membership.leave();
         }
         self.collect(no);
-        self.kill(no);
+        self.crash(no);
     }
 
     /// Drops all datagrams to a member for a while.
@@ -203,33 +203,33 @@
     }
 
     /// The number of pairs of running members of which the first does not see the second as a live member.
-    pub fn unknown(&self) -> usize {
+    pub fn unknown_pairs(&self) -> usize {
         let others = self.nodes.len().saturating_sub(1);
         self.nodes
             .keys()
-            .map(|by| others - self.known_running(*by))
+            .map(|by| others - self.known_member_count(*by))
             .sum()
     }
 
     /// How many of the other running members a member sees as live.
-    fn known_running(&self, by: usize) -> usize {
+    fn known_member_count(&self, by: usize) -> usize {
         self.nodes[&by]
             .others()
             .filter(|member| member.state.is_live())
-            .map(|member| number(member.address))
+            .map(|member| number_of(member.address))
             .filter(|no| *no != by && self.nodes.contains_key(no))
             .count()
     }
 
     /// Whether all others see a member as live.
-    pub fn all_know(&self, no: usize) -> bool {
+    pub fn is_known_to_all(&self, no: usize) -> bool {
         self.nodes
             .keys()
             .all(|by| *by == no || self.state(*by, no).is_some_and(MemberState::is_live))
     }
 
     /// How often a member was declared dead so far, in all views.
-    pub fn deaths(&self) -> usize {
+    pub fn death_count(&self) -> usize {
         let changes = self.changes.values().flatten();
         changes
             .filter(|change| matches!(change, MembershipChange::Died(_)))
@@ -330,7 +330,7 @@
         }
         self.ticks.insert((due, no));
         for (to, datagram) in outgoing {
-            let to = number(to);
+            let to = number_of(to);
             self.send(InTransit {
                 from: no,
                 to,
--- a/crates/peers/tests/membership.rs
+++ b/crates/peers/tests/membership.rs
@@ -7,24 +7,24 @@
 
 fn net(count: usize, loss: f64, seed: u64) -> SimulatedNetwork {
     println!("seed {seed}");
-    SimulatedNetwork::of(count, loss, seed)
+    SimulatedNetwork::new(count, loss, seed)
 }
 
 #[test]
 fn newcomers_learn_of_all_members_and_all_learn_of_them() {
     let mut net = net(12, 0.0, 1);
     net.run(8_000.0);
-    assert_eq!(net.unknown(), 0, "pairs that do not know each other");
+    assert_eq!(net.unknown_pairs(), 0, "pairs that do not know each other");
     net.add(12);
     net.run(5_000.0);
-    assert_eq!(net.unknown(), 0);
+    assert_eq!(net.unknown_pairs(), 0);
 }
 
 #[test]
 fn a_crashed_member_is_declared_dead_and_a_leaving_one_left() {
     let mut net = net(8, 0.0, 2);
     net.run(8_000.0);
-    net.kill(3);
+    net.crash(3);
     net.leave(4);
     net.run(12_000.0);
     for no in [0, 1, 2, 5, 6, 7] {
@@ -37,14 +37,14 @@
 fn a_restarted_member_rejoins_under_its_name() {
     let mut net = net(5, 0.0, 3);
     net.run(6_000.0);
-    net.kill(2);
+    net.crash(2);
     net.run(10_000.0);
     // Its file was lost too: it begins under the incarnation that it is dead with.
     net.add(2);
     net.run(10_000.0);
-    assert_eq!(net.unknown(), 0);
+    assert_eq!(net.unknown_pairs(), 0);
     assert!(
-        net.node(2).local().incarnation > 1,
+        net.membership(2).local().incarnation > 1,
         "it has refuted its death"
     );
 }
@@ -80,7 +80,7 @@
     assert_eq!(net.state(7, 0), Some(MemberState::Dead));
     net.partition(None);
     net.run(20_000.0);
-    assert_eq!(net.unknown(), 0);
+    assert_eq!(net.unknown_pairs(), 0);
 }
 
 #[test]
@@ -89,7 +89,7 @@
     net.run(60_000.0);
     net.loss = 0.0;
     net.run(20_000.0);
-    assert_eq!(net.unknown(), 0);
+    assert_eq!(net.unknown_pairs(), 0);
 }
 
 #[test]
@@ -154,9 +154,9 @@
         .count();
     assert!((1..=10).contains(&taken), "{taken} times in 30 s");
     assert!(
-        net.node(1).local().incarnation < 40,
+        net.membership(1).local().incarnation < 40,
         "{}",
-        net.node(1).local().incarnation
+        net.membership(1).local().incarnation
     );
 }
 
@@ -172,7 +172,7 @@
         .filter(|c| matches!(c, MembershipChange::Suspected(n) if *n != name(0)))
         .count();
     assert_eq!(suspected, 0);
-    assert_eq!(net.unknown(), 0, "and it is a member still");
+    assert_eq!(net.unknown_pairs(), 0, "and it is a member still");
 }
 
 #[test]
--- a/crates/sender/src/peer_service/mod.rs
+++ b/crates/sender/src/peer_service/mod.rs
@@ -199,7 +199,7 @@
     /// Logs the counters.
     pub fn print_counters(&self) {
         info!(
-            members = self.membership.live() + 1,
+            members = self.membership.live_count() + 1,
             digests_sent = self.page_server.digests_sent(),
             digests_received = self.seed_queries.digests_received(),
             not_authenticated = self.rejections.unauthenticated,
