--- a/crates/martenlatch/src/commands.rs
+++ b/crates/martenlatch/src/commands.rs
@@ -52,7 +52,8 @@
 fn check(settings_file: Option<&Path>) -> Result<(), CommandError> {
     let config = read_config(read_settings(settings_file)?)?;
     if let Some(peers) = &config.peers {
-        martenlatch_sender::secret(&peers.secret_file).map_err(CommandError::InvalidSecret)?;
+        martenlatch_sender::read_shared_secret(&peers.secret_file)
+            .map_err(CommandError::InvalidSecret)?;
     }
     let operator = match config.operator {
         Some(address) => address.to_string(),
--- a/crates/martenlatch/src/members.rs
+++ b/crates/martenlatch/src/members.rs
@@ -24,7 +24,7 @@
 /// # Errors
 /// If the secret cannot be read, or the sender does not give a response that can be authenticated.
 pub fn show(peers: &Peers, as_json: bool) -> Result<(), CommandError> {
-    let secret = martenlatch_sender::secret(&peers.secret_file)?;
+    let secret = martenlatch_sender::read_shared_secret(&peers.secret_file)?;
     let members = query(peers, &secret).map_err(|source| CommandError::QueryMembers {
         address: peers.listen,
         source,
--- a/crates/sender/src/lib.rs
+++ b/crates/sender/src/lib.rs
@@ -27,7 +27,7 @@
 pub use config::{Config, ConfigError};
 pub use error::SenderError;
 pub use operator::OperatorError;
-pub use peer_service::{PeerServiceError, secret};
+pub use peer_service::{PeerServiceError, read_shared_secret};
 pub use process_replacement::CandidateError;
 pub use serve::run;
 use startup::listen;
--- a/crates/sender/src/peer_service/gossip.rs
+++ b/crates/sender/src/peer_service/gossip.rs
@@ -58,7 +58,7 @@
 impl PeerService {
     /// What peers know of endpoints that were just listed, as events for the decision module. Each piece of knowledge is
     /// passed on once.
-    pub fn gossip(
+    pub fn gossip_events(
         &mut self,
         listed: &[EndpointEntry],
         endpoint_names: EndpointNames,
--- a/crates/sender/src/peer_service/mod.rs
+++ b/crates/sender/src/peer_service/mod.rs
@@ -32,7 +32,7 @@
 use page_server::PageServer;
 use rejections::Rejections;
 use seed_queries::{Learning, SeedQueries};
-pub use shared_secret::secret;
+pub use shared_secret::read_shared_secret;
 use snapshot_writer::SnapshotWriter;
 use sockets::Sockets;
 
@@ -77,7 +77,7 @@
         handle: &Handle,
         now: Millis,
     ) -> Result<PeerService, PeerServiceError> {
-        let secret = secret(&settings.secret_file)?;
+        let secret = read_shared_secret(&settings.secret_file)?;
         let sockets = Sockets::bind(settings.listen, handle)?;
         let bounds = Bounds {
             half_life: settings.half_life_ms,
@@ -114,12 +114,12 @@
     }
 
     /// Whether a query to a seed runs, and there is time left for it. If no seed responds it is over at once.
-    pub fn learning(&self, now: Millis) -> bool {
+    pub fn is_learning(&self, now: Millis) -> bool {
         now < self.started_at + self.settings.learn_ms && self.seed_queries.is_running()
     }
 
     /// Ends the queries to the seeds, and logs what was learned.
-    pub fn learned(&mut self, now: Millis) {
+    pub fn finish_learning(&mut self, now: Millis) {
         self.seed_queries.abort();
         let took_ms = (now - self.started_at) as u64;
         info!(
@@ -142,7 +142,7 @@
     }
 
     /// Reads what a socket has received. Returns true if there may be more to read.
-    pub fn ready(&mut self, source: EventSource, now: Millis) -> bool {
+    pub fn on_ready(&mut self, source: EventSource, now: Millis) -> bool {
         match source {
             EventSource::PeerDatagrams => self.receive_datagrams(now),
             EventSource::PeerListener => {
@@ -197,7 +197,7 @@
     }
 
     /// Logs the counters.
-    pub fn print_counters(&self) {
+    pub fn log_counters(&self) {
         info!(
             members = self.membership.live_count() + 1,
             digests_sent = self.page_server.digests_sent(),
--- a/crates/sender/src/peer_service/shared_secret.rs
+++ b/crates/sender/src/peer_service/shared_secret.rs
@@ -13,7 +13,7 @@
 ///
 /// # Errors
 /// If the file cannot be read, or the secret is too short.
-pub fn secret(file: &Path) -> Result<Secret, PeerServiceError> {
+pub fn read_shared_secret(file: &Path) -> Result<Secret, PeerServiceError> {
     let bytes = std::fs::read(file).map_err(|source| PeerServiceError::ReadSecret {
         file: file.into(),
         source,
--- a/crates/sender/src/pipeline/driver.rs
+++ b/crates/sender/src/pipeline/driver.rs
@@ -166,7 +166,7 @@
             | EventSource::PeerListener
             | EventSource::PeerConnection(_)
             | EventSource::SeedQuery(_) => match &mut self.peers {
-                Some(peers) => peers.ready(source, now),
+                Some(peers) => peers.on_ready(source, now),
                 None => false,
             },
             EventSource::SuccessorListener | EventSource::Successor | EventSource::Predecessor => {
--- a/crates/sender/src/pipeline/endpoint_updates.rs
+++ b/crates/sender/src/pipeline/endpoint_updates.rs
@@ -67,7 +67,7 @@
         let directory = &self.directory;
         let endpoint_name = |endpoint| directory.endpoint_name(endpoint);
         match &mut self.peers {
-            Some(peers) => peers.gossip(entries, &endpoint_name, now),
+            Some(peers) => peers.gossip_events(entries, &endpoint_name, now),
             None => Vec::new(),
         }
     }
--- a/crates/sender/src/pipeline/metrics.rs
+++ b/crates/sender/src/pipeline/metrics.rs
@@ -10,7 +10,7 @@
     pub fn print_counters(&mut self) {
         self.store.counters.endpoint_connections = self.egress.connections_opened;
         if let Some(peers) = &self.peers {
-            peers.print_counters();
+            peers.log_counters();
         }
         info!(
             "counters held={} open={}{}",
--- a/crates/sender/src/startup.rs
+++ b/crates/sender/src/startup.rs
@@ -138,19 +138,19 @@
     /// there. A signal ends this early, so that it is acted on soon.
     fn learn_from_peers(&mut self, settings: &PeerSettings) -> Result<PeerService, SenderError> {
         let mut peers = self.open_peers(settings)?;
-        while peers.learning(self.clock.now()) && self.ready.signals.is_empty() {
+        while peers.is_learning(self.clock.now()) && self.ready.signals.is_empty() {
             wait(self.events, &mut self.ready, LEARNING_INTERVAL)?;
             let now = self.clock.now();
             let mut unfinished = Vec::new();
             for source in std::mem::take(&mut self.ready.keys) {
-                if !self.turn_operator_down(source, now) && peers.ready(source, now) {
+                if !self.turn_operator_down(source, now) && peers.on_ready(source, now) {
                     unfinished.push(source);
                 }
             }
             self.ready.keys = unfinished;
             peers.run_due(now, None);
         }
-        peers.learned(self.clock.now());
+        peers.finish_learning(self.clock.now());
         Ok(peers)
     }
 
