--- a/crates/peers/src/latency_sketch.rs
+++ b/crates/peers/src/latency_sketch.rs
@@ -1,46 +1,46 @@
-//! A histogram of latencies with exponential buckets: four buckets to a doubling, from a millisecond to a minute. Two
-//! sketches merge by adding their counts, and the size of a sketch is bounded by its number of buckets.
+//! A histogram of latencies with exponential bucket widths: four buckets for each doubling of the latency, from one
+//! millisecond to one minute. Sketches are merged by adding their counts. The number of buckets bounds a sketch's size.
 
 use std::collections::BTreeMap;
 
 use martenlatch_clock::Millis;
 use serde::{Deserialize, Serialize};
 
-/// Buckets to a doubling of the latency.
+/// Number of buckets for each doubling of the latency.
 const BUCKETS_PER_DOUBLING: f64 = 4.0;
-/// The last bucket, which also counts all latencies of more than a minute.
-const LAST_BUCKET: u8 = 63;
+/// Index of the last bucket, which also counts all latencies of more than a minute.
+const LAST_BUCKET_INDEX: u8 = 63;
 
-/// Counts of latencies by bucket.
+/// A histogram of latencies.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LatencySketch {
-    /// In the order of their indices; empty buckets are left out.
+    /// The buckets that are not empty, in the order of their indices.
     buckets: Vec<Bucket>,
 }
 
-/// One bucket that is not empty.
+/// A bucket with at least one latency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 struct Bucket {
     index: u8,
-    /// Saturates.
+    /// The number of latencies. The addition saturates.
     count: u16,
 }
 
 impl Bucket {
-    /// The geometric middle of the bucket.
+    /// The geometric mean of the bucket's bounds.
     fn midpoint(&self) -> Millis {
         2f64.powf((f64::from(self.index) + 0.5) / BUCKETS_PER_DOUBLING)
     }
 }
 
 impl LatencySketch {
-    /// The sketch of these latencies, in milliseconds.
+    /// Builds the sketch of latencies in milliseconds.
     pub fn from_latencies(latencies: impl IntoIterator<Item = Millis>) -> LatencySketch {
         let mut counts = BTreeMap::<u8, u16>::new();
         for latency in latencies {
             let index = latency.max(1.0).log2() * BUCKETS_PER_DOUBLING;
             let count = counts
-                .entry(index.min(f64::from(LAST_BUCKET)) as u8)
+                .entry(index.min(f64::from(LAST_BUCKET_INDEX)) as u8)
                 .or_default();
             *count = count.saturating_add(1);
         }
@@ -61,12 +61,12 @@
         self.buckets.iter().map(|b| u32::from(b.count)).sum()
     }
 
-    /// Whether a received sketch has the form that [`LatencySketch::from_latencies`] gives it: buckets in order, none twice, none
-    /// empty and none past the last.
+    /// Whether a received sketch could come from [`LatencySketch::from_latencies`]: its buckets are in order, and none
+    /// is duplicate, empty or beyond the last index.
     pub fn is_valid(&self) -> bool {
         let in_order = self.buckets.is_sorted_by(|a, b| a.index < b.index);
         let mut buckets = self.buckets.iter();
-        in_order && buckets.all(|b| b.index <= LAST_BUCKET && b.count > 0)
+        in_order && buckets.all(|b| b.index <= LAST_BUCKET_INDEX && b.count > 0)
     }
 
     /// Adds the counts of another sketch.
@@ -80,26 +80,26 @@
         *self = LatencySketch::from_counts(counts);
     }
 
-    /// As many evenly spaced quantiles of the distribution, in milliseconds and in ascending order. None for an empty
-    /// sketch.
-    pub fn quantiles(&self, quantiles: usize) -> Vec<Millis> {
+    /// Returns `count` evenly spaced quantiles of the distribution, in milliseconds and in ascending order, or no
+    /// quantiles if the sketch is empty.
+    pub fn quantiles(&self, count: usize) -> Vec<Millis> {
         let total = f64::from(self.count());
         let mut buckets = self.buckets.iter();
         let Some(mut bucket) = buckets.next() else {
             return Vec::new();
         };
         let mut cumulative = f64::from(bucket.count);
-        let mut values = Vec::with_capacity(quantiles);
-        for quantile in 0..quantiles {
-            let rank = (quantile as f64 + 0.5) / quantiles as f64 * total;
+        let mut quantiles = Vec::with_capacity(count);
+        for quantile in 0..count {
+            let rank = (quantile as f64 + 0.5) / count as f64 * total;
             while cumulative < rank
                 && let Some(next) = buckets.next()
             {
                 cumulative += f64::from(next.count);
                 bucket = next;
             }
-            values.push(bucket.midpoint());
+            quantiles.push(bucket.midpoint());
         }
-        values
+        quantiles
     }
 }
--- a/crates/peers/src/membership/dissemination.rs
+++ b/crates/peers/src/membership/dissemination.rs
@@ -1,34 +1,35 @@
-//! Dissemination: updates piggybacked on every datagram, and full views for members whose digests keep differing.
+//! Dissemination of updates: every datagram carries some, and a member whose view digest keeps differing is asked for its
+//! full view.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
 use super::member::{MemberState, MemberUpdate};
 use super::message::{Datagram, Payload};
-use super::{MAX_UPDATES, Membership, SYNC_INTERVAL};
+use super::{MAX_UPDATES, Membership, VIEW_REQUEST_INTERVAL};
 
-/// An update is piggybacked this many times the binary logarithm of the group's size: enough to reach all members
-/// despite losses.
+/// The number of transmissions of an update is this factor times the binary logarithm of the group size, which is enough
+/// to reach all members in spite of losses.
 const TRANSMISSIONS_FACTOR: u32 = 3;
-/// After this many differing digests in a row the full view of the other member is requested.
+/// Number of consecutive view digest mismatches after which the full view of the other member is requested.
 const MAX_DIGEST_MISMATCHES: u32 = 3;
 
-/// Names of the members with updates to disseminate, those that were transmitted least first.
+/// The names of members whose updates are being disseminated, ordered by the number of their transmissions.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UpdateQueue {
     queue: BTreeSet<(u32, String)>,
-    /// The number of transmissions by name, which finds the entry in `queue`.
+    /// The number of transmissions by name, by which the entry in `queue` is found.
     transmissions: BTreeMap<String, u32>,
 }
 
 impl UpdateQueue {
-    /// Queues a new update on a member in place of an older one.
+    /// Queues a new update on a member, in place of an older one.
     pub(super) fn push(&mut self, name: &str) {
         self.remove(name);
         self.insert(0, name.to_string());
     }
 
-    /// Drops a member's update.
+    /// Removes the update on a member.
     pub(super) fn remove(&mut self, name: &str) {
         if let Some(transmissions) = self.transmissions.remove(name) {
             self.queue.remove(&(transmissions, name.to_string()));
@@ -40,7 +41,7 @@
         self.queue.insert((transmissions, name));
     }
 
-    /// Takes the update with the fewest transmissions: their number, and the member's name.
+    /// Takes the update with the fewest transmissions: their number and the member's name.
     fn pop(&mut self) -> Option<(u32, String)> {
         let (transmissions, name) = self.queue.pop_first()?;
         self.transmissions.remove(&name);
@@ -49,8 +50,8 @@
 }
 
 impl Membership {
-    /// Sends a datagram with piggybacked updates. `about_receiver` is what is known of its receiver: unless that is
-    /// `Alive` it goes first, so that the receiver can refute it.
+    /// Sends a datagram with piggybacked updates. `about_receiver` is the known state of the receiver: unless it is
+    /// `Alive`, it is the first update, so that the receiver can refute it.
     pub(super) fn send(
         &mut self,
         to: SocketAddr,
@@ -62,7 +63,7 @@
         self.queue_datagram(to, payload, updates);
     }
 
-    /// Takes the updates for one datagram from the queue, and queues those again that were not transmitted often enough.
+    /// Takes the updates for one datagram from the queue, and requeues those that need more transmissions.
     fn next_updates(&mut self, first: Option<MemberUpdate>) -> Vec<MemberUpdate> {
         let mut updates: Vec<MemberUpdate> = first.into_iter().collect();
         let max_transmissions = self.max_transmissions();
@@ -102,7 +103,7 @@
         self.outgoing.push((to, datagram));
     }
 
-    /// Sends the full view, in as many datagrams as it takes.
+    /// Sends the full view, split into as many datagrams as necessary.
     pub(super) fn send_full_view(&mut self, to: SocketAddr) {
         let updates: Vec<MemberUpdate> = self
             .view
@@ -118,25 +119,25 @@
         }
     }
 
-    /// Sends what is new to some members without waiting for the next ping.
+    /// Sends pending updates to some random members without waiting for the next ping.
     pub(super) fn announce(&mut self, receivers: usize) {
         for to in self.random_members(receivers, None) {
             self.send(to, Payload::View, None);
         }
     }
 
-    /// Anti-entropy: requests the full view of a member after its digest has differed several times in a row, so that
-    /// the halves of a healed network agree again.
+    /// Anti-entropy: requests a member's full view after several consecutive digest mismatches, so that the parts of a
+    /// healed network partition agree again.
     pub(super) fn compare_view_digest(&mut self, from: SocketAddr, view_digest: u64) {
         if view_digest == self.view_digest {
             self.digest_mismatches = 0;
         } else {
             self.digest_mismatches += 1;
         }
-        let sync_due = self.periods >= self.last_sync + SYNC_INTERVAL;
-        if self.digest_mismatches >= MAX_DIGEST_MISMATCHES && sync_due {
+        let request_due = self.periods >= self.last_view_request + VIEW_REQUEST_INTERVAL;
+        if self.digest_mismatches >= MAX_DIGEST_MISMATCHES && request_due {
             self.digest_mismatches = 0;
-            self.last_sync = self.periods;
+            self.last_view_request = self.periods;
             self.send(from, Payload::ViewRequest, None);
         }
     }
--- a/crates/peers/src/membership/failure_detector.rs
+++ b/crates/peers/src/membership/failure_detector.rs
@@ -1,5 +1,5 @@
-//! Failure detection: one member is probed a period, directly and then through others; a member that stays silent is
-//! suspected, and declared dead unless it refutes that in time.
+//! Failure detection: one member is probed in each period, first directly and then through other members. A member that
+//! does not answer is suspected, and declared dead unless it refutes the suspicion in time.
 
 use std::net::SocketAddr;
 
@@ -11,13 +11,14 @@
 use super::member::{MemberState, MemberUpdate};
 use super::message::Payload;
 
-/// Forwarded pings without an ack yet, at most.
+/// Maximum number of pings on behalf of other members that wait for their acks.
 const MAX_RELAYED_PINGS: usize = 64;
-/// Every so many periods a dead member, or a seed that is not known, is contacted again.
+/// Number of periods between two attempts to reach a dead member and a seed that is not a live member.
 const RECONNECT_INTERVAL: u64 = 3;
-/// Lost members looked at for one reconnection attempt.
+/// Maximum number of lost members that are examined for one reconnection attempt.
 const RECONNECT_CANDIDATES: usize = 4;
-/// A period that starts later than this part of a period means that this process stalled: nobody is suspected for it.
+/// If a period starts late by more than this fraction of a period, this process has stalled, and no member is suspected
+/// for it.
 const STALL_TOLERANCE: f64 = 0.5;
 
 /// The probe of the current period.
@@ -26,20 +27,20 @@
     name: String,
     sequence: u64,
     sent_at: Millis,
-    /// Whether other members have been asked to ping the target.
+    /// Whether other members were asked to ping the target.
     indirect: bool,
-    /// Whether the previous probe of the same member already went without an ack.
+    /// Whether the previous probe of the same member was not answered either.
     repeated: bool,
 }
 
 impl Probe {
-    /// When other members are to be asked for an indirect ping, if they have not been asked yet.
+    /// When other members have to be asked for an indirect ping, or `None` if they were asked already.
     pub(super) fn indirect_at(&self, ack_timeout: Millis) -> Option<Millis> {
         (!self.indirect).then_some(self.sent_at + ack_timeout)
     }
 }
 
-/// A ping on behalf of another member.
+/// A ping that was sent on behalf of another member.
 #[derive(Clone, Debug)]
 pub(super) struct RelayedPing {
     sequence: u64,
@@ -48,7 +49,7 @@
 }
 
 impl Membership {
-    /// Asks other members for an indirect ping, once the ack of the current probe is overdue.
+    /// Asks other members for an indirect ping if the ack of the current probe is overdue.
     pub(super) fn probe_indirectly(&mut self, now: Millis) {
         let ack_timeout = self.settings.ack_timeout;
         let Some(probe) = &mut self.probe else {
@@ -91,7 +92,7 @@
             self.probe_next(now);
             return;
         };
-        // On a lossy network one unanswered probe says little; two in a row are the exception.
+        // On a lossy network a single unanswered probe is common, and two in a row are rare.
         if probe.repeated {
             self.suspect(target, now);
         } else {
@@ -103,7 +104,8 @@
         let suspect = target.with_state(MemberState::Suspect);
         self.merge(suspect.clone(), now);
         self.probe_next(now);
-        // This ping lets it refute the suspicion at once, before dissemination reaches it.
+        // This ping carries the suspicion, so that the target can refute it at once, before the update reaches it by way
+        // of other members.
         self.ping(suspect);
     }
 
@@ -119,7 +121,7 @@
         });
     }
 
-    /// Sends a ping; returns its sequence number.
+    /// Sends a ping and returns its sequence number.
     fn ping(&mut self, target: MemberUpdate) -> u64 {
         let sequence = self.next_sequence();
         self.send(target.address, Payload::Ping { sequence }, Some(target));
@@ -136,7 +138,8 @@
         }
     }
 
-    /// Round robin over the live members, in an order that is shuffled anew for every pass.
+    /// Selects the next member to probe: round robin over the live members, in an order that is reshuffled for every
+    /// pass.
     fn next_target(&mut self) -> Option<String> {
         if self.probe_order.is_empty() {
             let live = self.view.values().filter(|member| member.state.is_live());
@@ -146,22 +149,22 @@
         self.probe_order.pop()
     }
 
-    /// Pings one member that was declared dead: the halves of a split network find each other again by this.
+    /// Pings one member that was declared dead, so that the parts of a partitioned network find each other again.
     fn reconnect_lost_member(&mut self) {
-        for _ in 0..self.lost.len().min(RECONNECT_CANDIDATES) {
-            let Some(name) = self.lost.pop_front() else {
+        for _ in 0..self.lost_members.len().min(RECONNECT_CANDIDATES) {
+            let Some(name) = self.lost_members.pop_front() else {
                 break;
             };
-            let known = self.view.get(&name).cloned();
-            if let Some(dead) = known.filter(|member| member.state == MemberState::Dead) {
-                self.lost.push_back(name);
+            let member = self.view.get(&name).cloned();
+            if let Some(dead) = member.filter(|member| member.state == MemberState::Dead) {
+                self.lost_members.push_back(name);
                 self.ping(dead);
                 break;
             }
         }
     }
 
-    /// Requests the view of a random seed, unless it is a live member.
+    /// Requests the view of a random seed, unless the seed is a live member.
     fn reconnect_seed(&mut self) {
         if self.seeds.is_empty() {
             return;
@@ -173,7 +176,7 @@
         }
     }
 
-    /// Pings a member on behalf of another.
+    /// Pings a member on behalf of another member.
     pub(super) fn relay_ping(
         &mut self,
         requester: SocketAddr,
@@ -192,16 +195,20 @@
         self.send(target, Payload::Ping { sequence }, None);
     }
 
-    /// Takes an ack: it completes the current probe, or is forwarded to the member that requested the ping.
+    /// Handles an ack: it completes the current probe, or is forwarded to the member that requested the ping.
     pub(super) fn handle_ack(&mut self, sequence: u64) {
-        if self.probe.as_ref().is_some_and(|p| p.sequence == sequence) {
+        if self
+            .probe
+            .as_ref()
+            .is_some_and(|probe| probe.sequence == sequence)
+        {
             self.probe = None;
         }
         let position = self
             .relayed_pings
             .iter()
             .position(|ping| ping.sequence == sequence);
-        if let Some(relayed) = position.and_then(|at| self.relayed_pings.remove(at)) {
+        if let Some(relayed) = position.and_then(|index| self.relayed_pings.remove(index)) {
             let sequence = relayed.requester_sequence;
             self.send(relayed.requester, Payload::Ack { sequence }, None);
         }
@@ -212,7 +219,7 @@
         self.last_sequence
     }
 
-    /// The addresses of up to `count` random alive members other than `excluded`.
+    /// The addresses of up to `count` random members in the state `Alive`, without the member named `excluded`.
     pub(super) fn random_members(
         &mut self,
         count: usize,
--- a/crates/peers/src/membership/member.rs
+++ b/crates/peers/src/membership/member.rs
@@ -8,43 +8,43 @@
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x100_0000_01b3;
 
-/// The state of a member, as far as is known. Of two updates with the same incarnation, the one whose state comes later
-/// in this order overrides the other.
+/// The last known state of a member. Of two updates with the same incarnation, the one whose state comes later in this
+/// order overrides the other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It answers probes.
+    /// The member answers probes.
     Alive,
-    /// It did not answer probes and has not refuted the suspicion yet.
+    /// The member did not answer probes, and has not refuted the suspicion yet.
     Suspect,
-    /// It did not refute the suspicion in time.
+    /// The member did not refute the suspicion in time.
     Dead,
-    /// It announced that it leaves.
+    /// The member announced that it leaves the group.
     Left,
 }
 
 impl MemberState {
-    /// Whether a node in this state counts as a member of the group.
+    /// Whether a member in this state counts towards the group.
     pub fn is_live(self) -> bool {
         matches!(self, MemberState::Alive | MemberState::Suspect)
     }
 }
 
-/// What is disseminated about one member. Only the member itself raises its incarnation.
+/// The disseminated state of one member. Only the member itself raises its incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberUpdate {
     /// The member's unique name.
     pub name: String,
-    /// Where its datagrams go. It serves its knowledge of partners on the same port over TCP.
+    /// The member's address for datagrams. On the same port it serves its knowledge of partners over TCP.
     pub address: SocketAddr,
-    /// The incarnation that this update speaks of.
+    /// The member's incarnation that this update refers to.
     pub incarnation: u64,
     /// The state of the member in that incarnation.
     pub state: MemberState,
 }
 
 impl MemberUpdate {
-    /// Whether this update replaces `known`, an update on the same member. The order is total, so that views agree
-    /// whatever the order in which they merge the same updates.
+    /// Whether this update replaces `known`, an update on the same member. The order is total, so that views that merge
+    /// the same updates agree, in whatever order they receive them.
     pub(super) fn overrides(&self, known: &MemberUpdate) -> bool {
         self.precedence() > known.precedence()
     }
@@ -53,13 +53,13 @@
         (self.incarnation, self.state, self.address)
     }
 
-    /// This update with another state.
+    /// Returns this update with another state.
     pub(super) fn with_state(self, state: MemberState) -> MemberUpdate {
         MemberUpdate { state, ..self }
     }
 
-    /// The member's part of a view's digest: a hash of name and incarnation. A digest is the XOR of the parts of all
-    /// live members, and has to be the same on every machine.
+    /// The member's contribution to the digest of a view: a hash of its name and incarnation. The digest is the XOR of
+    /// the contributions of all live members, and must be the same on every machine.
     pub(super) fn digest_contribution(&self) -> u64 {
         let incarnation = self.incarnation.to_le_bytes();
         self.name
@@ -71,21 +71,21 @@
     }
 }
 
-/// A change in the view of one member.
+/// A change in a member's view of the group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
     /// A member joined, or came back.
     Joined(MemberUpdate),
-    /// The member of this name is suspected.
+    /// The member with this name is suspected.
     Suspected(String),
-    /// The member of this name refuted the suspicion.
+    /// The member with this name refuted the suspicion.
     Refuted(String),
-    /// The member of this name was declared dead.
+    /// The member with this name was declared dead.
     Died(String),
-    /// The member of this name left.
+    /// The member with this name left the group.
     Left(String),
-    /// The member of this name, dead or left, was removed from the view.
+    /// The member with this name, which had died or left, was removed from the view.
     Forgotten(String),
-    /// Another node uses this node's name, from that address.
+    /// Another node, at this address, uses the local member's name.
     NameConflict(SocketAddr),
 }
--- a/crates/peers/src/membership/message.rs
+++ b/crates/peers/src/membership/message.rs
@@ -1,4 +1,4 @@
-//! The datagrams of the protocol.
+//! The datagrams of the membership protocol.
 
 use std::net::SocketAddr;
 
@@ -6,12 +6,12 @@
 
 use super::member::MemberUpdate;
 
-/// What a datagram asks for or answers.
+/// The purpose of a datagram, with the values that go with it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Payload {
-    /// Requests an [`Payload::Ack`] with the same sequence number.
+    /// Requests a [`Payload::Ack`] with the same sequence number.
     Ping {
-        /// Sequence number, unique at the sender of the ping.
+        /// Sequence number, unique among the pings of its sender.
         sequence: u64,
     },
     /// Answers a ping.
@@ -19,27 +19,27 @@
         /// The sequence number of the ping.
         sequence: u64,
     },
-    /// Requests that the receiver pings another member and forwards the ack.
+    /// Requests that the receiver ping another member and forward the ack.
     PingRequest {
-        /// The sequence number that the forwarded ack must have.
+        /// The sequence number for the forwarded ack.
         sequence: u64,
-        /// The member to ping.
+        /// The address of the member to ping.
         address: SocketAddr,
     },
     /// Requests the receiver's full view.
     ViewRequest,
-    /// A part of the sender's view.
+    /// Carries updates only: a part of the sender's view, or recent changes of it.
     View,
 }
 
-/// One datagram, before it is sealed with the shared secret.
+/// A datagram before it is authenticated with the shared secret.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Datagram {
-    /// The sender, as it describes itself.
+    /// The sender's own entry.
     pub from: MemberUpdate,
     /// Digest of the live members in the sender's view.
     pub view_digest: u64,
-    /// What the datagram is for.
+    /// The purpose of the datagram.
     pub payload: Payload,
     /// Piggybacked updates on other members, at most [`super::MAX_UPDATES`].
     pub updates: Vec<MemberUpdate>,
--- a/crates/peers/src/membership/mod.rs
+++ b/crates/peers/src/membership/mod.rs
@@ -1,10 +1,11 @@
-//! Group membership after "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol" (Das,
+//! Group membership, following "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol" (Das,
 //! Gupta, Motivala, 2002): pings and indirect pings, suspicion and its refutation, and updates piggybacked on every
-//! datagram. As an addition every datagram carries a digest of its sender's view, so that the halves of a split network
-//! agree once they meet again.
+//! datagram. In addition, every datagram carries a digest of its sender's view, so that the parts of a network partition
+//! agree again after it has healed.
 //!
-//! [`Membership`] is a state machine without I/O: time and received datagrams go in, datagrams to send and changes of
-//! the view come out. The modules `failure_detector`, `dissemination` and `view` hold its parts.
+//! [`Membership`] is a state machine without I/O: its inputs are the time and received datagrams, its outputs are
+//! datagrams to send and changes of the view. The modules `failure_detector`, `dissemination` and `view` implement its
+//! parts.
 
 mod dissemination;
 mod failure_detector;
@@ -27,45 +28,47 @@
 pub use settings::Settings;
 use view::Expiry;
 
-/// Longest name of a member, in bytes; it bounds the size of a datagram.
+/// Maximum length of a member's name, in bytes; it bounds the size of a datagram.
 pub const MAX_NAME_BYTES: usize = 32;
-/// Most updates in one datagram: with the longest names they stay under the 1,200 bytes that any path takes.
+/// Maximum number of updates in one datagram. With the longest names, a datagram stays under 1,200 bytes, which any
+/// network path can carry.
 pub const MAX_UPDATES: usize = 12;
-/// Periods between two requests for a full view, and between two reactions to a name conflict.
-const SYNC_INTERVAL: u64 = 8;
+/// Minimum number of periods between two requests for a full view, and between two reactions to a name conflict.
+const VIEW_REQUEST_INTERVAL: u64 = 8;
 
-/// One member's view of the group.
+/// The membership protocol of one member, with its view of the group.
 #[derive(Clone, Debug)]
 pub struct Membership {
-    /// This member.
+    /// The local member.
     local: MemberUpdate,
     settings: Settings,
     seeds: Vec<SocketAddr>,
     /// The other members by name, including those that died or left and are still retained.
     view: BTreeMap<String, MemberUpdate>,
-    /// Number of live members in `view`.
+    /// The number of live members in `view`.
     live_count: usize,
-    /// XOR of the digests of this member and of the live members in `view`.
+    /// XOR of the digest contributions of the local member and of the live members in `view`.
     view_digest: u64,
-    /// Members still to be probed in the current pass over the view.
+    /// The members that remain to be probed in the current pass over the view.
     probe_order: Vec<String>,
-    /// Members that were declared dead and may be contacted again; some may be back or removed by now.
-    lost: VecDeque<String>,
+    /// Members that were declared dead, and to which a reconnection is attempted. Some may have come back or been
+    /// removed since.
+    lost_members: VecDeque<String>,
     probe: Option<Probe>,
     relayed_pings: VecDeque<RelayedPing>,
     update_queue: UpdateQueue,
     expiries: BTreeSet<Expiry>,
     next_period: Millis,
-    /// Periods begun so far.
+    /// The number of periods started so far.
     periods: u64,
     last_sequence: u64,
-    /// Differing digests received in a row.
+    /// The number of consecutive view digest mismatches.
     digest_mismatches: u32,
     /// The period of the last request for a full view.
-    last_sync: u64,
-    /// The period in which another node was last seen to use this member's name.
-    name_conflict: Option<u64>,
-    /// Number of updates on unknown members that a full view had no room for.
+    last_view_request: u64,
+    /// The period of the last reaction to another node with the local member's name.
+    last_name_conflict: Option<u64>,
+    /// The number of updates on unknown members that were rejected because the view was full.
     pub rejected_updates: u64,
     rng: Pcg32,
     outgoing: Vec<(SocketAddr, Datagram)>,
@@ -73,8 +76,9 @@
 }
 
 impl Membership {
-    /// A member that knows only the addresses of its seeds. `name` is cut to [`MAX_NAME_BYTES`]. `incarnation` should
-    /// be higher than any that this member had before a restart; it is raised if that turns out not to be the case.
+    /// Creates a member that knows only the addresses of its seeds. `name` is truncated to [`MAX_NAME_BYTES`].
+    /// `incarnation` should be higher than any that this member had before a restart; it is raised if an update from
+    /// another member shows that it is not.
     pub fn new(
         name: &str,
         address: SocketAddr,
@@ -93,11 +97,15 @@
         Membership {
             view_digest: local.digest_contribution(),
             local,
-            seeds: seeds.iter().copied().filter(|s| *s != address).collect(),
+            seeds: seeds
+                .iter()
+                .copied()
+                .filter(|seed| *seed != address)
+                .collect(),
             view: BTreeMap::new(),
             live_count: 0,
             probe_order: Vec::new(),
-            lost: VecDeque::new(),
+            lost_members: VecDeque::new(),
             probe: None,
             relayed_pings: VecDeque::new(),
             update_queue: UpdateQueue::default(),
@@ -106,8 +114,8 @@
             periods: 0,
             last_sequence: 0,
             digest_mismatches: 0,
-            last_sync: 0,
-            name_conflict: None,
+            last_view_request: 0,
+            last_name_conflict: None,
             rejected_updates: 0,
             rng: Pcg32::seed_from_u64(rng_seed),
             settings,
@@ -116,7 +124,7 @@
         }
     }
 
-    /// This member, as it describes itself to others.
+    /// The local member's own entry, as it is sent to others.
     pub fn local(&self) -> &MemberUpdate {
         &self.local
     }
@@ -126,22 +134,22 @@
         self.view.values()
     }
 
-    /// The number of other live members, suspects included.
+    /// The number of other live members, including suspects.
     pub fn live_count(&self) -> usize {
         self.live_count
     }
 
-    /// Takes the datagrams to send since the last call, with their receivers.
+    /// Takes the datagrams that were queued since the last call, with the addresses of their receivers.
     pub fn take_outgoing(&mut self) -> Vec<(SocketAddr, Datagram)> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Takes the changes of the view since the last call, in their order.
+    /// Takes the changes of the view since the last call, in the order in which they happened.
     pub fn take_changes(&mut self) -> Vec<MembershipChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// When [`Membership::tick`] has something to do next.
+    /// The time by which [`Membership::tick`] must be called next.
     pub fn next_deadline(&self) -> Millis {
         let ack_timeout = self.settings.ack_timeout;
         let probe = self.probe.as_ref();
@@ -153,20 +161,20 @@
             .fold(self.next_period, f64::min)
     }
 
-    /// Joins the group: requests the views of all seeds.
+    /// Joins the group by requesting the views of all seeds.
     pub fn join(&mut self) {
         for seed in self.seeds.clone() {
             self.send(seed, Payload::ViewRequest, None);
         }
     }
 
-    /// Leaves the group: announces that to some members.
+    /// Leaves the group and announces it to some members.
     pub fn leave(&mut self) {
         self.local.state = MemberState::Left;
         self.announce(2 * self.settings.indirect_probes);
     }
 
-    /// Does what is due by `now`.
+    /// Handles all expiries, indirect probes and protocol periods that are due at `now`.
     pub fn tick(&mut self, now: Millis) {
         self.expire(now);
         self.probe_indirectly(now);
@@ -175,7 +183,7 @@
         }
     }
 
-    /// Handles a datagram whose seal was verified.
+    /// Handles a datagram that has been authenticated.
     pub fn handle_datagram(&mut self, datagram: Datagram, now: Millis) {
         let Datagram {
             from,
@@ -211,7 +219,7 @@
     }
 }
 
-/// Cuts a name to [`MAX_NAME_BYTES`] at the end of a character.
+/// Truncates a name to [`MAX_NAME_BYTES`] at a character boundary.
 fn truncate_name(name: &str) -> String {
     let mut bytes = 0;
     name.chars()
--- a/crates/peers/src/membership/settings.rs
+++ b/crates/peers/src/membership/settings.rs
@@ -1,22 +1,22 @@
-//! The timing and the bounds of the protocol.
+//! Settings of the membership protocol.
 
 use martenlatch_clock::Millis;
 
-/// The timing and the bounds of the protocol. Times are in milliseconds.
+/// Timing and limits of the membership protocol. Times are in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The protocol period: one member is probed in each.
+    /// The protocol period. One member is probed in each period.
     pub period: Millis,
-    /// How long a ping may go without an ack before other members are asked to ping the same member.
+    /// How long to wait for the ack of a ping before other members are asked to ping the same member.
     pub ack_timeout: Millis,
-    /// How many members are asked for an indirect ping.
+    /// Number of members that are asked for an indirect ping.
     pub indirect_probes: usize,
-    /// Periods that a suspect has for a refutation, multiplied by the decimal logarithm of the group's size (at least
-    /// one).
+    /// Number of periods in which a suspect can refute the suspicion, before it is multiplied by the decimal logarithm
+    /// of the group size (which counts as at least one).
     pub suspicion_periods: f64,
-    /// How long a member that died or left stays in the view.
+    /// How long a member stays in the view after it died or left.
     pub retention: Millis,
-    /// Most members in the view, including those that died or left.
+    /// Maximum number of members in the view, including those that died or left.
     pub max_members: usize,
 }
 
--- a/crates/peers/src/membership/view.rs
+++ b/crates/peers/src/membership/view.rs
@@ -1,17 +1,17 @@
-//! The view: merging updates into it, the deadlines of suspects and of dead members, and the refutation of what others
-//! say about this member.
+//! The view of the group: merging updates, expiring the states of suspects and of members that died or left, and refuting
+//! updates on the local member.
 
 use martenlatch_clock::Millis;
 use rand::RngExt;
 
 use super::member::{MemberState, MemberUpdate, MembershipChange};
-use super::{MAX_NAME_BYTES, Membership, SYNC_INTERVAL};
+use super::{MAX_NAME_BYTES, Membership, VIEW_REQUEST_INTERVAL};
 
-/// When a member that is not alive leaves its state: a suspect is declared dead, one that died or left is removed.
-/// It is void if the member's incarnation or state has changed since.
+/// When the state of a member that is not alive expires: a suspect is declared dead, and a member that died or left is
+/// removed. The expiry is void if the member's incarnation or state has changed since.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Expiry {
-    /// In whole milliseconds.
+    /// The time of the expiry, in whole milliseconds.
     due: u64,
     name: String,
     incarnation: u64,
@@ -29,11 +29,11 @@
 }
 
 impl Membership {
-    /// Declares suspects dead, and removes members that died or left, whose time is over.
+    /// Handles the expiries that are due.
     pub(super) fn expire(&mut self, now: Millis) {
         while let Some(expiry) = self.next_expiry(now) {
-            let known = self.view.get(&expiry.name).cloned();
-            let Some(member) = known.filter(|member| expiry.applies_to(member)) else {
+            let member = self.view.get(&expiry.name).cloned();
+            let Some(member) = member.filter(|member| expiry.applies_to(member)) else {
                 continue;
             };
             if expiry.state == MemberState::Suspect {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Merges an update into the view, unless what is known overrides it.
+    /// Merges an update into the view, unless the known state of the member overrides it.
     pub(super) fn merge(&mut self, update: MemberUpdate, now: Millis) {
         if update.name == self.local.name {
             self.refute(&update);
@@ -62,7 +62,10 @@
             return;
         }
         let previous = self.view.get(&update.name).cloned();
-        if previous.as_ref().is_some_and(|p| !update.overrides(p)) {
+        if previous
+            .as_ref()
+            .is_some_and(|known| !update.overrides(known))
+        {
             return;
         }
         if previous.is_none() && !self.make_room_for(&update) {
@@ -72,8 +75,8 @@
         self.update_totals(previous.as_ref(), &update);
         self.record_change(previous.map(|member| member.state), &update);
         self.schedule_expiry(&update, now);
-        if update.state == MemberState::Dead && !self.lost.contains(&update.name) {
-            self.lost.push_back(update.name.clone());
+        if update.state == MemberState::Dead && !self.lost_members.contains(&update.name) {
+            self.lost_members.push_back(update.name.clone());
         }
         self.update_queue.push(&update.name);
         self.view.insert(update.name.clone(), update);
@@ -96,9 +99,9 @@
         let name = update.name.clone();
         match update.state {
             MemberState::Alive if !was_live => {
-                // At a random place of the current pass, so that it is probed soon.
-                let place = self.rng.random_range(0..=self.probe_order.len());
-                self.probe_order.insert(place, name);
+                // At a random position of the current pass, so that the member is probed soon.
+                let position = self.rng.random_range(0..=self.probe_order.len());
+                self.probe_order.insert(position, name);
                 self.changes.push(MembershipChange::Joined(update.clone()));
             }
             MemberState::Alive if previous == Some(MemberState::Suspect) => {
@@ -119,13 +122,13 @@
     }
 
     fn schedule_expiry(&mut self, update: &MemberUpdate, now: Millis) {
-        let after = match update.state {
+        let delay = match update.state {
             MemberState::Alive => return,
             MemberState::Suspect => self.suspicion_timeout(),
             MemberState::Dead | MemberState::Left => self.settings.retention,
         };
         self.expiries.insert(Expiry {
-            due: (now + after).ceil() as u64,
+            due: (now + delay).ceil() as u64,
             name: update.name.clone(),
             incarnation: update.incarnation,
             state: update.state,
@@ -137,7 +140,8 @@
         self.settings.suspicion_periods * group_size.log10().max(1.0) * self.settings.period
     }
 
-    /// Makes room in a full view: members that died or left give way to live ones.
+    /// Makes room for a new member if the view is full: a live member replaces one that died or left. Returns false if
+    /// there is no room.
     fn make_room_for(&mut self, newcomer: &MemberUpdate) -> bool {
         if self.view.len() < self.settings.max_members {
             return true;
@@ -147,7 +151,7 @@
         }
         let removable = self.expiries.iter().find(|expiry| {
             let member = self.view.get(&expiry.name);
-            !expiry.state.is_live() && member.is_some_and(|m| expiry.applies_to(m))
+            !expiry.state.is_live() && member.is_some_and(|member| expiry.applies_to(member))
         });
         let Some(name) = removable.map(|expiry| expiry.name.clone()) else {
             return false;
@@ -158,35 +162,35 @@
 
     fn remove(&mut self, name: &str) {
         self.view.remove(name);
-        self.lost.retain(|lost| lost != name);
+        self.lost_members.retain(|lost| lost != name);
         self.update_queue.remove(name);
         self.changes
             .push(MembershipChange::Forgotten(name.to_string()));
     }
 
-    /// Refutes an update on this member, or one under its name, by a higher incarnation.
+    /// Refutes an update on the local member, or on another node with its name, by raising the incarnation.
     pub(super) fn refute(&mut self, update: &MemberUpdate) {
-        let elsewhere = update.address != self.local.address;
+        let other_address = update.address != self.local.address;
         let alive = update.state == MemberState::Alive;
         let outdated = update.incarnation < self.local.incarnation;
-        if self.local.state != MemberState::Alive || outdated || (alive && !elsewhere) {
+        if self.local.state != MemberState::Alive || outdated || (alive && !other_address) {
             return;
         }
-        if elsewhere && alive {
-            // An earlier incarnation of this member, or a second node of this name: the two must not outbid each other
-            // for ever.
-            let recent = |period| self.periods < period + SYNC_INTERVAL;
-            if self.name_conflict.is_some_and(recent) {
+        if other_address && alive {
+            // Either an earlier incarnation of this member, or a second node with the same name. The reactions are
+            // limited, so that two such nodes do not outbid each other without end.
+            let is_recent = |period| self.periods < period + VIEW_REQUEST_INTERVAL;
+            if self.last_name_conflict.is_some_and(is_recent) {
                 return;
             }
-            self.name_conflict = Some(self.periods);
+            self.last_name_conflict = Some(self.periods);
             self.changes
                 .push(MembershipChange::NameConflict(update.address));
         }
         self.view_digest ^= self.local.digest_contribution();
         self.local.incarnation = update.incarnation.saturating_add(1);
         self.view_digest ^= self.local.digest_contribution();
-        // At once, so that a suspicion is refuted before it becomes a death.
+        // Announced at once, so that a suspicion is refuted before it expires and this member is declared dead.
         self.announce(self.settings.indirect_probes);
     }
 }
--- a/crates/peers/src/partner_knowledge/digest.rs
+++ b/crates/peers/src/partner_knowledge/digest.rs
@@ -1,4 +1,4 @@
-//! The digest in which a sender tells a newcomer what it has itself observed of a partner.
+//! The digest in which a sender reports its own observations of a partner to a starting sender.
 
 use martenlatch_clock::millis;
 use martenlatch_policy::interface::{Observation, Outage};
@@ -6,10 +6,10 @@
 
 use crate::latency_sketch::LatencySketch;
 
-/// Longest name of an endpoint, in bytes.
+/// Maximum length of an endpoint's name, in bytes.
 pub const MAX_ENDPOINT_BYTES: usize = 128;
 
-/// An outage, as observed by the sender of a digest. Times are spans in milliseconds before the digest.
+/// An outage, as observed by the reporting sender. Times are durations in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ReportedOutage {
     /// The partner does not respond.
@@ -18,7 +18,7 @@
     Rejecting,
     /// The partner responds again.
     Recovering {
-        /// For how long.
+        /// The time since the recovery began.
         since: f32,
     },
 }
@@ -28,43 +28,45 @@
         match outage {
             Outage::Unresponsive => ReportedOutage::Unresponsive,
             Outage::Rejecting => ReportedOutage::Rejecting,
-            Outage::Recovering { since } => ReportedOutage::Recovering { since: span(since) },
+            Outage::Recovering { since } => ReportedOutage::Recovering {
+                since: to_millis(since),
+            },
         }
     }
 }
 
-/// What one sender has itself observed of a partner, never what it was told by others. Times are spans in milliseconds,
-/// as the clocks of two senders may differ.
+/// One sender's own observations of a partner, without anything that it learned by gossip. Times are durations in
+/// milliseconds, because the clocks of two senders may differ.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Digest {
     /// The destination's number on the platform's endpoint list.
     pub destination: u64,
-    /// The endpoint's name there, if limits apply to each endpoint of the destination separately.
+    /// The endpoint's name on that list, if limits apply to each endpoint of the destination separately.
     pub endpoint: Option<String>,
-    /// Time since the latest call that the digest rests on.
+    /// Time since the latest call that the digest is based on.
     pub age: f32,
-    /// How long nothing may be sent there yet.
+    /// The remaining Retry-After, in which nothing may be sent to the partner.
     pub retry_after: f32,
     /// The pacing interval between two calls.
     pub pacing_interval: f32,
-    /// Calls a second that the partner takes from all senders, if known.
+    /// Calls a second that the partner accepts from all senders together, if known.
     pub rate_limit: Option<f32>,
-    /// Number of served calls, decaying exponentially with their age.
+    /// The number of successful calls, decaying exponentially with their age.
     pub successes: f32,
-    /// Number of rejected calls, decaying exponentially with their age.
+    /// The number of rejected calls, decaying exponentially with their age.
     pub rejections: f32,
-    /// Latencies of served calls.
+    /// The latencies of successful calls.
     pub latency: LatencySketch,
-    /// The outage that was observed, if any.
+    /// The observed outage, if any.
     pub outage: Option<ReportedOutage>,
 }
 
-fn span(nanos: u64) -> f32 {
+fn to_millis(nanos: u64) -> f32 {
     millis(nanos) as f32
 }
 
 impl Digest {
-    /// The digest of a destination of which nothing was observed.
+    /// Creates the digest of a destination without any observations.
     pub fn new(destination: u64) -> Digest {
         Digest {
             destination,
@@ -80,15 +82,15 @@
         }
     }
 
-    /// The digest of an observation by the decision module, with the name that the endpoint list gives the endpoint.
+    /// Converts an observation of the decision module. `endpoint` is the endpoint's name on the endpoint list.
     pub fn from_observation(observation: &Observation, endpoint: Option<String>) -> Digest {
         let latencies = observation.latencies.iter().map(|nanos| millis(*nanos));
         Digest {
             destination: observation.destination.0,
             endpoint,
-            age: span(observation.age),
-            retry_after: span(observation.wait),
-            pacing_interval: span(observation.gap),
+            age: to_millis(observation.age),
+            retry_after: to_millis(observation.wait),
+            pacing_interval: to_millis(observation.gap),
             rate_limit: observation.limit.map(|limit| limit as f32),
             successes: observation.served as f32,
             rejections: observation.refused as f32,
@@ -97,16 +99,18 @@
         }
     }
 
-    /// Whether a received digest is plausible: spans and counts are finite and not negative, the limit is above zero,
-    /// and the endpoint's name is neither empty nor too long.
+    /// Whether a received digest is plausible: durations and counts are finite and not negative, the rate limit is above
+    /// zero, the endpoint's name is neither empty nor too long, and the latency sketch is valid.
     pub fn is_valid(&self) -> bool {
-        self.has_valid_spans_and_counts()
-            && self.rate_limit.is_none_or(|l| l.is_finite() && l > 0.0)
+        self.has_valid_durations_and_counts()
+            && self
+                .rate_limit
+                .is_none_or(|limit| limit.is_finite() && limit > 0.0)
             && self.has_valid_endpoint()
             && self.latency.is_valid()
     }
 
-    fn has_valid_spans_and_counts(&self) -> bool {
+    fn has_valid_durations_and_counts(&self) -> bool {
         let recovering_since = match self.outage {
             Some(ReportedOutage::Recovering { since }) => since,
             _ => 0.0,
@@ -120,7 +124,7 @@
             recovering_since,
         ]
         .into_iter()
-        .all(|figure| figure.is_finite() && figure >= 0.0)
+        .all(|value| value.is_finite() && value >= 0.0)
     }
 
     fn has_valid_endpoint(&self) -> bool {
--- a/crates/peers/src/partner_knowledge/evidence.rs
+++ b/crates/peers/src/partner_knowledge/evidence.rs
@@ -1,4 +1,5 @@
-//! What several reporters have told about one route. Merging is commutative, associative and idempotent.
+//! The evidence about one route, merged from the digests of several reporters. Merging is commutative, associative and
+//! idempotent.
 
 use std::cmp::Ordering;
 
@@ -9,18 +10,18 @@
 use super::digest::{Digest, ReportedOutage};
 use crate::latency_sketch::LatencySketch;
 
-/// How many reports on one route are kept: the latest ones.
+/// Maximum number of reports on one route. The latest ones are kept.
 const MAX_REPORTS: usize = 2;
 
-/// What one reporter has told about a route. Of two reports by one reporter the later replaces the other.
+/// One reporter's observations of a route. Of two reports by the same reporter, the later one replaces the other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct Report {
     pub(super) reporter: String,
-    /// When the reporter made its latest observation, by the clock of this sender.
+    /// The time of the reporter's latest observation, by this sender's clock.
     pub(super) observed_at: Millis,
-    /// The pacing interval in milliseconds.
+    /// The pacing interval, in milliseconds.
     pub(super) pacing_interval: f32,
-    /// Calls a second.
+    /// The rate limit, in calls a second.
     pub(super) rate_limit: Option<f32>,
     successes: f32,
     rejections: f32,
@@ -28,17 +29,18 @@
 }
 
 impl Report {
-    /// Orders reports by their time. The order is total, so that merging in any order gives the same result.
-    fn cmp_age(&self, other: &Report) -> Ordering {
-        let figures = self.figures().into_iter().zip(other.figures());
-        figures
+    /// Orders reports by the time of their observations. The order is total, so that merging in any order gives the same
+    /// result.
+    fn cmp_by_time(&self, other: &Report) -> Ordering {
+        let pairs = self.sort_key().into_iter().zip(other.sort_key());
+        pairs
             .map(|(own, others)| own.total_cmp(&others))
             .find(|order| order.is_ne())
             .unwrap_or_else(|| self.latency.cmp(&other.latency))
             .then_with(|| self.reporter.cmp(&other.reporter))
     }
 
-    fn figures(&self) -> [f64; 5] {
+    fn sort_key(&self) -> [f64; 5] {
         [
             self.observed_at,
             self.pacing_interval.into(),
@@ -49,28 +51,28 @@
     }
 }
 
-/// All that is known of one route by gossip. Instants are in milliseconds by the clock of this sender.
+/// Everything that is known of one route by gossip. Instants are in milliseconds, by this sender's clock.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(super) struct Evidence {
-    /// Nothing may be sent before this.
+    /// No call may be sent before this instant.
     pub(super) not_before: Millis,
-    /// When the partner was last observed not to respond.
+    /// The time of the latest observation that the partner did not respond.
     pub(super) unresponsive_at: Option<Millis>,
-    /// When it was last observed to reject everything.
+    /// The time of the latest observation that the partner rejected everything.
     pub(super) rejecting_at: Option<Millis>,
-    /// When it last began to recover.
+    /// The time at which the partner last began to recover.
     pub(super) recovering_at: Option<Millis>,
-    /// The latest first.
+    /// The reports, the latest first.
     pub(super) reports: Vec<Report>,
 }
 
-/// The later of two instants, if there is any.
+/// The later of two instants, or `None` if neither is known.
 pub(super) fn later(first: Option<Millis>, second: Option<Millis>) -> Option<Millis> {
     [first, second].into_iter().flatten().reduce(f64::max)
 }
 
 impl Evidence {
-    /// The evidence in a valid digest that was received now.
+    /// Converts a valid digest that was received at `now`.
     pub(super) fn from_digest(
         reporter: &str,
         digest: &Digest,
@@ -110,7 +112,7 @@
         for report in &other.reports {
             self.merge_report(report);
         }
-        self.reports.sort_by(|a, b| b.cmp_age(a));
+        self.reports.sort_by(|a, b| b.cmp_by_time(a));
         self.reports.truncate(MAX_REPORTS);
     }
 
@@ -120,26 +122,26 @@
             .iter_mut()
             .find(|known| known.reporter == report.reporter);
         match known {
-            Some(known) if known.cmp_age(report).is_lt() => *known = report.clone(),
+            Some(known) if known.cmp_by_time(report).is_lt() => *known = report.clone(),
             Some(_) => {}
             None => self.reports.push(report.clone()),
         }
     }
 
-    /// When the partner was last observed to fail.
+    /// The time of the latest observed failure of the partner.
     pub(super) fn failed_at(&self) -> Option<Millis> {
         later(self.unresponsive_at, self.rejecting_at)
     }
 
-    /// When the partner was last observed to fail or to begin to recover.
+    /// The time of the latest observed failure of the partner or beginning of its recovery.
     pub(super) fn outage_at(&self) -> Option<Millis> {
         later(self.failed_at(), self.recovering_at)
     }
 
-    /// The latest instant that the evidence rests on.
-    pub(super) fn latest(&self) -> Millis {
-        let observed = self.reports.iter().map(|r| r.observed_at);
-        later(self.outage_at(), observed.reduce(f64::max))
+    /// The latest instant in the evidence, by which its age is compared.
+    pub(super) fn latest_instant(&self) -> Millis {
+        let observation_times = self.reports.iter().map(|report| report.observed_at);
+        later(self.outage_at(), observation_times.reduce(f64::max))
             .unwrap_or(0.0)
             .max(self.not_before)
     }
--- a/crates/peers/src/partner_knowledge/mod.rs
+++ b/crates/peers/src/partner_knowledge/mod.rs
@@ -1,6 +1,6 @@
-//! What a newcomer learns about partners by gossip: the digests of its peers, merged, aged, and weighed into a prior
-//! for the decision module. Merging is commutative, associative and idempotent. A sender's digests hold its own
-//! observations only, so gossip is never passed on.
+//! Gossip about partners: a starting sender merges the digests of its peers, and weights them by their age into priors
+//! for the decision module. Merging is commutative, associative and idempotent. A sender's digests contain only its own
+//! observations, so gossip is never forwarded.
 
 mod digest;
 mod evidence;
@@ -18,28 +18,28 @@
 use evidence::Evidence;
 use weighing::Weighing;
 
-/// What a piece of knowledge is about: a destination, or one of its endpoints if limits apply to each endpoint
-/// separately.
+/// Identifies a route for all senders: a destination, or one of its endpoints if limits apply to each endpoint separately.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RouteKey {
     /// The destination's number on the platform's endpoint list.
     pub destination: u64,
-    /// The endpoint's name there.
+    /// The endpoint's name on that list.
     pub endpoint: Option<String>,
 }
 
-/// What is believed at most, and for how long. Times are in milliseconds.
+/// Bounds on what is accepted from gossip. Times are in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// The time in which an observation loses half of its weight. An outage is believed for as long.
+    /// The time in which an observation loses half of its weight. An observed outage is assumed to
+    /// continue for this time.
     pub half_life: Millis,
-    /// Longest wait before the next call that is believed.
+    /// Maximum Retry-After; a longer one is shortened to it.
     pub max_retry_after: Millis,
-    /// Lowest latency that is believed.
+    /// Minimum latency; a lower one is raised to it.
     pub min_latency: Millis,
-    /// Highest latency that is believed.
+    /// Maximum latency; a higher one is reduced to it.
     pub max_latency: Millis,
-    /// Most routes that are kept.
+    /// Maximum number of routes.
     pub max_routes: usize,
 }
 
@@ -55,25 +55,25 @@
     }
 }
 
-/// What is known of partners by gossip.
+/// The store of evidence about partners that was received by gossip.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PartnerKnowledge {
     by_route: BTreeMap<RouteKey, Evidence>,
 }
 
 impl PartnerKnowledge {
-    /// The number of routes that something is known of.
+    /// The number of routes with evidence.
     pub fn len(&self) -> usize {
         self.by_route.len()
     }
 
-    /// Whether nothing is known.
+    /// Whether there is no evidence.
     pub fn is_empty(&self) -> bool {
         self.by_route.is_empty()
     }
 
-    /// Takes a digest that `reporter` sent and that was received now. Returns false, and takes nothing, if the digest
-    /// or the reporter's name is not valid, or if there is no room for another route.
+    /// Adds a digest that was received from `reporter` at `now`. Returns false, and adds nothing, if the digest or the
+    /// reporter's name is invalid, or if there is no room for another route.
     pub fn add_digest(
         &mut self,
         reporter: &str,
@@ -97,8 +97,8 @@
         true
     }
 
-    /// Merges all that another store knows. Past `max_routes` the oldest routes are dropped, whichever store they
-    /// came from.
+    /// Merges the evidence of another store. If there are more than `max_routes` routes then, the oldest ones are
+    /// dropped, whichever store they came from.
     pub fn merge(&mut self, other: &PartnerKnowledge, max_routes: usize) {
         for (route, evidence) in &other.by_route {
             match self.by_route.entry(route.clone()) {
@@ -117,7 +117,7 @@
         let mut by_age: Vec<(Millis, RouteKey)> = self
             .by_route
             .iter()
-            .map(|(route, evidence)| (evidence.latest(), route.clone()))
+            .map(|(route, evidence)| (evidence.latest_instant(), route.clone()))
             .collect();
         by_age.sort_by(|a, b| b.0.total_cmp(&a.0).then_with(|| a.1.cmp(&b.1)));
         for (_, route) in by_age.drain(max_routes..) {
@@ -125,15 +125,16 @@
         }
     }
 
-    /// Drops all waits: after a restart a wait that an earlier process was told to keep does not bind this one.
+    /// Drops every Retry-After, because one that a partner requested of an earlier process does not bind this one.
     pub fn clear_retry_after(&mut self) {
         for evidence in self.by_route.values_mut() {
             evidence.not_before = 0.0;
         }
     }
 
-    /// Takes what is known of one route out of the store and weighs it into a prior for the decision module.
-    /// `endpoint` is the number of the route's endpoint on the endpoint list.
+    /// Removes the evidence about one route from the store, and weights it into a prior for the decision module.
+    /// `endpoint` is the number of the route's endpoint on the endpoint list. Returns `None` if there is no evidence, or
+    /// if it is too old.
     pub fn take_prior(
         &mut self,
         route: &RouteKey,
@@ -150,18 +151,18 @@
         weighing.prior(route.destination, endpoint)
     }
 
-    /// Weighs all that is known into priors for the decision module. `number` maps a destination and the name of an
-    /// endpoint to the endpoint's number on the endpoint list, or to `None` if the route is not listed.
+    /// Weights the evidence about all routes into priors for the decision module. `endpoint_number` maps a destination
+    /// and an endpoint's name to the endpoint's number on the endpoint list, or to `None` if the route is not listed.
     pub fn priors(
         &self,
         now: Millis,
         bounds: &Bounds,
-        mut number: impl FnMut(u64, Option<&str>) -> Option<Option<EndpointId>>,
+        mut endpoint_number: impl FnMut(u64, Option<&str>) -> Option<Option<EndpointId>>,
     ) -> Vec<GossipedState> {
         let mut priors = Vec::new();
         for (route, evidence) in &self.by_route {
             let destination = route.destination;
-            let Some(endpoint) = number(destination, route.endpoint.as_deref()) else {
+            let Some(endpoint) = endpoint_number(destination, route.endpoint.as_deref()) else {
                 continue;
             };
             let weighing = Weighing {
--- a/crates/peers/src/partner_knowledge/weighing.rs
+++ b/crates/peers/src/partner_knowledge/weighing.rs
@@ -1,4 +1,4 @@
-//! Weighs the evidence on one route by its age, into the prior that the decision module starts from.
+//! Weights the evidence about one route by its age, and derives the prior with which the decision module starts.
 
 use martenlatch_clock::{Millis, nanos};
 use martenlatch_policy::interface::{DestinationId, EndpointId, GossipedState, Outage};
@@ -7,18 +7,19 @@
 use super::evidence::{Evidence, Report, later};
 use crate::latency_sketch::LatencySketch;
 
-/// Calls that gossip stands for at most: after as many calls of its own, a newcomer's observations outweigh it.
+/// Maximum number of calls that gossip counts as. After this number of its own calls, a starting sender's observations
+/// outweigh the gossip.
 const MAX_PRIOR_CALLS: f64 = 12.0;
-/// Calls from which on the latencies in one report count fully.
+/// Number of calls in a report from which on its latencies have full weight.
 const FULL_REPORT_CALLS: f64 = 20.0;
-/// Longest pacing interval that is believed.
-const MAX_GAP: Millis = 1_000.0;
-/// A pacing interval under this is none.
-const MIN_GAP: Millis = 1.0;
-/// Evidence that weighs less than this is too old for a limit or an ongoing outage.
+/// Maximum pacing interval; a longer one is shortened to it.
+const MAX_PACING_INTERVAL: Millis = 1_000.0;
+/// A shorter pacing interval is treated as none.
+const MIN_PACING_INTERVAL: Millis = 1.0;
+/// Evidence with a lower weight is too old to establish a rate limit or an ongoing outage.
 const MIN_WEIGHT: f64 = 0.5;
 
-/// The evidence on one route, at one time.
+/// The evidence about one route, weighted at one instant.
 pub(super) struct Weighing<'a> {
     pub(super) evidence: &'a Evidence,
     pub(super) now: Millis,
@@ -26,7 +27,7 @@
 }
 
 impl Weighing<'_> {
-    /// The prior for the decision module, or `None` if the evidence says nothing any more.
+    /// The prior for the decision module, or `None` if the evidence is too old to contribute anything.
     pub(super) fn prior(
         &self,
         destination: u64,
@@ -35,9 +36,9 @@
         let prior = GossipedState {
             destination: DestinationId(destination),
             endpoint,
-            wait: nanos(self.wait()),
-            gap: self.gap(),
-            limit: self.limit(),
+            wait: nanos(self.retry_after()),
+            gap: self.pacing_interval(),
+            limit: self.rate_limit(),
             latencies: self.latencies(),
             outage: self.outage(),
         };
@@ -49,13 +50,13 @@
         (!empty).then_some(prior)
     }
 
-    /// The weight of an observation: it halves with every half-life.
+    /// The weight of an observation, which halves with every half-life.
     fn weight(&self, observed_at: Millis) -> f64 {
         let age = (self.now - observed_at).max(0.0);
         0.5f64.powf(age / self.bounds.half_life)
     }
 
-    fn wait(&self) -> Millis {
+    fn retry_after(&self) -> Millis {
         (self.evidence.not_before - self.now).max(0.0)
     }
 
@@ -65,7 +66,7 @@
         {
             return self.ongoing_outage(failed_at);
         }
-        // A partner that failed and served later has been recovering since the failure at the earliest.
+        // A partner that served a call after it failed has been recovering since the failure at the earliest.
         let recovering_at = self.evidence.outage_at()?;
         Some(Outage::Recovering {
             since: nanos((self.now - recovering_at).max(0.0)),
@@ -73,15 +74,16 @@
     }
 
     fn recovered_after(&self, failed_at: Millis) -> bool {
-        let with_served = |report: &&Report| report.latency.count() > 0;
-        let reports = self.evidence.reports.iter().filter(with_served);
-        let served_at = reports.map(|r| r.observed_at).reduce(f64::max);
+        let has_successes = |report: &&Report| report.latency.count() > 0;
+        let reports = self.evidence.reports.iter().filter(has_successes);
+        let served_at = reports.map(|report| report.observed_at).reduce(f64::max);
         later(served_at, self.evidence.recovering_at).is_some_and(|at| at > failed_at)
     }
 
     fn ongoing_outage(&self, failed_at: Millis) -> Option<Outage> {
-        // If the failure is long ago, the partner may have recovered unobserved: that is no more than a cold start knows.
-        if self.weight(failed_at) < MIN_WEIGHT && self.wait() <= 0.0 {
+        // After an old failure the partner may have recovered without being observed, so nothing more is known of it
+        // than at a start without gossip.
+        if self.weight(failed_at) < MIN_WEIGHT && self.retry_after() <= 0.0 {
             return None;
         }
         if self.evidence.unresponsive_at == Some(failed_at) {
@@ -91,19 +93,24 @@
         }
     }
 
-    /// The longest of the pacing intervals, each reduced by its age, in nanoseconds.
-    fn gap(&self) -> u64 {
-        let weighed = |report: &Report| {
-            f64::from(report.pacing_interval).min(MAX_GAP) * self.weight(report.observed_at)
+    /// The longest of the reported pacing intervals, each reduced according to its age, in nanoseconds.
+    fn pacing_interval(&self) -> u64 {
+        let weighted = |report: &Report| {
+            f64::from(report.pacing_interval).min(MAX_PACING_INTERVAL)
+                * self.weight(report.observed_at)
         };
-        let gap = self.evidence.reports.iter().map(weighed);
-        let gap = gap.fold(0.0, f64::max);
-        if gap < MIN_GAP { 0 } else { nanos(gap) }
+        let intervals = self.evidence.reports.iter().map(weighted);
+        let longest = intervals.fold(0.0, f64::max);
+        if longest < MIN_PACING_INTERVAL {
+            0
+        } else {
+            nanos(longest)
+        }
     }
 
-    /// The lowest, and so the safe, of the recent limits. A limit from before an outage does not count: it would raise
-    /// the rate after the outage.
-    fn limit(&self) -> Option<f64> {
+    /// The lowest of the recent rate limits, as the safe one. A rate limit from before an outage is ignored, because it
+    /// would raise the rate after the outage.
+    fn rate_limit(&self) -> Option<f64> {
         let outage_at = self.evidence.outage_at();
         self.evidence
             .reports
@@ -115,7 +122,7 @@
             .reduce(f64::min)
     }
 
-    /// The latencies of the calls that the evidence stands for, in nanoseconds.
+    /// The latencies of the calls that the evidence counts as, in nanoseconds.
     fn latencies(&self) -> Vec<u64> {
         let mut merged = LatencySketch::default();
         let mut confidence = 0.0;
