--- a/crates/lab/src/members.rs
+++ b/crates/lab/src/members.rs
@@ -45,10 +45,10 @@
 }
 
 fn measure_steady(network: &mut SimulatedNetwork, members: usize) -> Figures {
-    let (datagrams_before, bytes_before) = network.sent;
+    let (datagrams_before, bytes_before) = network.sent_totals;
     let deaths_before = network.death_count();
     network.run(STEADY_TIME);
-    let (datagrams, bytes) = network.sent;
+    let (datagrams, bytes) = network.sent_totals;
     let member_seconds = STEADY_TIME / 1e3 * members as f64;
     Figures {
         datagrams: (datagrams - datagrams_before) as f64 / member_seconds,
--- a/crates/peers/src/simulated_network.rs
+++ b/crates/peers/src/simulated_network.rs
@@ -1,6 +1,6 @@
-//! A simulated network of members, for tests and experiments: datagrams are delayed, lost and cut off by partitions;
-//! members crash, stop receiving and stall. It is a discrete-event simulation: the same seed gives the same history, and
-//! a member is reached only through its datagrams and its clock.
+//! A simulated network of members, for tests and experiments: datagrams are delayed, lost and blocked by partitions;
+//! members crash, stall, and stop receiving datagrams. It is a discrete-event simulation: the same seed gives the same
+//! history, and the simulation affects a member only by datagrams and the time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -15,40 +15,40 @@
 /// Shortest and longest delay of a datagram.
 const MIN_DELAY: Millis = 5.0;
 const MAX_DELAY: Millis = 15.0;
-/// What UDP over IPv4 adds to a datagram.
+/// Size of the headers of UDP and IPv4 in front of a datagram.
 const HEADER_BYTES: u64 = 28;
-/// The port of member 0; the others have the next ones.
+/// The port of member 0. The ports of the other members follow in the order of their numbers.
 const FIRST_PORT: u16 = 7_000;
-/// How often [`SimulatedNetwork::run_until`] looks at its condition.
+/// How often [`SimulatedNetwork::run_until`] checks its condition.
 const CHECK_INTERVAL: Millis = 50.0;
-/// A datagram to a stalled member is read so long after the stall: after the tick that is due then, as by a process that
-/// was stopped.
+/// The delay after a stall until waiting datagrams are read. They are read after the tick that is due when the stall
+/// ends, as by a process that was stopped.
 const READ_AFTER_STALL: Millis = 1.0;
 
-/// The address of a member by its number.
-pub fn address(no: usize) -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + no as u16))
+/// The address of the member with this number.
+pub fn address(member: usize) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + member as u16))
 }
 
-/// The number of a member by its address.
+/// The number of the member with this address.
 fn number_of(address: SocketAddr) -> usize {
     usize::from(address.port()).saturating_sub(FIRST_PORT.into())
 }
 
-/// The name of a member by its number.
-pub fn name(no: usize) -> String {
-    format!("s{no}")
+/// The name of the member with this number.
+pub fn name(member: usize) -> String {
+    format!("s{member}")
 }
 
-/// An instant as the key of an ordered map: the bits of positive floating-point numbers have the numbers' order.
+/// An instant that can be ordered: the bit patterns of non-negative floating-point numbers are ordered like the numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Instant(u64);
+struct OrderedInstant(u64);
 
-impl Instant {
-    const NEVER: Instant = Instant(u64::MAX);
+impl OrderedInstant {
+    const NEVER: OrderedInstant = OrderedInstant(u64::MAX);
 
-    fn new(at: Millis) -> Instant {
-        Instant(at.to_bits())
+    fn new(millis: Millis) -> OrderedInstant {
+        OrderedInstant(millis.to_bits())
     }
 
     fn millis(self) -> Millis {
@@ -56,7 +56,7 @@
     }
 }
 
-/// A datagram on its way.
+/// A datagram that was sent and has not arrived yet, with the numbers of its sender and receiver.
 #[derive(Debug)]
 struct InTransit {
     from: usize,
@@ -64,25 +64,28 @@
     datagram: Datagram,
 }
 
-/// Members and the network between them. Members are known by their numbers.
+/// Members and the network between them. Members are identified by their numbers.
 #[derive(Debug)]
 pub struct SimulatedNetwork {
-    /// Share of the datagrams that are lost.
+    /// The fraction of datagrams that are lost.
     pub loss: f64,
-    /// Number of datagrams, and of bytes with headers, sent so far.
-    pub sent: (u64, u64),
+    /// The number of datagrams sent so far, and of their bytes including headers.
+    pub sent_totals: (u64, u64),
+    /// The running members.
     nodes: BTreeMap<usize, Membership>,
+    /// The changes of each member's view so far.
     changes: BTreeMap<usize, Vec<MembershipChange>>,
-    /// By arrival, then in the order in which they were sent.
-    in_transit: BTreeMap<(Instant, u64), InTransit>,
-    /// When each member has something to do, in order and by member.
-    ticks: BTreeSet<(Instant, usize)>,
-    tick_of: BTreeMap<usize, Instant>,
-    /// Until when nothing reaches a member.
-    deaf_until: BTreeMap<usize, Millis>,
-    /// Until when a member does nothing.
+    /// Ordered by the time of arrival, then by the order in which they were sent.
+    in_transit: BTreeMap<(OrderedInstant, u64), InTransit>,
+    /// The next tick of each running member, ordered by time.
+    ticks: BTreeSet<(OrderedInstant, usize)>,
+    /// The next tick of each running member, by member.
+    next_tick: BTreeMap<usize, OrderedInstant>,
+    /// For each member, the end of the time in which all datagrams to it are dropped.
+    dropping_until: BTreeMap<usize, Millis>,
+    /// For each member, the end of its stall.
     stalled_until: BTreeMap<usize, Millis>,
-    /// Members below this number and the others cannot reach each other.
+    /// If set, the members with lower numbers and the other members cannot reach each other.
     partition: Option<usize>,
     now: Millis,
     last_sequence: u64,
@@ -92,7 +95,8 @@
 }
 
 impl SimulatedNetwork {
-    /// A network of `count` members that know only the first two at the start.
+    /// Creates a network of `count` members, whose seeds are the first two. `loss` is the fraction of datagrams that are
+    /// lost.
     pub fn new(count: usize, loss: f64, seed: u64) -> SimulatedNetwork {
         let settings = Settings {
             max_members: 4 * count.max(64),
@@ -100,13 +104,13 @@
         };
         let mut network = SimulatedNetwork {
             loss,
-            sent: (0, 0),
+            sent_totals: (0, 0),
             nodes: BTreeMap::new(),
             changes: BTreeMap::new(),
             in_transit: BTreeMap::new(),
             ticks: BTreeSet::new(),
-            tick_of: BTreeMap::new(),
-            deaf_until: BTreeMap::new(),
+            next_tick: BTreeMap::new(),
+            dropping_until: BTreeMap::new(),
             stalled_until: BTreeMap::new(),
             partition: None,
             now: 0.0,
@@ -115,24 +119,24 @@
             settings,
             secret: Secret::new(b"a simulated network"),
         };
-        for no in 0..count {
-            network.add(no);
+        for member in 0..count {
+            network.add(member);
         }
         network
     }
 
     /// Starts a member.
-    pub fn add(&mut self, no: usize) {
-        self.add_with_name_of(no, no);
+    pub fn add(&mut self, member: usize) {
+        self.add_with_name_of(member, member);
     }
 
-    /// Starts a member at its own address under the name of another.
-    pub fn add_with_name_of(&mut self, no: usize, other: usize) {
+    /// Starts a member at its own address, with the name of another member.
+    pub fn add_with_name_of(&mut self, member: usize, other: usize) {
         let seeds = [address(0), address(1)];
         let rng_seed = self.rng.random();
         let mut membership = Membership::new(
             &name(other),
-            address(no),
+            address(member),
             1,
             &seeds,
             self.settings.clone(),
@@ -140,21 +144,21 @@
             self.now,
         );
         membership.join();
-        self.nodes.insert(no, membership);
-        self.collect(no);
+        self.nodes.insert(member, membership);
+        self.collect(member);
     }
 
-    /// A member that runs.
+    /// The membership protocol of a running member.
     ///
     /// # Panics
-    /// If the member does not run.
-    pub fn membership(&self, no: usize) -> &Membership {
-        &self.nodes[&no]
+    /// If the member is not running.
+    pub fn membership(&self, member: usize) -> &Membership {
+        &self.nodes[&member]
     }
 
-    /// All changes in a member's view so far.
-    pub fn changes(&self, no: usize) -> &[MembershipChange] {
-        self.changes.get(&no).map_or(&[], Vec::as_slice)
+    /// All changes of a member's view so far.
+    pub fn changes(&self, member: usize) -> &[MembershipChange] {
+        self.changes.get(&member).map_or(&[], Vec::as_slice)
     }
 
     /// The simulated time.
@@ -162,73 +166,79 @@
         self.now
     }
 
-    /// Crashes a member.
-    pub fn crash(&mut self, no: usize) {
-        self.nodes.remove(&no);
-        if let Some(due) = self.tick_of.remove(&no) {
-            self.ticks.remove(&(due, no));
+    /// Ends a member without an announcement.
+    pub fn crash(&mut self, member: usize) {
+        self.nodes.remove(&member);
+        if let Some(due) = self.next_tick.remove(&member) {
+            self.ticks.remove(&(due, member));
         }
     }
 
-    /// Shuts a member down gracefully.
-    pub fn leave(&mut self, no: usize) {
-        if let Some(membership) = self.nodes.get_mut(&no) {
+    /// Lets a member announce that it leaves, and ends it.
+    pub fn leave(&mut self, member: usize) {
+        if let Some(membership) = self.nodes.get_mut(&member) {
             membership.leave();
         }
-        self.collect(no);
-        self.crash(no);
+        self.collect(member);
+        self.crash(member);
     }
 
-    /// Drops all datagrams to a member for a while.
-    pub fn drop_incoming(&mut self, no: usize, span: Millis) {
-        self.deaf_until.insert(no, self.now + span);
+    /// Drops all datagrams to a member for the given time.
+    pub fn drop_incoming(&mut self, member: usize, duration: Millis) {
+        self.dropping_until.insert(member, self.now + duration);
     }
 
-    /// Stops a member's process for a while; datagrams to it wait in its socket.
-    pub fn stall(&mut self, no: usize, span: Millis) {
-        self.stalled_until.insert(no, self.now + span);
-        self.collect(no);
+    /// Stops a member's process for the given time. Datagrams to it wait in its socket.
+    pub fn stall(&mut self, member: usize, duration: Millis) {
+        self.stalled_until.insert(member, self.now + duration);
+        self.collect(member);
     }
 
-    /// Partitions the network between the members below a number and the others, or heals it.
-    pub fn partition(&mut self, at: Option<usize>) {
-        self.partition = at;
+    /// Separates the members with numbers below `boundary` from the other members, or heals the partition if `boundary` is
+    /// `None`.
+    pub fn partition(&mut self, boundary: Option<usize>) {
+        self.partition = boundary;
     }
 
-    /// The state of a member in the view of another, `by`.
-    pub fn state(&self, by: usize, no: usize) -> Option<MemberState> {
-        let name = name(no);
-        let mut others = self.nodes[&by].others();
-        others.find(|o| o.name == name).map(|other| other.state)
+    /// The state of a member in the view of `observer`, or `None` if it is not in that view.
+    pub fn state(&self, observer: usize, member: usize) -> Option<MemberState> {
+        let name = name(member);
+        let mut others = self.nodes[&observer].others();
+        others
+            .find(|other| other.name == name)
+            .map(|other| other.state)
     }
 
-    /// The number of pairs of running members of which the first does not see the second as a live member.
+    /// The number of ordered pairs of running members in which the first does not see the second as a live member.
     pub fn unknown_pairs(&self) -> usize {
         let others = self.nodes.len().saturating_sub(1);
         self.nodes
             .keys()
-            .map(|by| others - self.known_member_count(*by))
+            .map(|observer| others - self.known_member_count(*observer))
             .sum()
     }
 
-    /// How many of the other running members a member sees as live.
-    fn known_member_count(&self, by: usize) -> usize {
-        self.nodes[&by]
+    /// The number of other running members that `observer` sees as live.
+    fn known_member_count(&self, observer: usize) -> usize {
+        self.nodes[&observer]
             .others()
             .filter(|member| member.state.is_live())
             .map(|member| number_of(member.address))
-            .filter(|no| *no != by && self.nodes.contains_key(no))
+            .filter(|member| *member != observer && self.nodes.contains_key(member))
             .count()
     }
 
-    /// Whether all others see a member as live.
-    pub fn is_known_to_all(&self, no: usize) -> bool {
-        self.nodes
-            .keys()
-            .all(|by| *by == no || self.state(*by, no).is_some_and(MemberState::is_live))
+    /// Whether all other running members see a member as live.
+    pub fn is_known_to_all(&self, member: usize) -> bool {
+        self.nodes.keys().all(|observer| {
+            *observer == member
+                || self
+                    .state(*observer, member)
+                    .is_some_and(MemberState::is_live)
+        })
     }
 
-    /// How often a member was declared dead so far, in all views.
+    /// The number of times that any member declared another one dead so far.
     pub fn death_count(&self) -> usize {
         let changes = self.changes.values().flatten();
         changes
@@ -236,20 +246,20 @@
             .count()
     }
 
-    /// Lets time pass.
-    pub fn run(&mut self, span: Millis) {
-        let end = self.now + span;
+    /// Simulates the given time.
+    pub fn run(&mut self, duration: Millis) {
+        let end = self.now + duration;
         while self.step(end) {}
         self.now = end;
     }
 
-    /// Lets time pass until `done` returns true, for `span` at most; returns when that was.
+    /// Simulates until `done` returns true, and returns that time, or `None` if `done` never does within `max_duration`.
     pub fn run_until(
         &mut self,
-        span: Millis,
+        max_duration: Millis,
         mut done: impl FnMut(&SimulatedNetwork) -> bool,
     ) -> Option<Millis> {
-        let end = self.now + span;
+        let end = self.now + max_duration;
         while self.now < end {
             self.run(CHECK_INTERVAL);
             if done(self) {
@@ -259,17 +269,17 @@
         None
     }
 
-    /// Lets the next event before `end` happen; returns false if there is none.
+    /// Simulates the next event, which is a tick or an arrival. Returns false if there is none until `end`.
     fn step(&mut self, end: Millis) -> bool {
         let next_tick = self.ticks.first().copied();
-        let next_tick = next_tick.unwrap_or((Instant::NEVER, 0));
+        let next_tick = next_tick.unwrap_or((OrderedInstant::NEVER, 0));
         let next_arrival = self.in_transit.first_key_value().map(|(key, _)| key.0);
-        let next_arrival = next_arrival.unwrap_or(Instant::NEVER);
-        let at = next_tick.0.min(next_arrival);
-        if at > Instant::new(end) {
+        let next_arrival = next_arrival.unwrap_or(OrderedInstant::NEVER);
+        let next_event = next_tick.0.min(next_arrival);
+        if next_event > OrderedInstant::new(end) {
             return false;
         }
-        self.now = self.now.max(at.millis());
+        self.now = self.now.max(next_event.millis());
         if next_arrival > next_tick.0 {
             self.tick(next_tick.1);
             return true;
@@ -281,11 +291,11 @@
         true
     }
 
-    fn tick(&mut self, no: usize) {
-        if let Some(membership) = self.nodes.get_mut(&no) {
+    fn tick(&mut self, member: usize) {
+        if let Some(membership) = self.nodes.get_mut(&member) {
             membership.tick(self.now);
         }
-        self.collect(no);
+        self.collect(member);
     }
 
     fn deliver(&mut self, arrived: InTransit) {
@@ -294,14 +304,14 @@
             self.put_in_transit(until + READ_AFTER_STALL, arrived);
             return;
         }
-        let cut_off = self
+        let blocked = self
             .partition
-            .is_some_and(|at| (arrived.from < at) != (to < at));
-        let deaf = self
-            .deaf_until
+            .is_some_and(|boundary| (arrived.from < boundary) != (to < boundary));
+        let dropped = self
+            .dropping_until
             .get(&to)
             .is_some_and(|until| self.now < *until);
-        if cut_off || deaf {
+        if blocked || dropped {
             return;
         }
         if let Some(membership) = self.nodes.get_mut(&to) {
@@ -310,40 +320,40 @@
         }
     }
 
-    fn stalled_until(&self, no: usize) -> Option<Millis> {
-        let until = self.stalled_until.get(&no).copied();
+    fn stalled_until(&self, member: usize) -> Option<Millis> {
+        let until = self.stalled_until.get(&member).copied();
         until.filter(|until| self.now < *until)
     }
 
-    /// Takes what a member has to say after it did something: changes, its next deadline, and datagrams.
-    fn collect(&mut self, no: usize) {
-        let stalled_until = self.stalled_until(no).unwrap_or(0.0);
-        let Some(membership) = self.nodes.get_mut(&no) else {
+    /// Collects the outputs of a member after it handled an event: changes, its next deadline, and datagrams.
+    fn collect(&mut self, member: usize) {
+        let stalled_until = self.stalled_until(member).unwrap_or(0.0);
+        let Some(membership) = self.nodes.get_mut(&member) else {
             return;
         };
-        let changes = self.changes.entry(no).or_default();
+        let changes = self.changes.entry(member).or_default();
         changes.extend(membership.take_changes());
         let outgoing = membership.take_outgoing();
-        let due = Instant::new(membership.next_deadline().max(stalled_until));
-        if let Some(previous) = self.tick_of.insert(no, due) {
-            self.ticks.remove(&(previous, no));
+        let due = OrderedInstant::new(membership.next_deadline().max(stalled_until));
+        if let Some(previous) = self.next_tick.insert(member, due) {
+            self.ticks.remove(&(previous, member));
         }
-        self.ticks.insert((due, no));
+        self.ticks.insert((due, member));
         for (to, datagram) in outgoing {
             let to = number_of(to);
             self.send(InTransit {
-                from: no,
+                from: member,
                 to,
                 datagram,
             });
         }
     }
 
-    /// Counts a datagram, and loses or delays it.
+    /// Counts a datagram, and drops or delays it.
     fn send(&mut self, sent: InTransit) {
         let frame = self.secret.seal_datagram(&sent.datagram);
-        self.sent.0 += 1;
-        self.sent.1 += frame.len() as u64 + HEADER_BYTES;
+        self.sent_totals.0 += 1;
+        self.sent_totals.1 += frame.len() as u64 + HEADER_BYTES;
         let lost = self.rng.random::<f64>() < self.loss;
         let delay = self.rng.random::<f64>();
         if !lost {
@@ -352,9 +362,9 @@
         }
     }
 
-    fn put_in_transit(&mut self, arrival: Millis, sent: InTransit) {
+    fn put_in_transit(&mut self, arrival: Millis, datagram: InTransit) {
         self.last_sequence += 1;
-        let key = (Instant::new(arrival), self.last_sequence);
-        self.in_transit.insert(key, sent);
+        let key = (OrderedInstant::new(arrival), self.last_sequence);
+        self.in_transit.insert(key, datagram);
     }
 }
--- a/crates/peers/src/wire.rs
+++ b/crates/peers/src/wire.rs
@@ -1,14 +1,14 @@
-//! The encoding of datagrams and pages on the network. A frame is, in this order:
+//! The encoding of datagrams and pages on the network. Each is sent in a frame, which consists of:
 //!
-//! | bytes  | content                                                                             |
-//! |--------|-------------------------------------------------------------------------------------|
-//! | 1      | the version, [`VERSION`]                                                             |
-//! | 1      | the kind: 1 for a [`Datagram`], 2 for a [`Page`]                                     |
-//! | 2      | the length of the body, little endian                                               |
-//! | length | the body, encoded by postcard                                                       |
-//! | 16     | a keyed hash of all before: HMAC-SHA-256 (RFC 2104) with the shared secret, truncated |
+//! | bytes  | content                                                                                 |
+//! |--------|-----------------------------------------------------------------------------------------|
+//! | 1      | the version, [`VERSION`]                                                                |
+//! | 1      | the kind: 1 for a [`Datagram`], 2 for a [`Page`]                                        |
+//! | 2      | the length of the body, little endian                                                   |
+//! | length | the body, encoded by postcard                                                           |
+//! | 16     | HMAC-SHA-256 (RFC 2104) of the preceding bytes, keyed with the shared secret, truncated |
 //!
-//! A frame is verified before its body is decoded.
+//! The HMAC is verified before the body is decoded.
 
 use hmac::{Hmac, KeyInit, Mac};
 use serde::de::DeserializeOwned;
@@ -20,17 +20,18 @@
 
 /// The version of the encoding. Frames of other versions are rejected: there is no compatibility between versions.
 pub const VERSION: u8 = 1;
-/// Largest frame of a datagram, in bytes.
+/// Maximum size of a datagram's frame, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
-/// Largest frame of a page, in bytes.
+/// Maximum size of a page's frame, in bytes.
 pub const MAX_PAGE_BYTES: usize = 16 << 10;
-/// Most digests in one page: with the longest names and the largest sketches they fit into [`MAX_PAGE_BYTES`].
+/// Maximum number of digests in one page. With the longest names and the largest sketches they fit into
+/// [`MAX_PAGE_BYTES`].
 pub const MAX_DIGESTS_PER_PAGE: usize = 32;
-/// Most members in one page.
+/// Maximum number of members in one page.
 pub const MAX_MEMBERS_PER_PAGE: usize = 128;
-/// Bytes of version, kind and length.
+/// Size of version, kind and length, in bytes.
 const HEADER_BYTES: usize = 4;
-/// Bytes of the truncated keyed hash.
+/// Size of the truncated HMAC, in bytes.
 const TAG_BYTES: usize = 16;
 
 /// Why a received frame was rejected.
@@ -48,10 +49,10 @@
     /// The frame is of another kind than expected.
     #[error("the frame is of an unexpected kind")]
     UnexpectedKind,
-    /// The keyed hash does not verify with the shared secret.
+    /// The HMAC does not match the shared secret.
     #[error("the frame is not authenticated with the shared secret")]
     NotAuthenticated,
-    /// The keyed hash verifies, but the body cannot be decoded.
+    /// The HMAC matches, but the body cannot be decoded.
     #[error("the frame's body cannot be decoded")]
     Malformed,
 }
@@ -99,7 +100,7 @@
     },
 }
 
-/// The secret that all members share, as the key of the hash.
+/// The secret that all members share, with which frames are authenticated.
 #[derive(Clone)]
 pub struct Secret(Hmac<Sha256>);
 
@@ -109,67 +110,68 @@
     }
 }
 
+/// The kind of a frame's content. The discriminants are the values on the network.
 #[derive(Clone, Copy)]
 #[repr(u8)]
-enum Kind {
+enum FrameKind {
     Datagram = 1,
     Page = 2,
 }
 
 impl Secret {
-    /// A secret from the bytes that all members share, of any length.
+    /// Creates a secret from the bytes that all members share, which can have any length.
     pub fn new(bytes: &[u8]) -> Secret {
-        Secret(Hmac::new_from_slice(bytes).expect("RFC 2104 takes a key of any length"))
+        Secret(Hmac::new_from_slice(bytes).expect("RFC 2104 accepts keys of any length"))
     }
 
-    /// The frame of a datagram.
+    /// Encodes a datagram as an authenticated frame.
     pub fn seal_datagram(&self, datagram: &Datagram) -> Vec<u8> {
-        self.seal(Kind::Datagram, datagram)
+        self.seal(FrameKind::Datagram, datagram)
     }
 
     /// Verifies and decodes a received datagram.
     ///
     /// # Errors
-    /// Why it was rejected.
+    /// If the datagram is rejected.
     pub fn open_datagram(&self, bytes: &[u8]) -> Result<Datagram, FrameError> {
-        let (datagram, used) = self.open(Kind::Datagram, MAX_DATAGRAM_BYTES, bytes)?;
-        if used == bytes.len() {
+        let (datagram, frame_length) = self.open(FrameKind::Datagram, MAX_DATAGRAM_BYTES, bytes)?;
+        if frame_length == bytes.len() {
             Ok(datagram)
         } else {
             Err(FrameError::TooLong)
         }
     }
 
-    /// The frame of a page.
+    /// Encodes a page as an authenticated frame.
     pub fn seal_page(&self, page: &Page) -> Vec<u8> {
-        self.seal(Kind::Page, page)
+        self.seal(FrameKind::Page, page)
     }
 
-    /// Verifies and decodes the page at the start of the bytes that a connection has received; returns it and the
-    /// length of its frame.
+    /// Verifies and decodes the page at the start of the bytes that were received on a connection. Returns the page and
+    /// the length of its frame.
     ///
     /// # Errors
-    /// [`FrameError::Incomplete`] if more bytes are needed, otherwise why it was rejected.
+    /// [`FrameError::Incomplete`] if more bytes are needed, and another error if the page is rejected.
     pub fn open_page(&self, bytes: &[u8]) -> Result<(Page, usize), FrameError> {
-        self.open(Kind::Page, MAX_PAGE_BYTES, bytes)
+        self.open(FrameKind::Page, MAX_PAGE_BYTES, bytes)
     }
 
-    fn seal(&self, kind: Kind, value: &impl Serialize) -> Vec<u8> {
+    fn seal(&self, kind: FrameKind, value: &impl Serialize) -> Vec<u8> {
         let header = vec![VERSION, kind as u8, 0, 0];
         let mut bytes = postcard::to_extend(value, header)
-            .expect("datagrams and pages consist of types that postcard encodes");
+            .expect("postcard can encode all types in datagrams and pages");
         let length = u16::try_from(bytes.len() - HEADER_BYTES)
-            .expect("the bounds on names and lists keep a body under 64 KiB");
+            .expect("the limits on names and lists keep a body under 64 KiB");
         bytes[2..HEADER_BYTES].copy_from_slice(&length.to_le_bytes());
         let tag = self.0.clone().chain_update(&bytes).finalize().into_bytes();
         bytes.extend(&tag[..TAG_BYTES]);
         bytes
     }
 
-    /// Opens the frame at the start of `bytes`: the value, and the length of the frame.
+    /// Verifies and decodes the frame at the start of `bytes`. Returns the value and the length of the frame.
     fn open<T: DeserializeOwned>(
         &self,
-        kind: Kind,
+        kind: FrameKind,
         max_bytes: usize,
         bytes: &[u8],
     ) -> Result<(T, usize), FrameError> {
@@ -186,13 +188,13 @@
             return Err(FrameError::TooLong);
         }
         let frame = bytes.get(..frame_end).ok_or(FrameError::Incomplete)?;
-        let (signed, tag) = frame.split_at(body_end);
+        let (authenticated, tag) = frame.split_at(body_end);
         self.0
             .clone()
-            .chain_update(signed)
+            .chain_update(authenticated)
             .verify_truncated_left(tag)
             .map_err(|_| FrameError::NotAuthenticated)?;
-        let body = &signed[HEADER_BYTES..];
+        let body = &authenticated[HEADER_BYTES..];
         let (value, rest) = postcard::take_from_bytes(body).map_err(|_| FrameError::Malformed)?;
         if !rest.is_empty() {
             return Err(FrameError::Malformed);
@@ -224,7 +226,7 @@
         self.complete
     }
 
-    /// Accepts the next page and returns its digests, or `None` if it is not the next page of this response.
+    /// Accepts the next page of this response and returns its digests, or returns `None` if `page` is not the next one.
     pub fn accept(&mut self, page: Page) -> Option<Vec<Digest>> {
         match page {
             Page::Digests {
