--- a/crates/peers/tests/model.rs
+++ b/crates/peers/tests/model.rs
@@ -1,5 +1,5 @@
-//! Model checking of the membership protocol: three members, every order in which the datagrams of a step can arrive,
-//! losses, a crash, and a partition that heals. The searched bounds and the number of states are printed.
+//! Model checking of the membership protocol with three members: every order in which the datagrams of a step can arrive,
+//! losses, a crash, and a partition that heals. Each test prints its limits and the number of states.
 
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
@@ -8,14 +8,17 @@
 use martenlatch_peers::membership::{Datagram, MemberState, Membership, Payload, Settings};
 use stateright::{Checker, Model, Property};
 
+/// The duration of a step, in milliseconds.
 const STEP: f64 = 50.0;
+/// The property that some state has a suspect.
+const SOME_SUSPICION: &str = "some member is suspected";
 
-fn address(no: usize) -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, 1], 7_000 + no as u16))
+fn address(member: usize) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], 7_000 + member as u16))
 }
 
-fn name(no: usize) -> String {
-    format!("s{no}")
+fn name(member: usize) -> String {
+    format!("s{member}")
 }
 
 fn settings() -> Settings {
@@ -29,14 +32,14 @@
     }
 }
 
-/// A member as a part of a state, with all of its own state as text, by which nodes are compared.
+/// A running member, with its `Debug` text, by which nodes are compared and hashed.
 #[derive(Clone, Debug)]
 struct Node(Membership, String);
 
 impl Node {
-    fn new(members: Membership) -> Node {
-        let whole = format!("{members:?}");
-        Node(members, whole)
+    fn new(membership: Membership) -> Node {
+        let text = format!("{membership:?}");
+        Node(membership, text)
     }
 }
 
@@ -55,15 +58,15 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct SimulatedNetwork {
+struct NetworkState {
     nodes: Vec<Option<Node>>,
-    /// Datagrams on their way, with their receivers.
+    /// The receivers and datagrams that were sent and have not arrived yet.
     in_transit: Vec<(usize, Datagram)>,
     step: u32,
     losses: u32,
-    /// Steps since anything was lost.
-    quiet: u32,
-    /// Some view went back to an earlier incarnation, or to an earlier state within one.
+    /// Steps since the last lost datagram or the end of the partition.
+    steps_without_loss: u32,
+    /// Whether any view changed to an earlier incarnation, or to an earlier state of the same incarnation.
     regressed: bool,
 }
 
@@ -74,72 +77,73 @@
     Step,
 }
 
-struct Bounds {
-    steps: u32,
-    losses: u32,
-    /// In these steps the first member and the others cannot reach each other.
-    split: std::ops::Range<u32>,
-    /// In these steps nothing reaches the first member, and what it sends arrives.
+struct Scenario {
+    max_steps: u32,
+    max_losses: u32,
+    /// The steps in which the first member and the others cannot reach each other.
+    partition: std::ops::Range<u32>,
+    /// The steps in which datagrams to the first member are dropped, while those from it arrive.
     deaf: std::ops::Range<u32>,
-    /// The last member dies at this step.
-    dies: Option<u32>,
-    /// All orders over all members; else in any order at each member, the first one's before the next one's.
+    /// The step at which the last member crashes.
+    crash_step: Option<u32>,
+    /// Whether the datagrams of a step arrive in any order. Otherwise each member receives its own in any order, after
+    /// the members with lower numbers have received theirs.
     any_order: bool,
-    /// After so many steps without a loss everybody knows everybody again.
-    settles: u32,
+    /// Number of steps without a loss after which all members know each other again.
+    settling_steps: u32,
 }
 
-impl Bounds {
-    /// Whether a datagram that is sent in a step cannot arrive.
-    fn cut_off(&self, step: u32, from: usize, to: usize) -> bool {
-        (self.split.contains(&step) && (from == 0) != (to == 0))
+impl Scenario {
+    /// Whether a datagram that is sent in this step cannot arrive.
+    fn is_blocked(&self, step: u32, from: usize, to: usize) -> bool {
+        (self.partition.contains(&step) && (from == 0) != (to == 0))
             || (self.deaf.contains(&step) && to == 0)
     }
 
-    /// Gives every member its due, then puts what it sends on the way.
+    /// Puts a member's datagrams in transit, and notes whether its view regressed from that of `previous`.
     fn collect(
         &self,
-        net: &mut SimulatedNetwork,
-        no: usize,
-        members: Membership,
-        was: Option<&Membership>,
+        net: &mut NetworkState,
+        member: usize,
+        mut membership: Membership,
+        previous: &Membership,
     ) {
-        let mut members = members;
-        for (to, datagram) in members.take_outgoing() {
+        for (to, datagram) in membership.take_outgoing() {
             let to = usize::from(to.port() - 7_000);
-            if net.nodes.get(to).is_some_and(|n| n.is_some()) && !self.cut_off(net.step, no, to) {
+            let is_running = net.nodes.get(to).is_some_and(Option::is_some);
+            if is_running && !self.is_blocked(net.step, member, to) {
                 net.in_transit.push((to, datagram));
             }
         }
-        members.take_changes();
-        for old in was.into_iter().flat_map(|w| w.others()) {
-            let new = members.others().find(|r| r.name == old.name);
+        membership.take_changes();
+        for old in previous.others() {
+            let new = membership.others().find(|new| new.name == old.name);
             net.regressed |=
-                new.is_none_or(|n| (n.incarnation, n.state) < (old.incarnation, old.state));
+                new.is_none_or(|new| (new.incarnation, new.state) < (old.incarnation, old.state));
         }
-        net.nodes[no] = Some(Node::new(members));
-        // Which of two equal sets it is does not matter.
-        net.in_transit.sort_by_cached_key(|f| format!("{f:?}"));
+        net.nodes[member] = Some(Node::new(membership));
+        // Sorted, so that two states with the same datagrams in transit are equal.
+        net.in_transit.sort_by_cached_key(|d| format!("{d:?}"));
     }
 }
 
-impl Model for Bounds {
-    type State = SimulatedNetwork;
+impl Model for Scenario {
+    type State = NetworkState;
     type Action = Transition;
 
-    fn init_states(&self) -> Vec<SimulatedNetwork> {
-        let nodes = (0..3).map(|no| {
+    fn init_states(&self) -> Vec<NetworkState> {
+        let nodes = (0..3).map(|member| {
             let seeds: Vec<SocketAddr> = (0..3).map(address).collect();
-            let mut members = Membership::new(
-                &name(no),
-                address(no),
+            let mut membership = Membership::new(
+                &name(member),
+                address(member),
                 1,
                 &seeds,
                 settings(),
-                no as u64,
+                member as u64,
                 0.0,
             );
-            for other in (0..3).filter(|o| *o != no) {
+            for other in (0..3).filter(|other| *other != member) {
                 let from =
                     Membership::new(&name(other), address(other), 1, &[], settings(), 0, 0.0)
                         .local()
@@ -150,133 +154,138 @@
                     payload: Payload::View,
                     updates: vec![],
                 };
-                members.handle_datagram(datagram, 0.0);
+                membership.handle_datagram(datagram, 0.0);
             }
-            members.take_outgoing();
-            members.take_changes();
-            Some(Node::new(members))
+            membership.take_outgoing();
+            membership.take_changes();
+            Some(Node::new(membership))
         });
         let nodes = nodes.collect();
-        vec![SimulatedNetwork {
+        vec![NetworkState {
             nodes,
             in_transit: vec![],
             step: 0,
             losses: 0,
-            quiet: 0,
+            steps_without_loss: 0,
             regressed: false,
         }]
     }
 
-    fn actions(&self, net: &SimulatedNetwork, acts: &mut Vec<Transition>) {
-        // All that is on the way in a step comes or is lost in it, in any order.
-        let first = net.in_transit.iter().map(|f| f.0).min();
-        let open = |at: &usize| self.any_order || Some(net.in_transit[*at].0) == first;
-        acts.extend(
-            (0..net.in_transit.len())
-                .filter(open)
-                .map(Transition::Deliver),
-        );
-        if net.losses < self.losses {
-            acts.extend((0..net.in_transit.len()).map(Transition::Lose));
+    fn actions(&self, net: &NetworkState, actions: &mut Vec<Transition>) {
+        // Every datagram arrives or is lost in the step in which it is sent, in any order.
+        let first_receiver = net.in_transit.iter().map(|(to, _)| *to).min();
+        let deliverable =
+            |index: &usize| self.any_order || Some(net.in_transit[*index].0) == first_receiver;
+        let all = 0..net.in_transit.len();
+        actions.extend(all.clone().filter(deliverable).map(Transition::Deliver));
+        if net.losses < self.max_losses {
+            actions.extend(all.map(Transition::Lose));
         }
-        if net.in_transit.is_empty() && net.step < self.steps {
-            acts.push(Transition::Step);
+        if net.in_transit.is_empty() && net.step < self.max_steps {
+            actions.push(Transition::Step);
         }
     }
 
-    fn next_state(&self, last: &SimulatedNetwork, act: Transition) -> Option<SimulatedNetwork> {
+    fn next_state(&self, last: &NetworkState, action: Transition) -> Option<NetworkState> {
         let mut net = last.clone();
         let now = f64::from(net.step) * STEP;
-        match act {
-            Transition::Deliver(at) => {
-                let (to, datagram) = net.in_transit.remove(at);
-                let Some(Node(was, _)) = net.nodes[to].clone() else {
+        match action {
+            Transition::Deliver(index) => {
+                let (to, datagram) = net.in_transit.remove(index);
+                let Some(Node(previous, _)) = net.nodes[to].clone() else {
                     return Some(net);
                 };
-                let mut members = was.clone();
-                members.handle_datagram(datagram, now);
-                self.collect(&mut net, to, members, Some(&was));
+                let mut membership = previous.clone();
+                membership.handle_datagram(datagram, now);
+                self.collect(&mut net, to, membership, &previous);
             }
-            Transition::Lose(at) => {
-                net.in_transit.remove(at);
+            Transition::Lose(index) => {
+                net.in_transit.remove(index);
                 net.losses += 1;
-                net.quiet = 0;
+                net.steps_without_loss = 0;
             }
             Transition::Step => {
                 net.step += 1;
-                net.quiet = if self.split.contains(&net.step) {
+                net.steps_without_loss = if self.partition.contains(&net.step) {
                     0
                 } else {
-                    net.quiet + 1
+                    net.steps_without_loss + 1
                 };
-                if self.dies == Some(net.step) {
+                if self.crash_step == Some(net.step) {
                     net.nodes[2] = None;
                 }
-                for no in 0..net.nodes.len() {
-                    let Some(Node(was, _)) = net.nodes[no].clone() else {
+                for member in 0..net.nodes.len() {
+                    let Some(Node(previous, _)) = net.nodes[member].clone() else {
                         continue;
                     };
-                    let mut members = was.clone();
-                    members.tick(f64::from(net.step) * STEP);
-                    self.collect(&mut net, no, members, Some(&was));
+                    let mut membership = previous.clone();
+                    membership.tick(f64::from(net.step) * STEP);
+                    self.collect(&mut net, member, membership, &previous);
                 }
             }
         }
         Some(net)
     }
 
-    fn properties(&self) -> Vec<Property<Bounds>> {
+    fn properties(&self) -> Vec<Property<Scenario>> {
         vec![
             Property::always(
-                "a refuted suspicion never kills, and nothing known goes back",
-                |_, net: &SimulatedNetwork| !net.regressed,
+                "a refuted suspicion causes no death, and no view regresses",
+                |_, net: &NetworkState| !net.regressed,
             ),
             Property::always(
-                "none that runs and is reached is forgotten for good",
-                |b: &Bounds, net: &SimulatedNetwork| {
-                    let settled = net.quiet >= b.settles && net.in_transit.is_empty();
+                "running members that can be reached know each other again",
+                |scenario: &Scenario, net: &NetworkState| {
+                    let settled = net.steps_without_loss >= scenario.settling_steps
+                        && net.in_transit.is_empty();
                     !settled || unknown_pairs(net).is_empty()
                 },
             ),
             Property::always(
-                "two lost datagrams make nobody a suspect",
-                |b: &Bounds, net: &SimulatedNetwork| {
-                    b.dies.is_some()
-                        || !b.split.is_empty()
-                        || !b.deaf.is_empty()
+                "two lost datagrams cause no suspicion",
+                |scenario: &Scenario, net: &NetworkState| {
+                    scenario.crash_step.is_some()
+                        || !scenario.partition.is_empty()
+                        || !scenario.deaf.is_empty()
                         || suspects(net).is_empty()
                 },
             ),
             Property::always(
-                "one that is deaf for a moment is never dead",
-                |b: &Bounds, net: &SimulatedNetwork| b.deaf.is_empty() || dead(net).is_empty(),
+                "a member that is deaf for a short time is never seen as dead",
+                |scenario: &Scenario, net: &NetworkState| {
+                    scenario.deaf.is_empty() || not_live(net).is_empty()
+                },
             ),
             Property::always(
-                "one that died is held for dead by all in time",
-                |b: &Bounds, net: &SimulatedNetwork| {
-                    let late = b.dies.is_some_and(|at| net.step >= at + b.settles)
-                        && net.quiet >= b.settles;
-                    !late
+                "a crashed member is seen as dead by all in time",
+                |scenario: &Scenario, net: &NetworkState| {
+                    let settling_steps = scenario.settling_steps;
+                    let settled_after_crash = scenario
+                        .crash_step
+                        .is_some_and(|step| net.step >= step + settling_steps)
+                        && net.steps_without_loss >= settling_steps;
+                    let mut running = net.nodes.iter().flatten();
+                    !settled_after_crash
                         || !net.in_transit.is_empty()
-                        || net.nodes.iter().flatten().all(|n| !sees_as_live(&n.0, 2))
+                        || running.all(|node| !sees_as_live(&node.0, 2))
                 },
             ),
-            Property::sometimes("somebody is suspected", |_, net: &SimulatedNetwork| {
+            Property::sometimes(SOME_SUSPICION, |_, net: &NetworkState| {
                 !suspects(net).is_empty()
             }),
         ]
     }
 }
 
-fn sees_as_live(members: &Membership, no: usize) -> bool {
-    members
+fn sees_as_live(membership: &Membership, member: usize) -> bool {
+    membership
         .others()
-        .any(|r| r.name == name(no) && r.state.is_live())
+        .any(|other| other.name == name(member) && other.state.is_live())
 }
 
-/// Pairs of running members of which one does not hold the other for a member.
-fn unknown_pairs(net: &SimulatedNetwork) -> BTreeSet<(usize, usize)> {
-    let running: Vec<usize> = (0..3).filter(|n| net.nodes[*n].is_some()).collect();
+/// The ordered pairs of running members in which the first does not see the second as a live member.
+fn unknown_pairs(net: &NetworkState) -> BTreeSet<(usize, usize)> {
+    let running: Vec<usize> = (0..3).filter(|i| net.nodes[*i].is_some()).collect();
     let pairs = running
         .iter()
         .flat_map(|a| running.iter().map(|b| (*a, *b)))
@@ -285,91 +294,82 @@
         .filter(|(a, b)| {
             net.nodes[*a]
                 .as_ref()
-                .is_some_and(|n| !sees_as_live(&n.0, *b))
+                .is_some_and(|node| !sees_as_live(&node.0, *b))
         })
         .collect()
 }
 
-fn suspects(net: &SimulatedNetwork) -> Vec<String> {
-    let views = net.nodes.iter().flatten().flat_map(|n| n.0.others());
+fn suspects(net: &NetworkState) -> Vec<String> {
+    let views = net.nodes.iter().flatten().flat_map(|node| node.0.others());
     views
-        .filter(|r| r.state == MemberState::Suspect)
-        .map(|r| r.name.clone())
+        .filter(|member| member.state == MemberState::Suspect)
+        .map(|member| member.name.clone())
         .collect()
 }
 
-fn dead(net: &SimulatedNetwork) -> Vec<String> {
-    let views = net.nodes.iter().flatten().flat_map(|n| n.0.others());
+fn not_live(net: &NetworkState) -> Vec<String> {
+    let views = net.nodes.iter().flatten().flat_map(|node| node.0.others());
     views
-        .filter(|r| !r.state.is_live())
-        .map(|r| r.name.clone())
+        .filter(|member| !member.state.is_live())
+        .map(|member| member.name.clone())
         .collect()
 }
 
-fn check(what: &str, bounds: Bounds) {
-    let steps = bounds.steps;
-    let (losses, quiet) = (bounds.losses, bounds.losses == 2);
-    let checker = bounds.checker().threads(4).spawn_bfs().join();
+fn check(title: &str, scenario: Scenario) {
+    let (max_steps, max_losses) = (scenario.max_steps, scenario.max_losses);
+    let expects_suspicion = max_losses != 2;
+    let checker = scenario.checker().threads(4).spawn_bfs().join();
     println!(
-        "{what}: {} states within {steps} steps and {losses} losses",
+        "{title}: {} states within {max_steps} steps and {max_losses} losses",
         checker.unique_state_count()
     );
-    for found in [
-        "a refuted suspicion",
-        "none that runs",
-        "two lost datagrams",
-        "one that",
-    ] {
-        let broken = checker
-            .discoveries()
-            .into_iter()
-            .find(|(name, _)| name.starts_with(found));
-        if let Some((name, path)) = broken {
-            let last = path.last_state().clone();
-            panic!(
-                "{what}: {name}: broken after {:?}; views {:?}",
-                path.into_actions(),
-                last.nodes
-            );
-        }
+    let mut discoveries = checker.discoveries();
+    let suspected = discoveries.remove(SOME_SUSPICION).is_some();
+    // All other properties are to hold always, so their discoveries are violations.
+    if let Some((name, path)) = discoveries.into_iter().next() {
+        let last = path.last_state().clone();
+        panic!(
+            "{title}: {name}: violated after {:?}; views {:?}",
+            path.into_actions(),
+            last.nodes
+        );
     }
-    let suspected = checker.discovery("somebody is suspected").is_some();
-    assert!(suspected != quiet, "{what}: nothing was put to the test");
+    assert_eq!(suspected, expects_suspicion, "{title}: {SOME_SUSPICION}");
 }
 
-fn calm() -> Bounds {
-    Bounds {
-        steps: 13,
-        losses: 0,
-        split: 0..0,
+fn without_failures() -> Scenario {
+    Scenario {
+        max_steps: 13,
+        max_losses: 0,
+        partition: 0..0,
         deaf: 0..0,
-        dies: None,
+        crash_step: None,
         any_order: true,
-        settles: 16,
+        settling_steps: 16,
     }
 }
 
 #[test]
-fn two_lost_datagrams_in_any_order() {
+fn two_lost_datagrams_cause_no_suspicion() {
     check(
         "two losses",
-        Bounds {
-            losses: 2,
-            settles: 10,
-            ..calm()
+        Scenario {
+            max_losses: 2,
+            settling_steps: 10,
+            ..without_failures()
         },
     );
 }
 
 #[test]
-fn a_crash_and_one_lost_datagram() {
+fn a_crashed_member_is_seen_as_dead_despite_a_lost_datagram() {
     check(
-        "a death",
-        Bounds {
-            steps: 20,
-            losses: 1,
-            dies: Some(2),
-            ..calm()
+        "a crash",
+        Scenario {
+            max_steps: 20,
+            max_losses: 1,
+            crash_step: Some(2),
+            ..without_failures()
         },
     );
 }
@@ -378,23 +378,23 @@
 fn a_member_without_incoming_datagrams_refutes_its_suspicion() {
     check(
         "a deaf member",
-        Bounds {
-            steps: 24,
+        Scenario {
+            max_steps: 24,
             deaf: 2..7,
-            ..calm()
+            ..without_failures()
         },
     );
 }
 
 #[test]
-fn two_halves_that_declared_each_other_dead_merge_again() {
+fn the_sides_of_a_healed_partition_know_each_other_again() {
     check(
-        "a split",
-        Bounds {
-            steps: 36,
-            split: 2..18,
+        "a partition",
+        Scenario {
+            max_steps: 36,
+            partition: 2..18,
             any_order: false,
-            ..calm()
+            ..without_failures()
         },
     );
 }
