--- a/crates/peers/tests/gossip/generators.rs
+++ b/crates/peers/tests/gossip/generators.rs
@@ -1,4 +1,4 @@
-//! Digests for the tests, and generators of them for property tests.
+//! Digests for the tests, and generators of digests for the property tests.
 
 use martenlatch_peers::latency_sketch::LatencySketch;
 use martenlatch_peers::partner_knowledge::{Digest, ReportedOutage};
@@ -14,17 +14,17 @@
     }
 }
 
-/// Numbers for an endpoint list that has every destination.
-pub fn listed(_: u64, _: Option<&str>) -> Option<Option<EndpointId>> {
+/// Maps endpoint names to numbers as for an endpoint list with all destinations and no single endpoints.
+pub fn all_listed(_: u64, _: Option<&str>) -> Option<Option<EndpointId>> {
     Some(None)
 }
 
-/// A digest that was received.
+/// A digest, with its reporter and the time at which it was received.
 #[derive(Clone, Debug)]
 pub struct Received {
     pub reporter: String,
     pub digest: Digest,
-    pub at: f64,
+    pub received_at: f64,
 }
 
 fn any_outage() -> impl Strategy<Value = Option<ReportedOutage>> {
@@ -32,15 +32,15 @@
         Just(None),
         Just(Some(ReportedOutage::Unresponsive)),
         Just(Some(ReportedOutage::Rejecting)),
-        (0u32..20).prop_map(|s| Some(ReportedOutage::Recovering {
-            since: s as f32 * 500.0
+        (0u32..20).prop_map(|half_seconds| Some(ReportedOutage::Recovering {
+            since: half_seconds as f32 * 500.0
         })),
     ]
 }
 
-/// Any received digest, of few reporters and destinations, so that they meet.
+/// Any received digest, from few reporters and on few destinations, so that digests on the same route are common.
 pub fn any_received() -> impl Strategy<Value = Received> {
-    let reporter = (0u8..4).prop_map(|t| format!("t{t}"));
+    let reporter = (0u8..4).prop_map(|number| format!("reporter-{number}"));
     let latencies = prop::collection::vec(1.0f64..60_000.0, 0..6);
     (
         reporter,
@@ -53,11 +53,20 @@
         0u32..8,
     )
         .prop_map(
-            |(reporter, destination, age, wait, outage, latencies, limit, at)| {
+            |(
+                reporter,
+                destination,
+                age,
+                retry_after,
+                outage,
+                latencies,
+                rate_limit,
+                received_at,
+            )| {
                 let digest = Digest {
                     age: age as f32 * 1_000.0,
-                    retry_after: wait as f32 * 700.0,
-                    rate_limit: limit.map(|l| l as f32),
+                    retry_after: retry_after as f32 * 700.0,
+                    rate_limit: rate_limit.map(|limit| limit as f32),
                     latency: LatencySketch::from_latencies(latencies),
                     outage,
                     ..digest(destination)
@@ -65,7 +74,7 @@
                 Received {
                     reporter,
                     digest,
-                    at: 10_000.0 + f64::from(at) * 1_000.0,
+                    received_at: 10_000.0 + f64::from(received_at) * 1_000.0,
                 }
             },
         )
--- a/crates/peers/tests/gossip/main.rs
+++ b/crates/peers/tests/gossip/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the gossip about partners, and of the wire format that it shares with the membership protocol.
+//! Tests of the gossip about partners, and of the wire format, which it shares with the membership protocol.
 
 mod generators;
 mod partner_knowledge;
--- a/crates/peers/tests/gossip/wire.rs
+++ b/crates/peers/tests/gossip/wire.rs
@@ -1,4 +1,4 @@
-//! The wire format: damaged, truncated and foreign bytes, and the bounds on sizes.
+//! Tests of the wire format: damaged, truncated and arbitrary bytes, and the limits on sizes.
 
 use crate::generators::{any_received, digest};
 use martenlatch_peers::latency_sketch::LatencySketch;
@@ -19,25 +19,27 @@
     }
 
     #[test]
-    fn a_damaged_or_truncated_page_is_rejected(
-        received in prop::collection::vec(any_received(), 0..4), at in any::<prop::sample::Index>(), flip in 1u8..=255,
+    fn a_damaged_truncated_or_unauthenticated_page_is_rejected(
+        received in prop::collection::vec(any_received(), 0..4),
+        position in any::<prop::sample::Index>(),
+        flipped_bits in 1u8..=255,
     ) {
         let secret = Secret::new(b"ours");
-        let digests: Vec<Digest> = received.into_iter().map(|r| r.digest).collect();
+        let digests: Vec<Digest> = received.into_iter().map(|received| received.digest).collect();
         let page = Page::Digests { request_id: 7, index: 0, digests };
         let bytes = secret.seal_page(&page);
         prop_assert_eq!(secret.open_page(&bytes), Ok((page, bytes.len())));
-        let at = at.index(bytes.len());
-        prop_assert_eq!(secret.open_page(&bytes[..at]), Err(FrameError::Incomplete));
-        let mut spoilt = bytes.clone();
-        spoilt[at] ^= flip;
-        prop_assert!(secret.open_page(&spoilt).is_err());
+        let position = position.index(bytes.len());
+        prop_assert_eq!(secret.open_page(&bytes[..position]), Err(FrameError::Incomplete));
+        let mut damaged = bytes.clone();
+        damaged[position] ^= flipped_bits;
+        prop_assert!(secret.open_page(&damaged).is_err());
         prop_assert_eq!(Secret::new(b"theirs").open_page(&bytes), Err(FrameError::NotAuthenticated));
     }
 }
 
 #[test]
-fn the_largest_page_and_datagram_fit() {
+fn the_largest_page_and_datagram_are_within_their_limits() {
     use martenlatch_peers::membership::{
         Datagram, MAX_NAME_BYTES, MAX_UPDATES, MemberState, MemberUpdate, Payload,
     };
@@ -87,7 +89,7 @@
 }
 
 #[test]
-fn another_version_and_an_excessive_length_are_reported() {
+fn an_unsupported_version_is_rejected_and_an_excessive_length_before_the_frame_is_complete() {
     let secret = Secret::new(b"ours");
     let mut bytes = secret.seal_page(&Page::End {
         request_id: 1,
@@ -102,45 +104,55 @@
     assert_eq!(
         secret.open_page(&bytes),
         Err(FrameError::TooLong),
-        "before more of it is waited for"
+        "rejected without waiting for the rest of the frame"
     );
 }
 
 #[test]
-fn an_interrupted_response_keeps_its_digests_and_is_incomplete() {
-    let mut asking = PageAssembler::new(9);
-    let page = |page: u32| Page::Digests {
+fn pages_out_of_order_are_rejected_and_a_response_is_complete_at_its_last_page() {
+    let mut assembler = PageAssembler::new(9);
+    let page = |index: u32| Page::Digests {
         request_id: 9,
-        index: page,
-        digests: vec![digest(page.into())],
+        index,
+        digests: vec![digest(index.into())],
     };
-    assert_eq!(asking.accept(page(0)).map(|t| t.len()), Some(1));
-    assert_eq!(asking.accept(page(2)), None, "a page is missing");
     assert_eq!(
-        asking.accept(Page::Digests {
+        assembler.accept(page(0)).map(|digests| digests.len()),
+        Some(1)
+    );
+    assert_eq!(
+        assembler.accept(page(2)),
+        None,
+        "the page before it is missing"
+    );
+    assert_eq!(
+        assembler.accept(Page::Digests {
             request_id: 8,
             index: 1,
             digests: vec![]
         }),
         None,
-        "of another asking"
+        "the response to another request"
     );
     assert_eq!(
-        asking.accept(Page::End {
+        assembler.accept(Page::End {
             request_id: 9,
             page_count: 5
         }),
         None
     );
-    assert!(!asking.is_complete());
-    assert_eq!(asking.accept(page(1)).map(|t| t.len()), Some(1));
+    assert!(!assembler.is_complete());
+    assert_eq!(
+        assembler.accept(page(1)).map(|digests| digests.len()),
+        Some(1)
+    );
     assert!(
-        asking
+        assembler
             .accept(Page::End {
                 request_id: 9,
                 page_count: 2
             })
             .is_some()
-            && asking.is_complete()
+            && assembler.is_complete()
     );
 }
