--- a/crates/sender/src/peer_service/datagrams.rs
+++ b/crates/sender/src/peer_service/datagrams.rs
@@ -1,4 +1,4 @@
-//! Carries the datagrams of the membership protocol, and logs the changes of the membership.
+//! Sends and receives the datagrams of the membership protocol, and logs the changes of the membership.
 
 use std::io::ErrorKind;
 
@@ -9,19 +9,20 @@
 
 use super::PeerService;
 
-/// Datagrams read in one round at most, so that a flood does not stall the event loop.
+/// Maximum number of datagrams that are read in one round, so that a flood does not stall the event loop.
 const MAX_DATAGRAMS_PER_ROUND: usize = 64;
 
 impl PeerService {
-    /// Reads datagrams; returns true if there may be more.
+    /// Reads datagrams. Returns true if there may be more to read.
     pub(super) fn receive_datagrams(&mut self, now: Millis) -> bool {
-        // One byte more than allowed, so that a datagram that is too long shows.
+        // One byte more than allowed, so that a datagram that is too long can be recognized.
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         for _ in 0..MAX_DATAGRAMS_PER_ROUND {
             match self.sockets.udp.recv_from(&mut bytes) {
                 Ok((length, _)) => self.handle_datagram(&bytes[..length], now),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return false,
-                // The system reports that an earlier datagram of this sender met a closed port. Others may follow.
+                // Such an error reports that an earlier datagram of this sender reached a closed port. There may be more
+                // datagrams to read.
                 Err(_) => {}
             }
         }
@@ -38,7 +39,7 @@
     /// Sends the datagrams of the membership protocol, and logs the changes of the membership.
     pub(super) fn send_datagrams(&mut self) {
         for (to, datagram) in self.membership.take_outgoing() {
-            // An error is the same as a lost datagram, which the protocol tolerates.
+            // An error has the same effect as a lost datagram, which the protocol tolerates.
             let _ = self
                 .sockets
                 .udp
--- a/crates/sender/src/peer_service/error.rs
+++ b/crates/sender/src/peer_service/error.rs
@@ -1,10 +1,11 @@
-//! Why a sender cannot connect to its peers. `Display` is the line that the user reads; it names the field and file.
+//! The errors of opening the peer service. `Display` is the line that the user sees. It names the field, and the file if
+//! there is one.
 
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why a sender cannot connect to its peers.
+/// Why the peer service cannot be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum PeerServiceError {
     /// The file with the shared secret cannot be read.
@@ -12,23 +13,23 @@
     ReadSecret {
         /// The file.
         file: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The shared secret is too short.
-    #[error("peers.secret_file: {}: at least {least} bytes are wanted", file.display())]
+    #[error("peers.secret_file: {}: the secret must have at least {min_bytes} bytes", file.display())]
     ShortSecret {
         /// The file.
         file: PathBuf,
-        /// The least length in bytes.
-        least: usize,
+        /// The minimum length in bytes.
+        min_bytes: usize,
     },
-    /// The address for datagrams and connections cannot be listened on.
+    /// The address for datagrams and connections cannot be bound.
     #[error("peers.listen: cannot bind {address}: {source}")]
     Bind {
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
--- a/crates/sender/src/peer_service/gossip.rs
+++ b/crates/sender/src/peer_service/gossip.rs
@@ -1,5 +1,5 @@
-//! The exchange of knowledge with the decision module: its own observations become digests for peers, and what peers
-//! observed becomes gossip for it.
+//! The exchange of knowledge with the decision module: its own observations are converted to digests for peers, and the
+//! observations of peers are passed to it as gossip.
 
 use martenlatch_clock::{Millis, nanos};
 use martenlatch_peers::partner_knowledge::{Digest, RouteKey};
@@ -11,10 +11,10 @@
 
 use super::PeerService;
 
-/// Gives an endpoint the name that the endpoint list gives it, if it is listed.
+/// Maps an endpoint to its name on the endpoint list, or to `None` if it is not listed.
 pub type EndpointNames<'a> = &'a dyn Fn(EndpointId) -> Option<String>;
 
-/// Where the decision module's list of observations was left, to continue from there.
+/// The position in the decision module's list of observations from which to continue.
 pub(super) type ObservationCursor = (DestinationId, Option<EndpointId>);
 
 /// The decision module's own observations.
@@ -24,15 +24,15 @@
     pub(super) endpoint_names: EndpointNames<'a>,
 }
 
-/// Some of the digests, and where to continue.
+/// One page of digests, and the position from which to continue.
 pub(super) struct DigestPage {
     pub(super) digests: Vec<Digest>,
-    /// None if there are no more.
+    /// `None` if there are no more digests.
     pub(super) next: Option<ObservationCursor>,
 }
 
 impl OwnObservations<'_> {
-    /// The digests after a cursor, or from the first one, as many as one page holds.
+    /// The digests of one page: those after a cursor, or the first ones without a cursor.
     pub(super) fn digests(&self, after: Option<ObservationCursor>, now: Millis) -> DigestPage {
         let (observations, next) =
             self.policy
@@ -56,8 +56,8 @@
 }
 
 impl PeerService {
-    /// What peers know of endpoints that were just listed, as events for the decision module. Each piece of knowledge is
-    /// passed on once.
+    /// The knowledge of peers about endpoints that were just listed, as events for the decision module. The knowledge of
+    /// each route is passed on only once.
     pub fn gossip_events(
         &mut self,
         listed: &[EndpointEntry],
@@ -75,23 +75,26 @@
         routes.dedup();
         routes
             .into_iter()
-            .filter_map(|route| self.gossip_on(route, endpoint_names, now))
+            .filter_map(|route| self.gossip_event(route, endpoint_names, now))
             .collect()
     }
 
     fn route(&self, entry: &EndpointEntry) -> Route {
-        let per_endpoint = self.is_per_endpoint(entry.kind);
+        let per_endpoint = self.has_limits_per_endpoint(entry.kind);
         Route {
             destination: entry.destination,
             endpoint: per_endpoint.then_some(entry.endpoint),
         }
     }
 
-    fn is_per_endpoint(&self, kind: KindId) -> bool {
-        self.per_endpoint.get(kind.0).copied().unwrap_or(false)
+    fn has_limits_per_endpoint(&self, kind: KindId) -> bool {
+        self.limits_per_endpoint
+            .get(kind.0)
+            .copied()
+            .unwrap_or(false)
     }
 
-    fn gossip_on(
+    fn gossip_event(
         &mut self,
         route: Route,
         endpoint_names: EndpointNames,
--- a/crates/sender/src/peer_service/mod.rs
+++ b/crates/sender/src/peer_service/mod.rs
@@ -1,9 +1,9 @@
-//! The connection of this sender to its peers, the other senders: UDP datagrams for the group membership, and TCP
-//! connections for what they know of partners. Off unless the settings name an address to listen on.
+//! Communication with this sender's peers, the other senders: group membership by UDP datagrams, and queries about
+//! partners over TCP connections. It is disabled unless the settings contain an address to listen on.
 //!
-//! At its start a sender queries some seeds for what they have observed (`seed_queries`), and tells its decision
-//! module of each partner once it is listed (`gossip`). It serves such queries itself (`page_server`), and saves its
-//! own observations for its next start (`snapshot_writer`).
+//! When a sender starts, it queries some seeds for their observations of partners (`seed_queries`). It passes these to its
+//! decision module as soon as the partner is listed (`gossip`). It serves such queries of other senders (`page_server`),
+//! and saves its own observations for its next start (`snapshot_writer`).
 
 mod datagrams;
 mod error;
@@ -36,25 +36,25 @@
 use snapshot_writer::SnapshotWriter;
 use sockets::Sockets;
 
-/// Buffers for all connections: each may hold one for input and one for output.
-const BUFFERS: usize = 2 * (page_server::MAX_CONNECTIONS + seed_queries::MAX_QUERIES);
-/// How long a ping may go without an ack, as a part of the protocol period.
+/// Number of buffers for all connections: each connection uses up to one for input and one for output.
+const BUFFER_COUNT: usize = 2 * (page_server::MAX_CONNECTIONS + seed_queries::MAX_QUERIES);
+/// How long to wait for the ack of a ping, in protocol periods.
 const ACK_TIMEOUT_PERIODS: f64 = 0.3;
-/// What was learned at the start is dropped after so many half-lives: it weighs nothing any more.
+/// The number of half-lives after which the knowledge from the start is dropped, because its weight is negligible.
 const KNOWLEDGE_HALF_LIVES: f64 = 4.0;
 
-/// The other senders, as this one knows them.
+/// The membership of this sender in its group, and the exchange of knowledge with its peers.
 pub struct PeerService {
     settings: program::Peers,
     secret: Secret,
     sockets: Sockets,
     membership: Membership,
-    /// What was learned from peers, or from the snapshot of an earlier process, and not yet passed to the decision
+    /// Knowledge from peers, or from the snapshot of an earlier process, that was not yet passed to the decision
     /// module.
     knowledge: PartnerKnowledge,
     bounds: Bounds,
     /// For each kind of destination, whether limits apply to each endpoint separately.
-    per_endpoint: Vec<bool>,
+    limits_per_endpoint: Vec<bool>,
     seed_queries: SeedQueries,
     page_server: PageServer,
     snapshot_writer: SnapshotWriter,
@@ -63,17 +63,17 @@
 }
 
 impl PeerService {
-    /// Listens, reads the snapshot of an earlier process from `folder`, joins the group, and queries the seeds.
-    /// `per_endpoint` says for each kind of destination whether limits apply to each endpoint separately.
+    /// Binds the sockets, reads the snapshot of an earlier process from `folder`, joins the group, and queries the seeds.
+    /// `limits_per_endpoint` states for each kind of destination whether limits apply to each endpoint separately.
     ///
     /// # Errors
-    /// If the shared secret cannot be read, or the address to listen on cannot be bound.
+    /// If the shared secret cannot be read or is too short, or if the address to listen on cannot be bound.
     pub fn open(
         settings: &program::Peers,
         name: &str,
         folder: &Path,
-        per_endpoint: Vec<bool>,
-        seed: u64,
+        limits_per_endpoint: Vec<bool>,
+        rng_seed: u64,
         handle: &Handle,
         now: Millis,
     ) -> Result<PeerService, PeerServiceError> {
@@ -87,15 +87,15 @@
         let (mut snapshot_writer, snapshot) = SnapshotWriter::open(folder, settings.keep, now);
         let knowledge = snapshot_writer.restore(&snapshot, now, &bounds);
         let incarnation = snapshot_writer.begin_incarnation(snapshot, now);
-        let membership = join(settings, name, incarnation, seed, now);
+        let membership = join_group(settings, name, incarnation, rng_seed, now);
         let local = membership.local();
         info!(
             name = %local.name, address = %settings.listen, incarnation = local.incarnation,
             restored = knowledge.len(), seeds = settings.seeds.len(), "peers started"
         );
-        let pool = BufferPool::new(BUFFERS);
-        let mut peers = PeerService {
-            seed_queries: SeedQueries::new(settings, local.name.clone(), seed, handle, &pool),
+        let pool = BufferPool::new(BUFFER_COUNT);
+        let mut service = PeerService {
+            seed_queries: SeedQueries::new(settings, local.name.clone(), rng_seed, handle, &pool),
             page_server: PageServer::new(handle, &pool),
             settings: settings.clone(),
             secret,
@@ -103,22 +103,23 @@
             membership,
             knowledge,
             bounds,
-            per_endpoint,
+            limits_per_endpoint,
             snapshot_writer,
             started_at: now,
             rejections: Rejections::default(),
         };
-        peers.seed_queries.start(&peers.secret);
-        peers.send_datagrams();
-        Ok(peers)
+        service.seed_queries.start(&service.secret);
+        service.send_datagrams();
+        Ok(service)
     }
 
-    /// Whether a query to a seed runs, and there is time left for it. If no seed responds it is over at once.
+    /// Whether a query to a seed is running and the time for learning has not passed. As soon as no seed is left to query,
+    /// this is false.
     pub fn is_learning(&self, now: Millis) -> bool {
         now < self.started_at + self.settings.learn_ms && self.seed_queries.is_running()
     }
 
-    /// Ends the queries to the seeds, and logs what was learned.
+    /// Ends the queries to the seeds, and logs how much was learned.
     pub fn finish_learning(&mut self, now: Millis) {
         self.seed_queries.abort();
         let took_ms = (now - self.started_at) as u64;
@@ -130,7 +131,7 @@
         );
     }
 
-    /// When [`PeerService::run_due`] has something to do next.
+    /// The time by which [`PeerService::run_due`] must be called next.
     pub fn next_deadline(&self) -> Millis {
         if self.page_server.can_send() || self.snapshot_writer.is_gathering() {
             return 0.0;
@@ -141,7 +142,7 @@
             .fold(f64::INFINITY, f64::min)
     }
 
-    /// Reads what a socket has received. Returns true if there may be more to read.
+    /// Reads from a socket that is ready. Returns true if there may be more to read.
     pub fn on_ready(&mut self, source: EventSource, now: Millis) -> bool {
         match source {
             EventSource::PeerDatagrams => self.receive_datagrams(now),
@@ -149,25 +150,24 @@
                 self.page_server
                     .accept(&self.sockets.listener, now, &mut self.rejections)
             }
-            EventSource::PeerConnection(key) => {
+            EventSource::PeerConnection(index) => {
                 self.page_server
-                    .receive(key, &self.secret, &mut self.rejections)
+                    .receive(index, &self.secret, &mut self.rejections)
             }
-            EventSource::SeedQuery(slot) => {
+            EventSource::SeedQuery(index) => {
                 let learning = Learning {
                     knowledge: &mut self.knowledge,
                     bounds: &self.bounds,
                     now,
                 };
-                self.seed_queries.receive(slot, &self.secret, learning)
+                self.seed_queries.receive(index, &self.secret, learning)
             }
             _ => false,
         }
     }
 
-    /// Does what is due: the membership protocol, the next page of each response, and the snapshot. `observed` is
-    /// absent while this sender itself still queries its seeds: it has observed nothing yet, and its responses are
-    /// empty.
+    /// Runs what is due: the membership protocol, the next page of each response, and the snapshot. `observed` is `None`
+    /// while this sender still queries its own seeds: it has no observations yet, and its responses are empty.
     pub fn run_due(&mut self, now: Millis, observed: Option<(&Policy, EndpointNames)>) {
         let observed = observed.map(|(policy, endpoint_names)| OwnObservations {
             policy,
@@ -189,7 +189,8 @@
         }
     }
 
-    /// Prepares for the end of this process: leaves the group, and makes the next [`PeerService::run_due`] save a snapshot.
+    /// Prepares for the end of this process: leaves the group, and lets the next [`PeerService::run_due`] begin to save a
+    /// snapshot.
     pub fn leave(&mut self) {
         self.snapshot_writer.save_soon();
         self.membership.leave();
@@ -212,14 +213,14 @@
     }
 }
 
-fn join(
+fn join_group(
     settings: &program::Peers,
     name: &str,
     incarnation: u64,
     rng_seed: u64,
     now: Millis,
 ) -> Membership {
-    let protocol = Settings {
+    let membership_settings = Settings {
         period: settings.period_ms,
         ack_timeout: settings.period_ms * ACK_TIMEOUT_PERIODS,
         suspicion_periods: settings.suspect_periods,
@@ -230,7 +231,7 @@
         settings.listen,
         incarnation,
         &settings.seeds,
-        protocol,
+        membership_settings,
         rng_seed,
         now,
     );
--- a/crates/sender/src/peer_service/page_server.rs
+++ b/crates/sender/src/peer_service/page_server.rs
@@ -1,4 +1,4 @@
-//! Serves queries over connections: by senders that start, for this sender's own observations; and by operators, for
+//! Serves queries over TCP connections: starting senders request this sender's own observations, and operators request
 //! the members of the group.
 
 use std::io::ErrorKind;
@@ -14,37 +14,37 @@
 use super::rejections::Rejections;
 use crate::event_source::{Connection, EventSource, Handle};
 
-/// Connections served at a time, and accepted in one round.
+/// Maximum number of connections that are served at a time, and of those accepted in one round.
 pub(super) const MAX_CONNECTIONS: usize = 4;
-/// A connection without a request by then is closed.
+/// A connection is closed if its request has not arrived within this time after it was accepted.
 const REQUEST_TIMEOUT: Millis = 1_000.0;
-/// A connection whose peer has not taken the whole response by then is closed; counted from its start.
+/// A connection is closed if its whole response has not been sent within this time after it was accepted.
 const RESPONSE_TIMEOUT: Millis = 10_000.0;
 
-/// One connection that carries one request and its response.
+/// A connection, which carries one request and its response.
 struct ServedConnection {
     connection: Connection,
     accepted_at: Millis,
-    /// From the request on.
+    /// The response; `None` until the request was read.
     response: Option<Response>,
-    /// The request was rejected.
+    /// Whether the request was rejected.
     rejected: bool,
 }
 
-/// How far a response has come.
+/// The progress of a response.
 struct Response {
     request_id: u64,
     content: Content,
     /// The index of the next page.
-    next_page: u32,
-    /// The last page has been queued.
+    next_index: u32,
+    /// Whether the last page has been queued.
     complete: bool,
 }
 
-/// What was requested.
+/// The kind of content that was requested.
 #[derive(Clone, Copy)]
 enum Content {
-    /// This sender's own observations; the next page begins after the cursor.
+    /// This sender's own observations. The next page begins after the cursor.
     Digests(Option<ObservationCursor>),
     /// The members of the group.
     Members,
@@ -55,12 +55,12 @@
         Response {
             request_id,
             content,
-            next_page: 0,
+            next_index: 0,
             complete: false,
         }
     }
 
-    /// The next page; the last one is [`Page::End`].
+    /// Takes the next page. The last one is [`Page::End`].
     fn next_page(
         &mut self,
         membership: &Membership,
@@ -75,10 +75,10 @@
             self.complete = true;
             Page::End {
                 request_id: self.request_id,
-                page_count: self.next_page,
+                page_count: self.next_index,
             }
         });
-        self.next_page += 1;
+        self.next_index += 1;
         page
     }
 
@@ -88,49 +88,50 @@
         observed: Option<OwnObservations>,
         now: Millis,
     ) -> Option<Page> {
-        let has_more = self.next_page == 0 || after.is_some();
+        let has_more = self.next_index == 0 || after.is_some();
         let observed = observed.filter(|_| has_more)?;
         let page = observed.digests(after, now);
         self.content = Content::Digests(page.next);
         Some(Page::Digests {
             request_id: self.request_id,
-            index: self.next_page,
+            index: self.next_index,
             digests: page.digests,
         })
     }
 
     fn members_page(&self, membership: &Membership) -> Option<Page> {
-        let all = std::iter::once(membership.local()).chain(membership.others());
-        let sent = self.next_page as usize * MAX_MEMBERS_PER_PAGE;
-        let page = all.skip(sent).take(MAX_MEMBERS_PER_PAGE);
+        let all_members = std::iter::once(membership.local()).chain(membership.others());
+        let sent = self.next_index as usize * MAX_MEMBERS_PER_PAGE;
+        let page = all_members.skip(sent).take(MAX_MEMBERS_PER_PAGE);
         let members: Vec<_> = page.cloned().collect();
         (!members.is_empty()).then_some(Page::Members {
             request_id: self.request_id,
-            index: self.next_page,
+            index: self.next_index,
             members,
         })
     }
 }
 
 impl ServedConnection {
-    fn timeout(&self) -> Millis {
-        let limit = if self.response.is_some() {
+    /// The time at which the connection times out.
+    fn times_out_at(&self) -> Millis {
+        let timeout = if self.response.is_some() {
             RESPONSE_TIMEOUT
         } else {
             REQUEST_TIMEOUT
         };
-        self.accepted_at + limit
+        self.accepted_at + timeout
     }
 
     fn is_finished(&self, now: Millis) -> bool {
         let complete = self.response.as_ref().is_some_and(|r| r.complete);
-        now > self.timeout()
+        now > self.times_out_at()
             || self.rejected
             || self.connection.broken
             || (complete && self.connection.is_flushed())
     }
 
-    /// The response, if its next page can be queued: earlier ones have been written.
+    /// The response, if its next page can be queued because all earlier pages have been written.
     fn sendable_response(&mut self) -> Option<&mut Response> {
         let flushed = self.connection.is_flushed();
         self.response.as_mut().filter(|r| flushed && !r.complete)
@@ -141,7 +142,7 @@
         self.connection.is_flushed() && response.is_some_and(|r| !r.complete)
     }
 
-    /// Reads the request from what was received; none if more has to be received first.
+    /// Reads the request from the received bytes. Returns `None` if more bytes are needed.
     fn read_request(&self, secret: &Secret) -> Result<Option<Response>, FrameError> {
         match secret.open_page(self.connection.bytes()) {
             Ok((Page::DigestsRequest { request_id, .. }, _)) => {
@@ -175,22 +176,24 @@
         }
     }
 
-    /// Number of digests sent so far.
+    /// The number of digests sent so far.
     pub(super) fn digests_sent(&self) -> u64 {
         self.digests_sent
     }
 
-    /// Whether a page can be sent at once.
+    /// Whether any connection can send a page now.
     pub(super) fn can_send(&self) -> bool {
         self.connections.iter().any(|(_, served)| served.can_send())
     }
 
-    /// When each connection is given up.
+    /// The times at which the connections time out.
     pub(super) fn timeouts(&self) -> impl Iterator<Item = Millis> {
-        self.connections.iter().map(|(_, served)| served.timeout())
+        self.connections
+            .iter()
+            .map(|(_, served)| served.times_out_at())
     }
 
-    /// Accepts connections; returns true if there may be more.
+    /// Accepts connections. Returns true if there may be more.
     pub(super) fn accept(
         &mut self,
         listener: &TcpListener,
@@ -221,14 +224,14 @@
         true
     }
 
-    /// Reads what a connection has received; returns true if there may be more to read.
+    /// Reads from a connection. Returns true if there may be more to read.
     pub(super) fn receive(
         &mut self,
-        key: usize,
+        index: usize,
         secret: &Secret,
         rejections: &mut Rejections,
     ) -> bool {
-        let Some(served) = self.connections.get_mut(key) else {
+        let Some(served) = self.connections.get_mut(index) else {
             return false;
         };
         let may_have_more = served.connection.receive();
@@ -243,14 +246,14 @@
                 }
             }
         }
-        // A connection carries one request; what follows it is ignored.
-        let received = served.connection.bytes().len();
-        served.connection.consume(received);
+        // A connection carries one request. Bytes that follow it are ignored.
+        let received_length = served.connection.bytes().len();
+        served.connection.consume(received_length);
         served.connection.flush();
         may_have_more && !served.connection.broken
     }
 
-    /// Closes connections that are finished, and sends each of the others its next page.
+    /// Closes finished connections, and sends the next page on each of the others.
     pub(super) fn run_due(
         &mut self,
         secret: &Secret,
@@ -258,13 +261,13 @@
         observed: Option<OwnObservations>,
         now: Millis,
     ) {
-        for key in 0..MAX_CONNECTIONS {
-            let Some(served) = self.connections.get_mut(key) else {
+        for index in 0..MAX_CONNECTIONS {
+            let Some(served) = self.connections.get_mut(index) else {
                 continue;
             };
             served.connection.flush();
             if served.is_finished(now) {
-                self.connections.remove(key);
+                self.connections.remove(index);
                 continue;
             }
             let Some(response) = served.sendable_response() else {
--- a/crates/sender/src/peer_service/rejections.rs
+++ b/crates/sender/src/peer_service/rejections.rs
@@ -1,17 +1,17 @@
-//! Counts of what was rejected, by reason.
+//! Counters of rejected datagrams, requests and connections, by reason.
 
 use martenlatch_peers::wire::FrameError;
 
-/// How many datagrams, requests and connections were rejected.
+/// The numbers of rejected datagrams, requests and connections.
 #[derive(Default)]
 pub(super) struct Rejections {
-    /// Not authenticated with the shared secret.
+    /// Datagrams and requests that are not authenticated with the shared secret.
     pub(super) unauthenticated: u64,
-    /// Of another version of the wire format.
+    /// Datagrams and requests in another version of the wire format.
     pub(super) other_version: u64,
-    /// Malformed in another way.
+    /// Datagrams and requests that are malformed in another way.
     pub(super) malformed: u64,
-    /// Connections over their limit.
+    /// Connections beyond the limit on concurrent connections.
     pub(super) connections: u64,
 }
 
--- a/crates/sender/src/peer_service/seed_queries.rs
+++ b/crates/sender/src/peer_service/seed_queries.rs
@@ -1,5 +1,5 @@
-//! Queries a starting sender's seeds for what they have observed of partners. Some queries run at a time; a query that
-//! fails is followed by one to the next seed.
+//! Queries to the seeds of a starting sender for their observations of partners. A few queries run at a time, and one that
+//! fails is followed by a query to the next seed.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -13,10 +13,10 @@
 
 use crate::event_source::{Connection, EventSource, Handle};
 
-/// Queries that run at a time.
+/// Maximum number of queries that run at a time.
 pub(super) const MAX_QUERIES: usize = 3;
 
-/// A query that runs.
+/// A running query.
 struct Query {
     connection: Connection,
     pages: PageAssembler,
@@ -26,24 +26,24 @@
 /// Why a query failed.
 #[derive(Debug, thiserror::Error)]
 enum QueryError {
-    #[error("out of order")]
+    #[error("the pages of the response are out of order")]
     OutOfOrder,
-    #[error("not connected, or closed")]
+    #[error("the connection failed or was closed")]
     Closed,
-    #[error("not authenticated with our secret")]
+    #[error("the response is not authenticated with the shared secret")]
     Unauthenticated,
-    #[error("malformed")]
+    #[error("the response is malformed")]
     Malformed,
 }
 
-/// How far a query has come.
+/// Whether the response to a query is complete.
 #[derive(PartialEq, Eq)]
 enum Progress {
     Incomplete,
     Complete,
 }
 
-/// Where the digests in a response go.
+/// The store for the digests of a response, with the bounds and the time at which they are added.
 pub(super) struct Learning<'a> {
     pub(super) knowledge: &'a mut PartnerKnowledge,
     pub(super) bounds: &'a Bounds,
@@ -51,32 +51,33 @@
 }
 
 impl Learning<'_> {
-    /// Takes the digests of one page; returns how many of them were accepted.
+    /// Adds the digests of one page. Returns the number of digests that were accepted.
     fn add_digests(&mut self, reporter: &str, digests: &[Digest]) -> u64 {
         let mut accepted = 0;
         for digest in digests {
-            let heard = self
+            let is_accepted = self
                 .knowledge
                 .add_digest(reporter, digest, self.now, self.bounds);
-            accepted += u64::from(heard);
+            accepted += u64::from(is_accepted);
         }
         accepted
     }
 }
 
-/// The queries that run, and the seeds that were not queried yet.
+/// The running queries, and the seeds that were not queried yet.
 pub(super) struct SeedQueries {
     running: [Option<Query>; MAX_QUERIES],
-    waiting: VecDeque<SocketAddr>,
+    unqueried: VecDeque<SocketAddr>,
     local_name: String,
     handle: Handle,
     pool: BufferPool,
-    last_request: u64,
+    last_request_id: u64,
     digests_received: u64,
 }
 
 impl SeedQueries {
-    /// No query runs yet. `rng_seed` selects the first seed, so that starting senders do not all query the same one.
+    /// Prepares the queries without starting any. `rng_seed` selects the first seed, so that starting senders do not all
+    /// query the same one.
     pub(super) fn new(
         settings: &program::Peers,
         local_name: String,
@@ -85,16 +86,19 @@
         pool: &BufferPool,
     ) -> SeedQueries {
         let seeds = settings.seeds.iter().copied();
-        let mut waiting: VecDeque<SocketAddr> = seeds.filter(|s| *s != settings.listen).collect();
-        let first = (rng_seed as usize).checked_rem(waiting.len()).unwrap_or(0);
-        waiting.rotate_left(first);
+        let mut unqueried: VecDeque<SocketAddr> =
+            seeds.filter(|seed| *seed != settings.listen).collect();
+        let first = (rng_seed as usize)
+            .checked_rem(unqueried.len())
+            .unwrap_or(0);
+        unqueried.rotate_left(first);
         SeedQueries {
             running: [const { None }; MAX_QUERIES],
-            waiting,
+            unqueried,
             local_name,
             handle: handle.clone(),
             pool: pool.clone(),
-            last_request: rng_seed | 1,
+            last_request_id: rng_seed | 1,
             digests_received: 0,
         }
     }
@@ -106,12 +110,12 @@
         }
     }
 
-    /// Whether any query runs.
+    /// Whether any query is running.
     pub(super) fn is_running(&self) -> bool {
         self.running.iter().any(Option::is_some)
     }
 
-    /// Number of digests that were received and accepted.
+    /// The number of digests that were received and accepted.
     pub(super) fn digests_received(&self) -> u64 {
         self.digests_received
     }
@@ -119,35 +123,35 @@
     /// Ends all queries that are not complete.
     pub(super) fn abort(&mut self) {
         for query in self.running.iter_mut().filter_map(Option::take) {
-            warn!(seed = %query.seed, reason = "not complete in time", "seed query failed");
+            warn!(seed = %query.seed, reason = "the response was not complete in time", "seed query failed");
         }
     }
 
-    /// Starts a query to the next seed to which a connection can be opened, if any is left.
+    /// Starts a query to the next seed to which a connection can be opened, if there is one.
     fn start_next(&mut self, slot: usize, secret: &Secret) {
-        while let Some(seed) = self.waiting.pop_front() {
-            self.last_request = self.last_request.wrapping_add(1);
+        while let Some(seed) = self.unqueried.pop_front() {
+            self.last_request_id = self.last_request_id.wrapping_add(1);
             let source = EventSource::SeedQuery(slot);
             let connection = Connection::connect(seed, &self.handle, &self.pool, source);
             let Ok(mut connection) = connection else {
                 continue;
             };
             let request = Page::DigestsRequest {
-                request_id: self.last_request,
+                request_id: self.last_request_id,
                 requester: self.local_name.clone(),
             };
             connection.queue(&secret.seal_page(&request));
             connection.flush();
             self.running[slot] = Some(Query {
                 connection,
-                pages: PageAssembler::new(self.last_request),
+                pages: PageAssembler::new(self.last_request_id),
                 seed,
             });
             return;
         }
     }
 
-    /// Reads what a seed has sent; returns true if there may be more to read.
+    /// Reads from the connection of a query. Returns true if there may be more to read.
     pub(super) fn receive(&mut self, slot: usize, secret: &Secret, mut learning: Learning) -> bool {
         let Some(mut query) = self.running.get_mut(slot).and_then(Option::take) else {
             return false;
@@ -160,7 +164,7 @@
                 self.running[slot] = Some(query);
                 may_have_more
             }
-            // The digests received before count: each is complete by itself.
+            // The digests that were already received are kept, because each is complete by itself.
             Err(error) => {
                 let reason = error.to_string();
                 let digests = self.digests_received;
@@ -189,12 +193,12 @@
     }
 }
 
-/// The name of a seed as a reporter. Its real name is not part of a response.
+/// The name under which the digests of a query's seed are stored. A response does not contain the seed's own name.
 fn reporter_name(slot: usize) -> String {
     format!("asked {slot}")
 }
 
-/// Takes the next page out of a connection's input; none if more has to be received first.
+/// Takes the next page from the input of a connection. Returns `None` if more bytes are needed.
 fn next_page(connection: &mut Connection, secret: &Secret) -> Result<Option<Page>, QueryError> {
     match secret.open_page(connection.bytes()) {
         Ok((page, length)) => {
--- a/crates/sender/src/peer_service/shared_secret.rs
+++ b/crates/sender/src/peer_service/shared_secret.rs
@@ -6,10 +6,10 @@
 
 use super::PeerServiceError;
 
-/// Least length of the secret, in bytes.
+/// Minimum length of the secret, in bytes.
 const MIN_SECRET_BYTES: usize = 16;
 
-/// Reads the secret that all members share. White space at its ends, such as a line's end, does not count.
+/// Reads the secret that all members share. White space at its ends, such as a line break, is ignored.
 ///
 /// # Errors
 /// If the file cannot be read, or the secret is too short.
@@ -22,7 +22,7 @@
     if bytes.len() < MIN_SECRET_BYTES {
         return Err(PeerServiceError::ShortSecret {
             file: file.into(),
-            least: MIN_SECRET_BYTES,
+            min_bytes: MIN_SECRET_BYTES,
         });
     }
     Ok(Secret::new(bytes))
--- a/crates/sender/src/peer_service/snapshot_writer.rs
+++ b/crates/sender/src/peer_service/snapshot_writer.rs
@@ -1,4 +1,4 @@
-//! Saves this sender's incarnation and own observations at intervals, and restores those of an earlier process.
+//! Saves this sender's incarnation and own observations periodically, and restores those of an earlier process.
 
 use std::path::Path;
 
@@ -11,43 +11,43 @@
 
 /// How often a snapshot is saved.
 const SAVE_INTERVAL: Millis = 10_000.0;
-/// The reporter of observations that an earlier process of this sender made.
+/// The reporter name for observations by an earlier process of this sender.
 const EARLIER_PROCESS: &str = "before";
 
-/// A snapshot that is being gathered, one page a round.
+/// A snapshot that is being gathered, with one page of digests in each round of the event loop.
 #[derive(Default)]
 struct Gathering {
-    after: Option<ObservationCursor>,
+    cursor: Option<ObservationCursor>,
     digests: Vec<Digest>,
 }
 
-/// Saves snapshots.
+/// Saves snapshots periodically.
 pub(super) struct SnapshotWriter {
     file: PeerSnapshotFile,
-    /// Whether observations are saved, and restored. The incarnation always is.
-    enabled: bool,
+    /// Whether observations are saved and restored. The incarnation always is.
+    keeps_observations: bool,
     gathering: Option<Gathering>,
     next_save: Millis,
 }
 
 impl SnapshotWriter {
-    /// Reads the snapshot of an earlier process from a folder.
+    /// Opens the snapshot file in a folder, and reads the snapshot of an earlier process from it.
     pub(super) fn open(
         folder: &Path,
-        enabled: bool,
+        keeps_observations: bool,
         now: Millis,
     ) -> (SnapshotWriter, PeerSnapshot) {
         let (file, snapshot) = PeerSnapshotFile::open(folder, now);
         let writer = SnapshotWriter {
             file,
-            enabled,
+            keeps_observations,
             gathering: None,
             next_save: now + SAVE_INTERVAL,
         };
         (writer, snapshot)
     }
 
-    /// What a restored snapshot says of partners.
+    /// The knowledge of partners in the snapshot of an earlier process.
     pub(super) fn restore(
         &self,
         snapshot: &PeerSnapshot,
@@ -55,18 +55,18 @@
         bounds: &Bounds,
     ) -> PartnerKnowledge {
         let mut knowledge = PartnerKnowledge::default();
-        if self.enabled {
+        if self.keeps_observations {
             for digest in &snapshot.digests {
                 knowledge.add_digest(EARLIER_PROCESS, digest, now, bounds);
             }
-            // A wait that the earlier process was told to keep does not bind this one.
+            // A Retry-After that a partner requested of the earlier process does not bind this one.
             knowledge.clear_retry_after();
         }
         knowledge
     }
 
-    /// Begins and saves a new incarnation, before any other member sees it. If it cannot be saved, the other members
-    /// will make this one raise it.
+    /// Starts a new incarnation, and saves it before any other member sees it. If it cannot be saved, the next process may
+    /// start with an incarnation that other members know already, and raises it when they report that.
     pub(super) fn begin_incarnation(&mut self, snapshot: PeerSnapshot, now: Millis) -> u64 {
         let incarnation = snapshot.incarnation + 1;
         self.save(incarnation, snapshot.digests, now);
@@ -78,21 +78,21 @@
         self.gathering.is_some()
     }
 
-    /// Makes the next [`SnapshotWriter::run_due`] save a snapshot.
+    /// Lets the next [`SnapshotWriter::run_due`] begin to save a snapshot.
     pub(super) fn save_soon(&mut self) {
         self.next_save = 0.0;
     }
 
     /// Gathers the next page of a snapshot that is due, and saves the snapshot once it is complete.
     pub(super) fn run_due(&mut self, observed: OwnObservations, incarnation: u64, now: Millis) {
-        if !self.enabled || (self.gathering.is_none() && now < self.next_save) {
+        if !self.keeps_observations || (self.gathering.is_none() && now < self.next_save) {
             return;
         }
         let mut gathering = self.gathering.take().unwrap_or_default();
-        let page = observed.digests(gathering.after, now);
+        let page = observed.digests(gathering.cursor, now);
         gathering.digests.extend(page.digests);
         if page.next.is_some() && gathering.digests.len() < PeerSnapshotFile::MAX_DIGESTS {
-            gathering.after = page.next;
+            gathering.cursor = page.next;
             self.gathering = Some(gathering);
             return;
         }
--- a/crates/sender/src/peer_service/sockets.rs
+++ b/crates/sender/src/peer_service/sockets.rs
@@ -1,4 +1,4 @@
-//! The two sockets on the address for peers: UDP for the membership, TCP for queries.
+//! The two sockets that listen on the address for peers: UDP for the membership protocol, and TCP for queries.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -9,7 +9,7 @@
 use super::PeerServiceError;
 use crate::event_source::{EventSource, Handle};
 
-/// The sockets, registered with the event loop.
+/// The two sockets, which are registered with the event loop.
 pub(super) struct Sockets {
     pub(super) udp: Rc<UdpSocket>,
     pub(super) listener: Rc<TcpListener>,
--- a/crates/sender/src/peer_snapshot.rs
+++ b/crates/sender/src/peer_snapshot.rs
@@ -1,7 +1,7 @@
-//! The file in the state folder in which a sender keeps its incarnation and its own observations of partners.
+//! The file in the state folder that stores a sender's incarnation and its own observations of partners.
 //!
-//! The file holds [`MAGIC`], a CRC-32 of the rest in little endian, and a [`PeerSnapshot`] encoded by postcard. It is
-//! replaced as a whole, and a file that cannot be read never keeps a sender from starting.
+//! The file contains [`MAGIC`], a CRC-32 of the remaining bytes in little endian, and a [`PeerSnapshot`] encoded by
+//! postcard. It is replaced as a whole. A file that cannot be read never prevents a sender from starting.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -14,19 +14,19 @@
 #[cfg(test)]
 mod tests;
 
-/// The first bytes of the file, with its version.
+/// The first bytes of the file, which include the version of its format.
 const MAGIC: &[u8; 8] = b"mlpeer1\n";
 /// The file's name in the state folder.
 const FILE_NAME: &str = "peers";
 
-/// What an earlier process of this sender has saved.
+/// The state that an earlier process of this sender saved.
 #[derive(Default, Serialize, Deserialize)]
 pub struct PeerSnapshot {
     /// The incarnation of that process.
     pub incarnation: u64,
-    /// When it was saved, in milliseconds of Unix time.
+    /// The time at which the snapshot was saved, in milliseconds of Unix time.
     saved_at: Millis,
-    /// What that process had observed of partners.
+    /// The observations of partners by that process.
     pub digests: Vec<Digest>,
 }
 
@@ -37,16 +37,16 @@
     #[error("{0}")]
     Io(io::Error),
     /// The file does not begin with [`MAGIC`].
-    #[error("not of this version")]
+    #[error("the file does not have the format of this version")]
     OtherVersion,
-    /// The file ends before its checksum.
-    #[error("cut short")]
+    /// The file ends before the end of its checksum.
+    #[error("the file is truncated")]
     Truncated,
     /// The checksum does not match.
-    #[error("damaged")]
+    #[error("the file's checksum does not match")]
     Damaged,
-    /// The checksum matches, but the content does not decode.
-    #[error("malformed")]
+    /// The checksum matches, but the content cannot be decoded.
+    #[error("the file's content cannot be decoded")]
     Malformed,
 }
 
@@ -58,7 +58,7 @@
     Encode {
         /// The file.
         file: PathBuf,
-        /// What the encoder said.
+        /// The error of the encoder.
         source: postcard::Error,
     },
     /// The file cannot be written.
@@ -66,13 +66,13 @@
     Io {
         /// The file.
         file: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
 impl PeerSnapshot {
-    /// Decodes a file, and ages its digests from the time of the snapshot to now.
+    /// Decodes the content of a file, and ages its digests by the time since the snapshot was saved.
     fn decode(bytes: &[u8], now: Millis) -> Result<PeerSnapshot, ReadSnapshotError> {
         let rest = bytes
             .strip_prefix(MAGIC)
@@ -92,7 +92,7 @@
     fn age(&mut self, now: Millis) {
         let elapsed = (now - self.saved_at) as f32;
         if elapsed.is_nan() || elapsed < 0.0 {
-            // The clock was put back, so the age of the digests is unknown.
+            // The clock was set back, so the age of the digests is unknown.
             self.digests.clear();
         }
         for digest in &mut self.digests {
@@ -112,17 +112,17 @@
     }
 }
 
-/// The file of the snapshot.
+/// The snapshot file.
 pub struct PeerSnapshotFile {
     path: PathBuf,
 }
 
 impl PeerSnapshotFile {
-    /// Most digests in a snapshot.
+    /// Maximum number of digests in a snapshot.
     pub const MAX_DIGESTS: usize = 4_096;
 
-    /// Reads the snapshot in a folder, aged to now. If there is none, or it cannot be read, which is logged, it is
-    /// empty.
+    /// Opens the snapshot file in a folder, and reads the snapshot, aged to `now`. The snapshot is empty if the file does
+    /// not exist or cannot be read; the latter is logged.
     pub fn open(folder: &Path, now: Millis) -> (PeerSnapshotFile, PeerSnapshot) {
         let path = folder.join(FILE_NAME);
         let snapshot = read(&path, now).unwrap_or_else(|error| {
@@ -136,7 +136,7 @@
     /// Replaces the snapshot.
     ///
     /// # Errors
-    /// If it cannot be written; the snapshot that was there before remains.
+    /// If the file cannot be written. Its previous content remains.
     pub fn write(
         &mut self,
         incarnation: u64,
@@ -164,7 +164,7 @@
 fn read(path: &Path, now: Millis) -> Result<PeerSnapshot, ReadSnapshotError> {
     match std::fs::read(path) {
         Ok(bytes) => PeerSnapshot::decode(&bytes, now),
-        Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(PeerSnapshot::default()),
-        Err(e) => Err(ReadSnapshotError::Io(e)),
+        Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(PeerSnapshot::default()),
+        Err(error) => Err(ReadSnapshotError::Io(error)),
     }
 }
