--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -6,8 +6,8 @@
 //! - [`wire`]: the encoding of membership datagrams and gossip on the network.
 //! - [`simulated_network`]: a deterministic network of members, for tests and experiments.
 //!
-//! The crate does no I/O and reads no clock: its inputs are the time and received datagrams, its outputs are datagrams to
-//! send and changes of the membership. The decision module (`martenlatch-policy`) decides how the gossip is used.
+//! The crate does no I/O and reads no clock: its inputs are the time and received datagrams, its outputs are datagrams
+//! to send and changes of the membership. The decision module (`martenlatch-policy`) decides how the gossip is used.
 
 pub mod latency_sketch;
 pub mod membership;
--- a/crates/peers/src/membership/dissemination.rs
+++ b/crates/peers/src/membership/dissemination.rs
@@ -1,5 +1,5 @@
-//! Dissemination of updates: every datagram carries some, and a member whose view digest keeps differing is asked for its
-//! full view.
+//! Dissemination of updates: every datagram carries some, and a member whose view digest keeps differing is asked for
+//! its full view.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,8 +8,8 @@
 use super::message::{Datagram, Payload};
 use super::{MAX_UPDATES, Membership, VIEW_REQUEST_INTERVAL};
 
-/// The number of transmissions of an update is this factor times the binary logarithm of the group size, which is enough
-/// to reach all members in spite of losses.
+/// The number of transmissions of an update is this factor times the binary logarithm of the group size, which is
+/// enough to reach all members in spite of losses.
 const TRANSMISSIONS_FACTOR: u32 = 3;
 /// Number of consecutive view digest mismatches after which the full view of the other member is requested.
 const MAX_DIGEST_MISMATCHES: u32 = 3;
--- a/crates/peers/src/membership/member.rs
+++ b/crates/peers/src/membership/member.rs
@@ -23,7 +23,7 @@
 }
 
 impl MemberState {
-    /// Whether a member in this state counts towards the group.
+    /// Whether this is the state of a live member. A suspect is still live.
     pub fn is_live(self) -> bool {
         matches!(self, MemberState::Alive | MemberState::Suspect)
     }
--- a/crates/peers/src/membership/mod.rs
+++ b/crates/peers/src/membership/mod.rs
@@ -1,7 +1,7 @@
-//! Group membership, following "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol" (Das,
-//! Gupta, Motivala, 2002): pings and indirect pings, suspicion and its refutation, and updates piggybacked on every
-//! datagram. In addition, every datagram carries a digest of its sender's view, so that the parts of a network partition
-//! agree again after it has healed.
+//! Group membership, following "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol"
+//! (Das, Gupta, Motivala, 2002): pings and indirect pings, suspicion and its refutation, and updates piggybacked on
+//! every datagram. In addition, every datagram carries a digest of its sender's view, so that the parts of a network
+//! partition agree again after it has healed.
 //!
 //! [`Membership`] is a state machine without I/O: its inputs are the time and received datagrams, its outputs are
 //! datagrams to send and changes of the view. The modules `failure_detector`, `dissemination` and `view` implement its
--- a/crates/peers/src/membership/settings.rs
+++ b/crates/peers/src/membership/settings.rs
@@ -11,8 +11,8 @@
     pub ack_timeout: Millis,
     /// Number of members that are asked for an indirect ping.
     pub indirect_probes: usize,
-    /// Number of periods in which a suspect can refute the suspicion, before it is multiplied by the decimal logarithm
-    /// of the group size (which counts as at least one).
+    /// The time in which a suspect can refute the suspicion, in periods. It is multiplied by the decimal logarithm of
+    /// the group size, but by at least one.
     pub suspicion_periods: f64,
     /// How long a member stays in the view after it died or left.
     pub retention: Millis,
--- a/crates/peers/src/membership/view.rs
+++ b/crates/peers/src/membership/view.rs
@@ -1,5 +1,5 @@
-//! The view of the group: merging updates, expiring the states of suspects and of members that died or left, and refuting
-//! updates on the local member.
+//! The view of the group: merging updates, expiring the states of suspects and of members that died or left, and
+//! refuting updates on the local member.
 
 use martenlatch_clock::Millis;
 use rand::RngExt;
--- a/crates/peers/src/partner_knowledge/digest.rs
+++ b/crates/peers/src/partner_knowledge/digest.rs
@@ -45,7 +45,7 @@
     pub endpoint: Option<String>,
     /// Time since the latest call that the digest is based on.
     pub age: f32,
-    /// The remaining Retry-After, in which nothing may be sent to the partner.
+    /// The remaining Retry-After, during which nothing may be sent to the partner.
     pub retry_after: f32,
     /// The pacing interval between two calls.
     pub pacing_interval: f32,
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Whether a received digest is plausible: durations and counts are finite and not negative, the rate limit is above
-    /// zero, the endpoint's name is neither empty nor too long, and the latency sketch is valid.
+    /// Whether a received digest is plausible: durations and counts are finite and not negative, the rate limit is
+    /// above zero, the endpoint's name is neither empty nor too long, and the latency sketch is valid.
     pub fn is_valid(&self) -> bool {
         self.has_valid_durations_and_counts()
             && self
--- a/crates/peers/src/partner_knowledge/evidence.rs
+++ b/crates/peers/src/partner_knowledge/evidence.rs
@@ -29,8 +29,8 @@
 }
 
 impl Report {
-    /// Orders reports by the time of their observations. The order is total, so that merging in any order gives the same
-    /// result.
+    /// Orders reports by the time of their observations. The order is total, so that merging in any order gives the
+    /// same result.
     fn cmp_by_time(&self, other: &Report) -> Ordering {
         let pairs = self.sort_key().into_iter().zip(other.sort_key());
         pairs
--- a/crates/peers/src/partner_knowledge/mod.rs
+++ b/crates/peers/src/partner_knowledge/mod.rs
@@ -18,7 +18,8 @@
 use evidence::Evidence;
 use weighing::Weighing;
 
-/// Identifies a route for all senders: a destination, or one of its endpoints if limits apply to each endpoint separately.
+/// Identifies a route in the same way for all senders: a destination, or one of its endpoints if limits apply to each
+/// endpoint separately.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RouteKey {
     /// The destination's number on the platform's endpoint list.
@@ -30,8 +31,8 @@
 /// Bounds on what is accepted from gossip. Times are in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// The time in which an observation loses half of its weight. An observed outage is assumed to
-    /// continue for this time.
+    /// The time in which an observation loses half of its weight. An observed outage is assumed to continue for this
+    /// time.
     pub half_life: Millis,
     /// Maximum Retry-After; a longer one is shortened to it.
     pub max_retry_after: Millis,
@@ -97,7 +98,7 @@
         true
     }
 
-    /// Merges the evidence of another store. If there are more than `max_routes` routes then, the oldest ones are
+    /// Merges the evidence of another store. If the result has more than `max_routes` routes, the oldest ones are
     /// dropped, whichever store they came from.
     pub fn merge(&mut self, other: &PartnerKnowledge, max_routes: usize) {
         for (route, evidence) in &other.by_route {
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Drops every Retry-After, because one that a partner requested of an earlier process does not bind this one.
+    /// Drops every Retry-After, because one that an earlier process received does not bind this process.
     pub fn clear_retry_after(&mut self) {
         for evidence in self.by_route.values_mut() {
             evidence.not_before = 0.0;
@@ -133,8 +134,8 @@
     }
 
     /// Removes the evidence about one route from the store, and weights it into a prior for the decision module.
-    /// `endpoint` is the number of the route's endpoint on the endpoint list. Returns `None` if there is no evidence, or
-    /// if it is too old.
+    /// `endpoint` is the number of the route's endpoint on the endpoint list. Returns `None` if there is no evidence,
+    /// or if it is too old.
     pub fn take_prior(
         &mut self,
         route: &RouteKey,
--- a/crates/peers/src/partner_knowledge/weighing.rs
+++ b/crates/peers/src/partner_knowledge/weighing.rs
@@ -7,10 +7,10 @@
 use super::evidence::{Evidence, Report, later};
 use crate::latency_sketch::LatencySketch;
 
-/// Maximum number of calls that gossip counts as. After this number of its own calls, a starting sender's observations
-/// outweigh the gossip.
+/// Maximum number of latencies in a prior, each of which has the weight of one call. After this number of its own
+/// calls, a starting sender's observations outweigh the gossip.
 const MAX_PRIOR_CALLS: f64 = 12.0;
-/// Number of calls in a report from which on its latencies have full weight.
+/// Minimum number of calls in a report for its latencies to have full weight.
 const FULL_REPORT_CALLS: f64 = 20.0;
 /// Maximum pacing interval; a longer one is shortened to it.
 const MAX_PACING_INTERVAL: Millis = 1_000.0;
@@ -66,7 +66,7 @@
         {
             return self.ongoing_outage(failed_at);
         }
-        // A partner that served a call after it failed has been recovering since the failure at the earliest.
+        // A partner that served a call after a failure began to recover at the time of the failure at the earliest.
         let recovering_at = self.evidence.outage_at()?;
         Some(Outage::Recovering {
             since: nanos((self.now - recovering_at).max(0.0)),
@@ -122,7 +122,7 @@
             .reduce(f64::min)
     }
 
-    /// The latencies of the calls that the evidence counts as, in nanoseconds.
+    /// The latencies for the prior, in nanoseconds. Their number is the weight of the evidence in calls.
     fn latencies(&self) -> Vec<u64> {
         let mut merged = LatencySketch::default();
         let mut confidence = 0.0;
--- a/crates/peers/src/simulated_network.rs
+++ b/crates/peers/src/simulated_network.rs
@@ -40,7 +40,8 @@
     format!("s{member}")
 }
 
-/// An instant that can be ordered: the bit patterns of non-negative floating-point numbers are ordered like the numbers.
+/// An instant that can be ordered: the bit patterns of non-negative floating-point numbers are ordered like the
+/// numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct OrderedInstant(u64);
 
@@ -95,8 +96,8 @@
 }
 
 impl SimulatedNetwork {
-    /// Creates a network of `count` members, whose seeds are the first two. `loss` is the fraction of datagrams that are
-    /// lost.
+    /// Creates a network of `count` members, whose seeds are the first two. `loss` is the fraction of datagrams that
+    /// are lost.
     pub fn new(count: usize, loss: f64, seed: u64) -> SimulatedNetwork {
         let settings = Settings {
             max_members: 4 * count.max(64),
@@ -194,8 +195,8 @@
         self.collect(member);
     }
 
-    /// Separates the members with numbers below `boundary` from the other members, or heals the partition if `boundary` is
-    /// `None`.
+    /// Separates the members with numbers below `boundary` from the other members, or heals the partition if `boundary`
+    /// is `None`.
     pub fn partition(&mut self, boundary: Option<usize>) {
         self.partition = boundary;
     }
@@ -253,7 +254,8 @@
         self.now = end;
     }
 
-    /// Simulates until `done` returns true, and returns that time, or `None` if `done` never does within `max_duration`.
+    /// Simulates until `done` returns true, and returns that time, or `None` if `done` never does within
+    /// `max_duration`.
     pub fn run_until(
         &mut self,
         max_duration: Millis,
--- a/crates/peers/tests/model.rs
+++ b/crates/peers/tests/model.rs
@@ -1,5 +1,5 @@
-//! Model checking of the membership protocol with three members: every order in which the datagrams of a step can arrive,
-//! losses, a crash, and a partition that heals. Each test prints its limits and the number of states.
+//! Model checking of the membership protocol with three members: every order in which the datagrams of a step can
+//! arrive, losses, a crash, and a partition that heals. Each test prints its limits and the number of states.
 
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
--- a/crates/sender/src/peer_service/error.rs
+++ b/crates/sender/src/peer_service/error.rs
@@ -1,5 +1,5 @@
-//! The errors of opening the peer service. `Display` is the line that the user sees. It names the field, and the file if
-//! there is one.
+//! The errors of opening the peer service. `Display` is the line that the user sees. It names the field, and the file
+//! if there is one.
 
 use std::io;
 use std::net::SocketAddr;
--- a/crates/sender/src/peer_service/gossip.rs
+++ b/crates/sender/src/peer_service/gossip.rs
@@ -56,8 +56,8 @@
 }
 
 impl PeerService {
-    /// The knowledge of peers about endpoints that were just listed, as events for the decision module. The knowledge of
-    /// each route is passed on only once.
+    /// The knowledge of peers about endpoints that were just listed, as events for the decision module. The knowledge
+    /// of each route is passed on only once.
     pub fn gossip_events(
         &mut self,
         listed: &[EndpointEntry],
--- a/crates/sender/src/peer_service/mod.rs
+++ b/crates/sender/src/peer_service/mod.rs
@@ -1,9 +1,9 @@
 //! Communication with this sender's peers, the other senders: group membership by UDP datagrams, and queries about
 //! partners over TCP connections. It is disabled unless the settings contain an address to listen on.
 //!
-//! When a sender starts, it queries some seeds for their observations of partners (`seed_queries`). It passes these to its
-//! decision module as soon as the partner is listed (`gossip`). It serves such queries of other senders (`page_server`),
-//! and saves its own observations for its next start (`snapshot_writer`).
+//! When a sender starts, it queries some seeds for their observations of partners (`seed_queries`). It passes these to
+//! its decision module as soon as the partner is listed (`gossip`). It serves such queries of other senders
+//! (`page_server`), and saves its own observations for its next start (`snapshot_writer`).
 
 mod datagrams;
 mod error;
@@ -63,8 +63,9 @@
 }
 
 impl PeerService {
-    /// Binds the sockets, reads the snapshot of an earlier process from `folder`, joins the group, and queries the seeds.
-    /// `limits_per_endpoint` states for each kind of destination whether limits apply to each endpoint separately.
+    /// Binds the sockets, reads the snapshot of an earlier process from `folder`, joins the group, and queries the
+    /// seeds. `limits_per_endpoint` states for each kind of destination whether limits apply to each endpoint
+    /// separately.
     ///
     /// # Errors
     /// If the shared secret cannot be read or is too short, or if the address to listen on cannot be bound.
@@ -113,8 +114,8 @@
         Ok(service)
     }
 
-    /// Whether a query to a seed is running and the time for learning has not passed. As soon as no seed is left to query,
-    /// this is false.
+    /// Whether a query to a seed is running and the time for learning has not passed. As soon as no seed is left to
+    /// query, this is false.
     pub fn is_learning(&self, now: Millis) -> bool {
         now < self.started_at + self.settings.learn_ms && self.seed_queries.is_running()
     }
@@ -166,8 +167,8 @@
         }
     }
 
-    /// Runs what is due: the membership protocol, the next page of each response, and the snapshot. `observed` is `None`
-    /// while this sender still queries its own seeds: it has no observations yet, and its responses are empty.
+    /// Runs what is due: the membership protocol, the next page of each response, and the snapshot. `observed` is
+    /// `None` while this sender still queries its own seeds: it has no observations yet, and its responses are empty.
     pub fn run_due(&mut self, now: Millis, observed: Option<(&Policy, EndpointNames)>) {
         let observed = observed.map(|(policy, endpoint_names)| OwnObservations {
             policy,
@@ -189,8 +190,8 @@
         }
     }
 
-    /// Prepares for the end of this process: leaves the group, and lets the next [`PeerService::run_due`] begin to save a
-    /// snapshot.
+    /// Prepares for the end of this process: leaves the group, and lets the next [`PeerService::run_due`] begin to save
+    /// a snapshot.
     pub fn leave(&mut self) {
         self.snapshot_writer.save_soon();
         self.membership.leave();
--- a/crates/sender/src/peer_service/seed_queries.rs
+++ b/crates/sender/src/peer_service/seed_queries.rs
@@ -1,5 +1,5 @@
-//! Queries to the seeds of a starting sender for their observations of partners. A few queries run at a time, and one that
-//! fails is followed by a query to the next seed.
+//! Queries to the seeds of a starting sender for their observations of partners. A few queries run at a time, and one
+//! that fails is followed by a query to the next seed.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -76,8 +76,8 @@
 }
 
 impl SeedQueries {
-    /// Prepares the queries without starting any. `rng_seed` selects the first seed, so that starting senders do not all
-    /// query the same one.
+    /// Prepares the queries without starting any. `rng_seed` selects the first seed, so that starting senders do not
+    /// all query the same one.
     pub(super) fn new(
         settings: &program::Peers,
         local_name: String,
--- a/crates/sender/src/peer_service/snapshot_writer.rs
+++ b/crates/sender/src/peer_service/snapshot_writer.rs
@@ -59,14 +59,14 @@
             for digest in &snapshot.digests {
                 knowledge.add_digest(EARLIER_PROCESS, digest, now, bounds);
             }
-            // A Retry-After that a partner requested of the earlier process does not bind this one.
+            // A Retry-After that the earlier process received does not bind this process.
             knowledge.clear_retry_after();
         }
         knowledge
     }
 
-    /// Starts a new incarnation, and saves it before any other member sees it. If it cannot be saved, the next process may
-    /// start with an incarnation that other members know already, and raises it when they report that.
+    /// Starts a new incarnation, and saves it before any other member sees it. If it cannot be saved, the next process
+    /// may start with an incarnation that other members know already, and raises it when they report that.
     pub(super) fn begin_incarnation(&mut self, snapshot: PeerSnapshot, now: Millis) -> u64 {
         let incarnation = snapshot.incarnation + 1;
         self.save(incarnation, snapshot.digests, now);
--- a/crates/sender/src/peer_snapshot.rs
+++ b/crates/sender/src/peer_snapshot.rs
@@ -121,8 +121,8 @@
     /// Maximum number of digests in a snapshot.
     pub const MAX_DIGESTS: usize = 4_096;
 
-    /// Opens the snapshot file in a folder, and reads the snapshot, aged to `now`. The snapshot is empty if the file does
-    /// not exist or cannot be read; the latter is logged.
+    /// Opens the snapshot file in a folder, and reads the snapshot, aged to `now`. The snapshot is empty if the file
+    /// does not exist or cannot be read; the latter is logged.
     pub fn open(folder: &Path, now: Millis) -> (PeerSnapshotFile, PeerSnapshot) {
         let path = folder.join(FILE_NAME);
         let snapshot = read(&path, now).unwrap_or_else(|error| {
