--- a/crates/martenlatch/src/error.rs
+++ b/crates/martenlatch/src/error.rs
@@ -66,7 +66,7 @@
     OutOfOrder,
     /// The response cannot be authenticated or decoded.
     #[error("the response is invalid: {0}")]
-    Malformed(#[source] wire::Fault),
+    Malformed(#[source] wire::FrameError),
     /// The response was not complete in time.
     #[error("the response was not complete in time")]
     TimedOut,
--- a/crates/martenlatch/src/members.rs
+++ b/crates/martenlatch/src/members.rs
@@ -7,8 +7,8 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-use martenlatch_peers::membership::{MemberUpdate, State};
-use martenlatch_peers::wire::{Fault, Page, Secret};
+use martenlatch_peers::membership::{MemberState, MemberUpdate};
+use martenlatch_peers::wire::{FrameError, Page, Secret};
 use martenlatch_settings::program::PeerSettings;
 use serde_json::json;
 
@@ -24,7 +24,7 @@
 /// # Errors
 /// If the secret cannot be read, or the sender does not send a valid response in time.
 pub fn show(peers: &PeerSettings, as_json: bool) -> Result<(), CommandError> {
-    let secret = martenlatch_sender::secret(&peers.secret_file)?;
+    let secret = martenlatch_sender::read_shared_secret(&peers.secret_file)?;
     let members = query(peers, &secret).map_err(|source| CommandError::QueryMembers {
         address: peers.listen,
         source,
@@ -45,26 +45,39 @@
     stream.set_read_timeout(Some(TIMEOUT))?;
     // The response repeats this number, so that the response to an earlier query is not mistaken for it.
     let query_id = u64::from(std::process::id());
-    stream.write_all(&secret.seal_page(&Page::Who { no: query_id }))?;
+    stream.write_all(&secret.seal_page(&Page::MembersRequest {
+        request_id: query_id,
+    }))?;
     let start = Instant::now();
     let mut received = Vec::new();
     let mut members = Vec::new();
     let mut next_page = 0;
     while start.elapsed() < TIMEOUT {
         match secret.open_page(&received) {
-            Ok((Page::Membership { no, page, rumours }, length))
-                if no == query_id && page == next_page =>
-            {
+            Ok((
+                Page::Members {
+                    request_id,
+                    index,
+                    members: page,
+                },
+                length,
+            )) if request_id == query_id && index == next_page => {
                 received.drain(..length);
-                members.extend(rumours);
+                members.extend(page);
                 next_page += 1;
             }
-            Ok((Page::End { no, pages }, _)) if no == query_id && pages == next_page => {
+            Ok((
+                Page::End {
+                    request_id,
+                    page_count,
+                },
+                _,
+            )) if request_id == query_id && page_count == next_page => {
                 return Ok(members);
             }
             Ok(_) => return Err(QueryError::OutOfOrder),
-            Err(Fault::Short) => read_more(&mut stream, &mut received)?,
-            Err(fault) => return Err(QueryError::Malformed(fault)),
+            Err(FrameError::Incomplete) => read_more(&mut stream, &mut received)?,
+            Err(error) => return Err(QueryError::Malformed(error)),
         }
     }
     Err(QueryError::TimedOut)
@@ -101,9 +114,9 @@
 
 fn state_name(member: &MemberUpdate) -> &'static str {
     match member.state {
-        State::Alive => "alive",
-        State::Suspect => "suspect",
-        State::Dead => "dead",
-        State::Left => "left",
+        MemberState::Alive => "alive",
+        MemberState::Suspect => "suspect",
+        MemberState::Dead => "dead",
+        MemberState::Left => "left",
     }
 }
--- a/crates/martenlatch/tests/shared_knowledge.rs
+++ b/crates/martenlatch/tests/shared_knowledge.rs
@@ -62,15 +62,15 @@
         scripted_peer(group.addresses[reachable], |query, stream| {
             stream
                 .write_all(&seal(&Page::Digests {
-                    no: query,
-                    page: 0,
+                    request_id: query,
+                    index: 0,
                     digests: vec![digest(7)],
                 }))
                 .unwrap();
             stream
                 .write_all(&seal(&Page::End {
-                    no: query,
-                    pages: 1,
+                    request_id: query,
+                    page_count: 1,
                 }))
                 .unwrap();
         });
@@ -90,13 +90,13 @@
     let group = SenderGroup::new("partial", 2);
     scripted_peer(group.addresses[1], |query, stream| {
         let complete = seal(&Page::Digests {
-            no: query,
-            page: 0,
+            request_id: query,
+            index: 0,
             digests: vec![digest(7), digest(8)],
         });
         let half = seal(&Page::Digests {
-            no: query,
-            page: 1,
+            request_id: query,
+            index: 1,
             digests: vec![digest(9)],
         });
         stream.write_all(&complete).unwrap();
@@ -129,13 +129,13 @@
         let group = SenderGroup::new(test, 2);
         scripted_peer(group.addresses[1], move |query, stream| {
             let reported = Digest {
-                wait: 60_000.0,
+                retry_after: 60_000.0,
                 outage: Some(ReportedOutage::Rejecting),
                 ..digest(7)
             };
             let mut bytes = seal(&Page::Digests {
-                no: query,
-                page: 0,
+                request_id: query,
+                index: 0,
                 digests: vec![reported],
             });
             corrupt(&mut bytes);
@@ -162,8 +162,8 @@
     scripted_peer(group.addresses[1], |query, stream| {
         for number in 0..100_000 {
             let page = seal(&Page::Digests {
-                no: query,
-                page: number,
+                request_id: query,
+                index: number,
                 digests: vec![digest(u64::from(number))],
             });
             if stream.write_all(&page).is_err() {
@@ -185,7 +185,8 @@
     let platform = Platform::new(&[]);
     let group = SenderGroup::new("many", 2);
     scripted_peer(group.addresses[1], |query, stream| {
-        let large_sketch = LatencySketch::of((0..40).map(|power| 100.0 * 1.05f64.powi(power)));
+        let large_sketch =
+            LatencySketch::from_latencies((0..40).map(|power| 100.0 * 1.05f64.powi(power)));
         let all: Vec<Digest> = (0..10_000)
             .map(|destination| Digest {
                 latency: large_sketch.clone(),
@@ -196,15 +197,18 @@
         for part in all.chunks(32) {
             stream
                 .write_all(&seal(&Page::Digests {
-                    no: query,
-                    page: pages,
+                    request_id: query,
+                    index: pages,
                     digests: part.to_vec(),
                 }))
                 .unwrap();
             pages += 1;
         }
         stream
-            .write_all(&seal(&Page::End { no: query, pages }))
+            .write_all(&seal(&Page::End {
+                request_id: query,
+                page_count: pages,
+            }))
             .unwrap();
         let _ = stream.read(&mut [0; 1]);
     });
--- a/crates/martenlatch/tests/support/group.rs
+++ b/crates/martenlatch/tests/support/group.rs
@@ -189,8 +189,8 @@
         let count = stream.read(&mut part).unwrap();
         assert!(count > 0, "the connection was closed before the query");
         received.extend(&part[..count]);
-        if let Ok((Page::Ask { no, .. }, _)) = secret.open_page(&received) {
-            return no;
+        if let Ok((Page::DigestsRequest { request_id, .. }, _)) = secret.open_page(&received) {
+            return request_id;
         }
     }
 }
@@ -208,8 +208,8 @@
 /// What a peer knows about a destination whose endpoints answer.
 pub fn digest(destination: u64) -> Digest {
     Digest {
-        served: 9.0,
-        latency: LatencySketch::of([200.0; 9]),
+        successes: 9.0,
+        latency: LatencySketch::from_latencies([200.0; 9]),
         ..Digest::new(destination)
     }
 }
--- a/crates/sender/src/peer_service/rejections.rs
+++ b/crates/sender/src/peer_service/rejections.rs
@@ -1,27 +1,30 @@
-//! Counts of what was rejected, by reason.
+//! Counters of rejected datagrams, requests and connections, by reason.
 
-use martenlatch_peers::wire::Fault;
+use martenlatch_peers::wire::FrameError;
 
-/// How many datagrams, requests and connections were rejected.
+/// The numbers of rejected datagrams, requests and connections.
 #[derive(Default)]
 pub(super) struct Rejections {
-    /// Not authenticated with the shared secret.
+    /// Datagrams and requests that are not authenticated with the shared secret.
     pub(super) unauthenticated: u64,
-    /// Of another version of the wire format.
+    /// Datagrams and requests in another version of the wire format.
     pub(super) other_version: u64,
-    /// Malformed in another way.
+    /// Datagrams and requests that are malformed in another way.
     pub(super) malformed: u64,
-    /// Connections over their limit.
+    /// Connections beyond the limit on concurrent connections.
     pub(super) connections: u64,
 }
 
 impl Rejections {
     /// Counts a rejected datagram or request.
-    pub(super) fn count(&mut self, fault: Fault) {
-        match fault {
-            Fault::Key => self.unauthenticated += 1,
-            Fault::Version => self.other_version += 1,
-            Fault::Short | Fault::Long | Fault::Kind | Fault::Form => self.malformed += 1,
+    pub(super) fn count(&mut self, error: FrameError) {
+        match error {
+            FrameError::NotAuthenticated => self.unauthenticated += 1,
+            FrameError::UnsupportedVersion => self.other_version += 1,
+            FrameError::Incomplete
+            | FrameError::TooLong
+            | FrameError::UnexpectedKind
+            | FrameError::Malformed => self.malformed += 1,
         }
     }
 }
