--- a/crates/lab/src/judge/calls.rs
+++ b/crates/lab/src/judge/calls.rs
@@ -105,7 +105,7 @@
 
     /// A call has its reply.
     pub(super) fn call_replied(&mut self, number: u64, reply: Reply, at: Millis) {
-        let ran = !matches!(reply, Reply::Refused(_));
+        let ran = !matches!(reply, Reply::Rejected(_));
         let Some(call) = self.finish_call(number, ran) else {
             return;
         };
@@ -118,7 +118,7 @@
                 self.note_reply(at, number, Told::Served { message });
                 self.delivered(message, at);
             }
-            Reply::Refused(Some(wait)) => self.note_wait(number, call.route(), at, at + wait),
+            Reply::Rejected(Some(wait)) => self.note_wait(number, call.route(), at, at + wait),
             _ => {}
         }
         self.forget(call.message);
--- a/crates/lab/src/metrics/mod.rs
+++ b/crates/lab/src/metrics/mod.rs
@@ -195,7 +195,7 @@
     }
 
     fn call_replied(&mut self, number: u64, reply: Reply, at: Millis) {
-        if let Reply::Refused(retry_after) = reply {
+        if let Reply::Rejected(retry_after) = reply {
             self.newcomers
                 .rejected(number, retry_after, at, &mut self.figures);
         }
@@ -205,11 +205,11 @@
         };
         match reply {
             Reply::Served => self.served(call.origin, at),
-            Reply::Refused(_) => {
+            Reply::Rejected(_) => {
                 self.figures.refusals += 1.0;
                 self.second(at).refused += 1;
             }
-            Reply::Failed | Reply::Spoilt => self.wasted += 1,
+            Reply::Failed | Reply::Malformed => self.wasted += 1,
         }
     }
 
--- a/crates/lab/src/model/environment.rs
+++ b/crates/lab/src/model/environment.rs
@@ -38,7 +38,7 @@
     /// The partner's number.
     pub partner: u32,
     /// Whether it is in an outage now.
-    pub out: bool,
+    pub in_outage: bool,
 }
 
 /// An endpoint that takes the place of another.
@@ -58,10 +58,10 @@
     /// What goes wrong when.
     pub faults: FaultSchedule,
     /// The partner of each endpoint that ever was.
-    pub owner: Vec<u32>,
+    pub endpoint_partners: Vec<u32>,
     partners: Vec<Partner>,
     /// For each partner, whether it is in an outage.
-    out: Vec<bool>,
+    in_outage: Vec<bool>,
     /// For each partner, when it was last said to be looked at.
     next_completion: Vec<Option<Millis>>,
     /// Endpoints of each partner that are in service, oldest first.
@@ -75,28 +75,28 @@
     pub fn new(experiment: &Experiment, seed: u64) -> Environment {
         let site = Site::new(&experiment.world, seed);
         let faults = FaultSchedule::new(experiment, &site);
-        let mut owner = Vec::new();
+        let mut endpoint_partners = Vec::new();
         let mut serving = Vec::new();
         let mut partners = Vec::new();
         for (number, profile) in site.partners.iter().enumerate() {
-            let first = owner.len() as u32;
-            owner.extend(std::iter::repeat_n(
+            let first = endpoint_partners.len() as u32;
+            endpoint_partners.extend(std::iter::repeat_n(
                 number as u32,
-                profile.endpoints as usize,
+                profile.endpoint_count as usize,
             ));
-            let own: Vec<u32> = (first..owner.len() as u32).collect();
-            let kind = &experiment.world.kinds[profile.kind];
+            let own: Vec<u32> = (first..endpoint_partners.len() as u32).collect();
+            let kind = &experiment.world.kinds[profile.kind_index];
             let endpoints = own.iter().copied();
-            partners.push(Partner::new(profile, kind, site.work, seed, endpoints));
+            partners.push(Partner::new(profile, kind, site.mean_work, seed, endpoints));
             serving.push(own);
         }
         Environment {
-            out: vec![false; partners.len()],
+            in_outage: vec![false; partners.len()],
             next_completion: vec![None; partners.len()],
             list_lateness: experiment.world.list_lateness,
             site,
             faults,
-            owner,
+            endpoint_partners,
             partners,
             serving,
             seed,
@@ -105,7 +105,7 @@
 
     /// The partner of an endpoint.
     pub fn partner_of(&self, endpoint: u32) -> u32 {
-        self.owner[endpoint as usize]
+        self.endpoint_partners[endpoint as usize]
     }
 
     /// The faults of a partner at an instant.
@@ -115,7 +115,7 @@
 
     /// Hands a call whose last byte has come to its partner.
     pub fn deliver(&mut self, endpoint: u32, call: Call, now: Millis) -> Delivery {
-        let number = self.owner[endpoint as usize] as usize;
+        let number = self.endpoint_partners[endpoint as usize] as usize;
         let faults = self.faults.active_at(number, now);
         let partner = &mut self.partners[number];
         let had_collapsed = partner.collapsed();
@@ -152,13 +152,13 @@
     pub fn update_outages(&mut self, now: Millis) -> Vec<OutageChange> {
         let mut changes = Vec::new();
         for number in 0..self.partners.len() {
-            let out = self.faults.is_out(number, now);
-            if out != self.out[number] {
-                self.out[number] = out;
-                self.partners[number].set_out(out, now);
+            let in_outage = self.faults.in_outage(number, now);
+            if in_outage != self.in_outage[number] {
+                self.in_outage[number] = in_outage;
+                self.partners[number].set_outage(in_outage, now);
                 changes.push(OutageChange {
                     partner: number as u32,
-                    out,
+                    in_outage,
                 });
             }
         }
@@ -166,7 +166,7 @@
     }
 
     /// The partner that a failure has an endpoint replaced of at its `turn`th time; they take turns.
-    pub fn next_replaced(&self, failure: usize, turn: usize) -> Option<u32> {
+    pub fn next_partner_to_replace(&self, failure: usize, turn: usize) -> Option<u32> {
         let hit = self.faults.partners_of(failure)?;
         hit.get(turn % hit.len().max(1))
             .map(|partner| *partner as u32)
@@ -174,8 +174,8 @@
 
     /// Puts a new endpoint in the place of a partner's oldest.
     pub fn replace_endpoint(&mut self, partner: u32) -> Replacement {
-        let new = self.owner.len() as u32;
-        self.owner.push(partner);
+        let new = self.endpoint_partners.len() as u32;
+        self.endpoint_partners.push(partner);
         let serving = &mut self.serving[partner as usize];
         let old = serving.remove(0);
         serving.push(new);
@@ -184,13 +184,13 @@
     }
 
     /// Has an endpoint take no more calls.
-    pub fn retire(&mut self, endpoint: u32) {
-        let partner = self.owner[endpoint as usize];
+    pub fn retire_endpoint(&mut self, endpoint: u32) {
+        let partner = self.endpoint_partners[endpoint as usize];
         self.partners[partner as usize].drain_endpoint(endpoint);
     }
 
     /// When a sender is notified of a change to the endpoint list that is made now.
-    pub fn notified_at(
+    pub fn notification_time(
         &self,
         sender: u32,
         endpoint: u32,
@@ -206,7 +206,7 @@
             0.0
         };
         match self.faults.discovery(now) {
-            Discovery::Up { lateness } => now + least + late * lateness,
+            Discovery::Up { delay_factor } => now + least + late * delay_factor,
             Discovery::DownUntil(end) => end + least + late,
         }
     }
--- a/crates/lab/src/model/fault_schedule.rs
+++ b/crates/lab/src/model/fault_schedule.rs
@@ -19,9 +19,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionResets {
     /// Before the call's last byte.
-    pub before: f64,
+    pub before_last_byte: f64,
     /// After the call's last byte.
-    pub after: f64,
+    pub after_last_byte: f64,
 }
 
 /// The faults of a partner at an instant.
@@ -38,11 +38,11 @@
     /// Service times are so many times as long.
     pub slowdown: f64,
     /// A part of the calls takes longer still.
-    pub tail: HeavyTail,
+    pub heavy_tail: HeavyTail,
     /// The rate limit is so many times what it was.
-    pub limit_factor: f64,
+    pub rate_limit_factor: f64,
     /// Connections that are reset.
-    pub reset: ConnectionResets,
+    pub connection_resets: ConnectionResets,
     /// Share of the answers that are malformed.
     pub malformed_share: f64,
     /// Connections that have been idle for so long are closed without notice.
@@ -57,14 +57,14 @@
         partitioned: false,
         paused_until: None,
         slowdown: 1.0,
-        tail: HeavyTail {
+        heavy_tail: HeavyTail {
             share: 0.0,
             factor: 1.0,
         },
-        limit_factor: 1.0,
-        reset: ConnectionResets {
-            before: 0.0,
-            after: 0.0,
+        rate_limit_factor: 1.0,
+        connection_resets: ConnectionResets {
+            before_last_byte: 0.0,
+            after_last_byte: 0.0,
         },
         malformed_share: 0.0,
         idle_close_after: f64::INFINITY,
@@ -79,14 +79,20 @@
             What::Pauses => self.add_pause(failure, now),
             What::Slow => self.slowdown *= failure.size,
             What::HeavyTail => {
-                self.tail = HeavyTail {
+                self.heavy_tail = HeavyTail {
                     share: failure.share,
                     factor: failure.size,
                 }
             }
-            What::Tight => self.limit_factor *= failure.size,
-            What::ResetBefore => self.reset.before = either(self.reset.before, failure.share),
-            What::ResetAfter => self.reset.after = either(self.reset.after, failure.share),
+            What::Tight => self.rate_limit_factor *= failure.size,
+            What::ResetBefore => {
+                self.connection_resets.before_last_byte =
+                    either(self.connection_resets.before_last_byte, failure.share)
+            }
+            What::ResetAfter => {
+                self.connection_resets.after_last_byte =
+                    either(self.connection_resets.after_last_byte, failure.share)
+            }
             What::Spoilt => self.malformed_share = either(self.malformed_share, failure.share),
             What::SilentClose => self.idle_close_after = self.idle_close_after.min(failure.size),
             _ => {}
@@ -118,8 +124,8 @@
 pub enum Discovery {
     /// It works, and is so many times as late as usual.
     Up {
-        /// The factor on the usual lateness.
-        lateness: f64,
+        /// The factor on the usual delay.
+        delay_factor: f64,
     },
     /// It says nothing until then.
     DownUntil(Millis),
@@ -174,7 +180,7 @@
     }
 
     /// Whether a partner is in an outage: nothing that goes there is served, and it comes back cold.
-    pub fn is_out(&self, partner: usize, now: Millis) -> bool {
+    pub fn in_outage(&self, partner: usize, now: Millis) -> bool {
         let faults = self.active_at(partner, now);
         faults.hung || faults.partitioned || faults.rejects_until.is_some()
     }
@@ -195,7 +201,7 @@
         match down_until {
             Some(until) => Discovery::DownUntil(until),
             None => Discovery::Up {
-                lateness: self
+                delay_factor: self
                     .active_of(What::DiscoveryLate, now)
                     .map(|failure| failure.size)
                     .product(),
--- a/crates/lab/src/model/partner.rs
+++ b/crates/lab/src/model/partner.rs
@@ -42,9 +42,11 @@
     /// An error; the call has run.
     Failed,
     /// The call has run, and its answer is malformed.
-    Spoilt,
+    #[serde(rename = "Spoilt")]
+    Malformed,
     /// The call has not run. With the Retry-After that is given, in milliseconds.
-    Refused(Option<Millis>),
+    #[serde(rename = "Refused")]
+    Rejected(Option<Millis>),
 }
 
 /// A call as a partner sees it.
@@ -99,7 +101,7 @@
     capacity: f64,
     endpoints: BTreeMap<u32, Endpoint>,
     limiter: RateLimiter,
-    out: bool,
+    in_outage: bool,
     /// When its last outage ended; none where it has had none, or is in one.
     recovered_at: Option<Millis>,
     /// Calls that came within the last collapse window while it was warming up.
@@ -126,7 +128,7 @@
                 .map(|endpoint| (endpoint, Endpoint::default()))
                 .collect(),
             limiter: RateLimiter::new(kind),
-            out: false,
+            in_outage: false,
             recovered_at: None,
             recent_arrivals: VecDeque::new(),
             collapsed: false,
@@ -134,17 +136,17 @@
     }
 
     /// Says whether the partner is in an outage from `now` on. One that comes back starts cold.
-    pub fn set_out(&mut self, out: bool, now: Millis) {
-        if self.out && !out {
+    pub fn set_outage(&mut self, in_outage: bool, now: Millis) {
+        if self.in_outage && !in_outage {
             self.recovered_at = Some(now);
             self.recent_arrivals.clear();
         }
-        if out && !self.out {
+        if in_outage && !self.in_outage {
             // What ran or waited there is lost, and its answers never come.
             self.drop_all_calls();
             self.recovered_at = None;
         }
-        self.out = out;
+        self.in_outage = in_outage;
     }
 
     /// Whether it has collapsed; it does not come back from that.
@@ -182,13 +184,13 @@
         now: Millis,
     ) -> Admission {
         if self.collapsed || self.collapses_under_load(faults, now) {
-            return Admission::Answered(Reply::Refused(None));
+            return Admission::Answered(Reply::Rejected(None));
         }
         if let Some(until) = faults.rejects_until {
             return Admission::Answered(self.refusal(&call, until - now));
         }
         if self.endpoints.get(&endpoint).is_none_or(|it| it.draining) {
-            return Admission::Answered(Reply::Refused(None));
+            return Admission::Answered(Reply::Rejected(None));
         }
         if let Some(wait) = self.wait_over_limit(&call, faults, now) {
             return Admission::Answered(self.refusal(&call, wait));
@@ -213,7 +215,7 @@
             self.recent_arrivals.pop_front();
         }
         let sustainable =
-            self.capacity * faults.limit_factor * self.warmth(now) * COLLAPSE_WINDOW / 1e3;
+            self.capacity * faults.rate_limit_factor * self.warmth(now) * COLLAPSE_WINDOW / 1e3;
         let most = (COLLAPSE_FACTOR * sustainable).max(COLLAPSE_FACTOR);
         if now < recovered_at + COLLAPSE_WINDOW || self.recent_arrivals.len() as f64 <= most {
             return false;
@@ -233,7 +235,7 @@
     fn refusal(&self, call: &Call, wait: Millis) -> Reply {
         let mut rng = rng_for(self.seed, Stream::Call, call.number, draw_index::TELLS_WAIT);
         let tells = bernoulli(&mut rng, self.kind.retry_after_share);
-        Reply::Refused(tells.then_some(wait))
+        Reply::Rejected(tells.then_some(wait))
     }
 
     /// Counts a call against the rate limit. Where it is over the limit: how long until there is capacity again.
@@ -243,11 +245,11 @@
         faults: &ActiveFaults,
         now: Millis,
     ) -> Option<Millis> {
-        let rate = self.profile.rate_limit? * faults.limit_factor;
+        let rate = self.profile.rate_limit? * faults.rate_limit_factor;
         match self.limiter.admit(rate, now) {
-            LimitDecision::Within => None,
-            LimitDecision::OverUntil(wait) => Some(wait),
-            LimitDecision::OverWithOwnWait => {
+            LimitDecision::Admitted => None,
+            LimitDecision::RejectedFor(wait) => Some(wait),
+            LimitDecision::RejectedForDrawnWait => {
                 let mut rng = rng_for(self.seed, Stream::Call, call.number, draw_index::WAIT);
                 Some(uniform(&mut rng, self.kind.retry_after))
             }
@@ -264,14 +266,14 @@
         let cores = self.profile.cores as usize;
         let queue_capacity = self.profile.queue_capacity as usize;
         let Some(target) = self.endpoints.get_mut(&endpoint) else {
-            return Admission::Answered(Reply::Refused(None));
+            return Admission::Answered(Reply::Rejected(None));
         };
         if target.running.len() < cores {
             self.start(endpoint, call, faults, now);
             return Admission::Running;
         }
         if target.queue.len() >= queue_capacity {
-            return Admission::Answered(Reply::Refused(None));
+            return Admission::Answered(Reply::Rejected(None));
         }
         target.queue.push_back(call);
         Admission::Queued
@@ -299,8 +301,8 @@
             * call_factor
             * self.profile.service_time_factor
             * faults.slowdown;
-        if bernoulli(&mut call_rng, faults.tail.share) {
-            took *= faults.tail.factor;
+        if bernoulli(&mut call_rng, faults.heavy_tail.share) {
+            took *= faults.heavy_tail.factor;
         }
         took / self.warmth(now)
     }
@@ -358,7 +360,7 @@
     fn answer(&self, call: &Call, faults: &ActiveFaults) -> Reply {
         let mut rng = rng_for(self.seed, Stream::Call, call.number, draw_index::ANSWER);
         if bernoulli(&mut rng, faults.malformed_share) {
-            Reply::Spoilt
+            Reply::Malformed
         } else if bernoulli(&mut rng, self.kind.errors) {
             Reply::Failed
         } else {
--- a/crates/lab/src/model/rate_limit.rs
+++ b/crates/lab/src/model/rate_limit.rs
@@ -14,11 +14,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LimitDecision {
     /// The call is within the limit, and has been counted.
-    Within,
+    Admitted,
     /// The call is over the limit, which has capacity again after so long.
-    OverUntil(Millis),
+    RejectedFor(Millis),
     /// The call is over the limit, and the partner draws the wait from its own range.
-    OverWithOwnWait,
+    RejectedForDrawnWait,
 }
 
 /// Calls taken in the current span of a fixed window.
@@ -67,7 +67,7 @@
     /// Counts a call that comes at `now` against a limit of `rate` calls a second.
     pub fn admit(&mut self, rate: f64, now: Millis) -> LimitDecision {
         match self.limit {
-            Limit::None => LimitDecision::Within,
+            Limit::None => LimitDecision::Admitted,
             Limit::Window if self.rejected_count => self.admit_sliding(rate, now),
             Limit::Window => self.admit_fixed(rate, now),
             Limit::Rate => self.admit_bucket(rate, now),
@@ -83,8 +83,8 @@
         self.arrivals.push_back(now);
         // There is capacity again once as many have left the window as are over the limit.
         match self.arrivals.len().checked_sub(most + 1) {
-            None => LimitDecision::Within,
-            Some(over) => LimitDecision::OverUntil(self.arrivals[over] + self.window - now),
+            None => LimitDecision::Admitted,
+            Some(over) => LimitDecision::RejectedFor(self.arrivals[over] + self.window - now),
         }
     }
 
@@ -95,10 +95,10 @@
         }
         let most = (rate * self.window / 1e3).max(1.0);
         if self.fixed.taken + 1.0 > most {
-            return LimitDecision::OverUntil((index + 1) as f64 * self.window - now);
+            return LimitDecision::RejectedFor((index + 1) as f64 * self.window - now);
         }
         self.fixed.taken += 1.0;
-        LimitDecision::Within
+        LimitDecision::Admitted
     }
 
     fn admit_bucket(&mut self, rate: f64, now: Millis) -> LimitDecision {
@@ -107,9 +107,9 @@
         self.bucket.tokens = filled.min(depth);
         self.bucket.refilled_at = now;
         if self.bucket.tokens < 1.0 {
-            return LimitDecision::OverWithOwnWait;
+            return LimitDecision::RejectedForDrawnWait;
         }
         self.bucket.tokens -= 1.0;
-        LimitDecision::Within
+        LimitDecision::Admitted
     }
 }
--- a/crates/lab/src/model/site.rs
+++ b/crates/lab/src/model/site.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug)]
 pub struct PartnerProfile {
     /// Place among the world's kinds.
-    pub kind: usize,
+    pub kind_index: usize,
     /// Share of the traffic.
     pub traffic_share: f64,
     /// Calls a second at full load.
@@ -38,7 +38,7 @@
     /// Service times are so many times the class's.
     pub service_time_factor: f64,
     /// Endpoints that it starts with.
-    pub endpoints: u32,
+    pub endpoint_count: u32,
     /// Calls that one endpoint runs at a time.
     pub cores: u32,
     /// Calls that may queue at an endpoint.
@@ -49,9 +49,9 @@
 
 impl PartnerProfile {
     /// Calls a second that it can do when it is warm, given the mean work of a call in milliseconds.
-    pub fn capacity(&self, work: f64) -> f64 {
-        let served =
-            f64::from(self.cores * self.endpoints) * 1e3 / (work * self.service_time_factor);
+    pub fn capacity(&self, mean_work: f64) -> f64 {
+        let served = f64::from(self.cores * self.endpoint_count) * 1e3
+            / (mean_work * self.service_time_factor);
         self.rate_limit.map_or(served, |limit| limit.min(served))
     }
 }
@@ -62,7 +62,7 @@
     /// Every partner, by its number.
     pub partners: Vec<PartnerProfile>,
     /// Mean work of a message, in milliseconds.
-    pub work: f64,
+    pub mean_work: f64,
 }
 
 impl Site {
@@ -73,7 +73,7 @@
             partners: (0..draft.kinds.len())
                 .map(|number| draft.partner(number, seed))
                 .collect(),
-            work: draft.work,
+            mean_work: draft.mean_work,
         }
     }
 
@@ -90,7 +90,7 @@
 struct Draft<'a> {
     world: &'a World,
     /// Mean work of a message, in milliseconds.
-    work: f64,
+    mean_work: f64,
     /// The kind of each partner.
     kinds: Vec<usize>,
     /// The rank of each partner by traffic, from zero.
@@ -110,7 +110,7 @@
             .collect();
         Draft {
             world,
-            work: mean_work(world),
+            mean_work: mean_work(world),
             kinds,
             ranks,
             all_parts: parts.iter().sum(),
@@ -128,31 +128,31 @@
         let least_rate = uniform(&mut rng, kind.least_rate);
         let limit = (headroom * full_rate).max(least_rate);
         let service_time_factor = uniform(&mut rng, kind.service_time_factor);
-        let endpoints = self.endpoints(number, &mut rng);
+        let endpoint_count = self.draw_endpoint_count(number, &mut rng);
         let spare = LEAST_SPARE + SPARE_RANGE * rng.random::<f64>();
-        let busy = limit * self.work * service_time_factor / 1e3 * spare;
-        let cores = (busy / f64::from(endpoints)).ceil().max(1.0) as u32;
+        let busy = limit * self.mean_work * service_time_factor / 1e3 * spare;
+        let cores = (busy / f64::from(endpoint_count)).ceil().max(1.0) as u32;
         let queue_capacity =
             (uniform(&mut rng, kind.queue_per_core) * f64::from(cores)).round() as u32;
         let weight_error = 2f64.powf(WEIGHT_ERROR_EXPONENT * (rng.random::<f64>() - 0.5));
         let mut profile = PartnerProfile {
-            kind: self.kinds[number],
+            kind_index: self.kinds[number],
             traffic_share,
             full_rate,
             rate_limit: (kind.limit != Limit::None).then_some(limit),
             service_time_factor,
-            endpoints,
+            endpoint_count,
             cores,
             queue_capacity,
             advertised_weight: 0.0,
         };
-        profile.advertised_weight = profile.capacity(self.work) * weight_error;
+        profile.advertised_weight = profile.capacity(self.mean_work) * weight_error;
         profile
     }
 
     /// Draws how many endpoints a partner has. Busier partners have more: the upper half by rank gets those over the
     /// mean.
-    fn endpoints(&self, number: usize, rng: &mut Pcg64Mcg) -> u32 {
+    fn draw_endpoint_count(&self, number: usize, rng: &mut Pcg64Mcg) -> u32 {
         let place = 1.0 - self.ranks[number] as f64 / self.parts.len() as f64;
         let more = 2.0 * (self.world.mean_endpoints - 1.0) * place;
         (1.0 + more + rng.random::<f64>() - 0.5)
--- a/crates/lab/src/network.rs
+++ b/crates/lab/src/network.rs
@@ -26,9 +26,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DrawnResets {
     /// Before its last byte.
-    pub before: bool,
+    pub before_last_byte: bool,
     /// After its last byte.
-    pub after: bool,
+    pub after_last_byte: bool,
 }
 
 /// The one-way latency of a call or of its reply, in milliseconds.
@@ -51,7 +51,7 @@
     let draw = RESET_DRAW + u64::from(attempt);
     let mut rng = rng_for(seed, Stream::Call, origin, draw);
     DrawnResets {
-        before: bernoulli(&mut rng, faults.before),
-        after: bernoulli(&mut rng, faults.after),
+        before_last_byte: bernoulli(&mut rng, faults.before_last_byte),
+        after_last_byte: bernoulli(&mut rng, faults.after_last_byte),
     }
 }
--- a/crates/lab/src/sim/calls.rs
+++ b/crates/lab/src/sim/calls.rs
@@ -50,7 +50,12 @@
         }
         let partner = self.environment.partner_of(endpoint);
         let faults = self.environment.faults_at(partner, self.now);
-        let resets = network::draw_resets(self.seed, attempt.origin, attempt.number, faults.reset);
+        let resets = network::draw_resets(
+            self.seed,
+            attempt.origin,
+            attempt.number,
+            faults.connection_resets,
+        );
         let connection = self.take_connection(sender, endpoint);
         let call = self.add_call(Call {
             id,
@@ -60,7 +65,7 @@
             partner,
             endpoint,
             sent_at: self.now,
-            reset_after: resets.after,
+            reset_after: resets.after_last_byte,
         });
         self.record(What::Call {
             call,
@@ -71,7 +76,7 @@
             fresh: connection.is_new(),
         });
         self.schedule(self.now + timeout, SimEvent::CallTimeout { call });
-        self.cross_network(call, connection, &faults, resets.before);
+        self.cross_network(call, connection, &faults, resets.before_last_byte);
     }
 
     fn take_connection(&mut self, sender: u32, endpoint: u32) -> Connection {
@@ -166,15 +171,15 @@
     pub(super) fn answer_at_sender(&mut self, call: u64, reply: Reply) {
         let outcome = match reply {
             Reply::Served => Outcome::Success,
-            Reply::Failed | Reply::Spoilt => Outcome::Failure,
-            Reply::Refused(wait) => Outcome::Overloaded {
+            Reply::Failed | Reply::Malformed => Outcome::Failure,
+            Reply::Rejected(wait) => Outcome::Overloaded {
                 retry_after: nanos(wait.unwrap_or(0.0)),
             },
         };
         let Some(ended) = self.end_call(call, outcome) else {
             return;
         };
-        if reply == Reply::Spoilt {
+        if reply == Reply::Malformed {
             self.connections[ended.endpoint as usize] -= 1;
             return;
         }
--- a/crates/lab/src/sim/discovery.rs
+++ b/crates/lab/src/sim/discovery.rs
@@ -17,7 +17,7 @@
         EndpointEntry {
             endpoint: EndpointId(endpoint),
             zone: ZoneId(0),
-            kind: KindId(profile.kind),
+            kind: KindId(profile.kind_index),
             destination: DestinationId(partner.into()),
             state,
             weight: profile.advertised_weight,
@@ -34,7 +34,7 @@
         for sender in 0..self.senders.len() as u32 {
             let at = self
                 .environment
-                .notified_at(sender, endpoint, listed, self.now);
+                .notification_time(sender, endpoint, listed, self.now);
             self.schedule(
                 at,
                 SimEvent::EndpointChange {
--- a/crates/lab/src/sim/faults.rs
+++ b/crates/lab/src/sim/faults.rs
@@ -4,13 +4,16 @@
 use super::simulation::Simulation;
 use crate::event_log::What;
 use crate::experiment::What as FailureKind;
-use crate::model::environment::{ListedState, OutageChange, REPLACEMENT_OVERLAP};
+use crate::model::environment::{ListedState, REPLACEMENT_OVERLAP};
 
 impl Simulation<'_> {
     /// A failure has begun or ended: partners go into an outage, or come out of one.
     pub(super) fn update_outages(&mut self) {
-        for OutageChange { partner, out } in self.environment.update_outages(self.now) {
-            self.record(What::Out { partner, out });
+        for change in self.environment.update_outages(self.now) {
+            self.record(What::Out {
+                partner: change.partner,
+                out: change.in_outage,
+            });
         }
     }
 
@@ -35,7 +38,7 @@
         if self.now >= replacing.end {
             return;
         }
-        if let Some(partner) = self.environment.next_replaced(failure, turn) {
+        if let Some(partner) = self.environment.next_partner_to_replace(failure, turn) {
             let replacement = self.environment.replace_endpoint(partner);
             self.connections.push(0);
             self.publish_endpoint(replacement.new, ListedState::Active);
--- a/crates/lab/src/sim/partners.rs
+++ b/crates/lab/src/sim/partners.rs
@@ -24,7 +24,7 @@
         };
         self.record(What::Arrived { call: number });
         if self.connections[endpoint as usize] > self.experiment.world.connections {
-            return self.reply(number, Reply::Refused(None));
+            return self.reply(number, Reply::Rejected(None));
         }
         let Delivery {
             admission,
--- a/crates/lab/src/sim/simulation.rs
+++ b/crates/lab/src/sim/simulation.rs
@@ -68,7 +68,7 @@
         let settings = variant_settings::checked_settings(experiment, variant, &environment.site)?;
         let world = &experiment.world;
         Ok(Simulation {
-            connections: vec![0; environment.owner.len()],
+            connections: vec![0; environment.endpoint_partners.len()],
             senders: (0..world.senders).map(|_| Sender::default()).collect(),
             judge: Judge::for_variant(experiment, variant),
             metrics: Metrics::new(&world.classes, 0.0, experiment.length),
@@ -153,7 +153,7 @@
     }
 
     fn start_with_all_endpoints(&mut self, sender: u32) {
-        for endpoint in 0..self.environment.owner.len() as u32 {
+        for endpoint in 0..self.environment.endpoint_partners.len() as u32 {
             let entry = self.endpoint_entry(endpoint, EndpointState::Active);
             let known = &mut self.senders[sender as usize].known_endpoints;
             known.insert(endpoint, entry);
@@ -205,7 +205,7 @@
             SimEvent::OutagesChange => self.update_outages(),
             SimEvent::FailureBegins { failure } => self.failure_begins(failure),
             SimEvent::ReplaceEndpoint { failure, turn } => self.replace_endpoint(failure, turn),
-            SimEvent::RetireEndpoint { endpoint } => self.environment.retire(endpoint),
+            SimEvent::RetireEndpoint { endpoint } => self.environment.retire_endpoint(endpoint),
             SimEvent::EndpointChange {
                 sender,
                 endpoint,
--- a/crates/lab/src/sim/variant_settings.rs
+++ b/crates/lab/src/sim/variant_settings.rs
@@ -36,7 +36,7 @@
         .iter()
         .map(|partner| partner.traffic_share * partner.service_time_factor)
         .sum::<f64>();
-    let busy = work_share * rate_per_sender * site.work / 1e3;
+    let busy = work_share * rate_per_sender * site.mean_work / 1e3;
     let in_flight = ((IN_FLIGHT_FACTOR * busy).round() as usize).max(LEAST_IN_FLIGHT);
     let held = ((HELD_SECONDS * rate_per_sender).round() as usize).max(LEAST_HELD);
     Settings {
--- a/crates/lab/src/sockets/calls.rs
+++ b/crates/lab/src/sockets/calls.rs
@@ -23,7 +23,7 @@
         };
         let connections = self.endpoints[call.endpoint as usize].connections;
         if connections > self.experiment.world.connections {
-            return self.schedule_reply(number, Reply::Refused(None));
+            return self.schedule_reply(number, Reply::Rejected(None));
         }
         let Delivery {
             admission,
@@ -103,7 +103,7 @@
             return;
         }
         self.calls.remove(&number);
-        if matches!(reply, Reply::Refused(_)) {
+        if matches!(reply, Reply::Rejected(_)) {
             self.note_rejection(call.message);
         }
         let now = self.now();
@@ -142,11 +142,11 @@
     match reply {
         Reply::Served => "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".into(),
         Reply::Failed => "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n".into(),
-        Reply::Spoilt => "\x01\x02 no answer at all \r\n\r\n".into(),
-        Reply::Refused(Some(wait)) => {
+        Reply::Malformed => "\x01\x02 no answer at all \r\n\r\n".into(),
+        Reply::Rejected(Some(wait)) => {
             let wait = wait.ceil() as u64;
             format!("HTTP/1.1 429 Wait\r\nX-Backoff-Ms: {wait}\r\nContent-Length: 0\r\n\r\n")
         }
-        Reply::Refused(None) => "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n".into(),
+        Reply::Rejected(None) => "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n".into(),
     }
 }
--- a/crates/lab/src/sockets/discovery.rs
+++ b/crates/lab/src/sockets/discovery.rs
@@ -103,7 +103,7 @@
             "uid": format!("s-{endpoint}"),
             "endpoint": self.endpoints[endpoint as usize].address.to_string(),
             "az": "a",
-            "model": self.experiment.world.kinds[profile.kind].name,
+            "model": self.experiment.world.kinds[profile.kind_index].name,
             "pod_group": partner,
             "state": state_name(state),
             "capacity_hint": profile.advertised_weight,
@@ -115,7 +115,9 @@
     pub fn announce_endpoint(&mut self, endpoint: u32, state: ListedState) {
         let now = self.now();
         for sender in 0..self.senders.len() as u32 {
-            let at = self.environment.notified_at(sender, endpoint, state, now);
+            let at = self
+                .environment
+                .notification_time(sender, endpoint, state, now);
             let notify = Event::NotifySender {
                 sender,
                 endpoint,
--- a/crates/lab/src/sockets/faults.rs
+++ b/crates/lab/src/sockets/faults.rs
@@ -9,7 +9,7 @@
 use super::testbed::{EndpointSocket, Testbed};
 use crate::event_log::{Silence, What};
 use crate::experiment::What as FailureKind;
-use crate::model::environment::{ListedState, OutageChange, REPLACEMENT_OVERLAP, Replacement};
+use crate::model::environment::{ListedState, REPLACEMENT_OVERLAP, Replacement};
 
 /// SIGKILL comes so long after SIGTERM, for a sender that has not ended by itself.
 const KILL_AFTER: Millis = 3_700.0;
@@ -19,8 +19,11 @@
     pub fn apply_faults(&mut self) {
         let now = self.now();
         self.apply_full_disks(now);
-        for OutageChange { partner, out } in self.environment.update_outages(now) {
-            self.record(What::Out { partner, out });
+        for change in self.environment.update_outages(now) {
+            self.record(What::Out {
+                partner: change.partner,
+                out: change.in_outage,
+            });
         }
         // Endpoints that could not be reached get the connections that waited for them.
         self.recheck_endpoint_listeners();
@@ -100,7 +103,7 @@
         if now >= told.end {
             return;
         }
-        if let Some(partner) = self.environment.next_replaced(failure, turn) {
+        if let Some(partner) = self.environment.next_partner_to_replace(failure, turn) {
             let Replacement { old, new } = self.environment.replace_endpoint(partner);
             let reused = told.reuse && self.reuse_address(new);
             if !reused && let Err(error) = self.open_endpoint(new) {
@@ -135,7 +138,7 @@
 
     /// An endpoint's machine is gone: its connections end, and its address is free for another one.
     pub fn retire_endpoint(&mut self, endpoint: u32) {
-        self.environment.retire(endpoint);
+        self.environment.retire_endpoint(endpoint);
         for (key, call) in self.connections_of(endpoint) {
             if let Some(call) = call {
                 self.calls.remove(&call);
--- a/crates/lab/src/sockets/partners.rs
+++ b/crates/lab/src/sockets/partners.rs
@@ -109,7 +109,7 @@
             ParsedRequest::Complete(request) => {
                 socket.connection.consume(request.consumed);
                 match self.check_request(endpoint, &request) {
-                    Ok(message) => self.begin_call(key, message, faults.reset, now),
+                    Ok(message) => self.begin_call(key, message, faults.connection_resets, now),
                     Err(error) => self.fail(error),
                 }
             }
@@ -170,7 +170,7 @@
             connection: key,
             partner,
             endpoint,
-            reset_when_running: resets.after,
+            reset_when_running: resets.after_last_byte,
         };
         self.calls.insert(call, started);
         self.record(What::Call {
@@ -181,7 +181,7 @@
             endpoint,
             fresh,
         });
-        if resets.before || stale {
+        if resets.before_last_byte || stale {
             // Its sender cannot tell this from one that has run.
             self.reset_call(call, key);
             return;
--- a/crates/lab/src/sockets/testbed.rs
+++ b/crates/lab/src/sockets/testbed.rs
@@ -164,7 +164,7 @@
     }
 
     fn open_endpoints(&mut self) -> Result<(), LabError> {
-        for endpoint in 0..self.environment.owner.len() as u32 {
+        for endpoint in 0..self.environment.endpoint_partners.len() as u32 {
             self.open_endpoint(endpoint)?;
         }
         Ok(())
@@ -217,7 +217,7 @@
     }
 
     fn first_endpoint_list(&self) -> BTreeMap<u32, ListedState> {
-        (0..self.environment.owner.len() as u32)
+        (0..self.environment.endpoint_partners.len() as u32)
             .map(|endpoint| (endpoint, ListedState::Active))
             .collect()
     }
--- a/crates/lab/tests/hostile.rs
+++ b/crates/lab/tests/hostile.rs
@@ -56,7 +56,7 @@
                 let (origin, at) = origins[id];
                 first.get_mut(&origin).unwrap().get_or_insert(fact.at - at);
             }
-            (Some(_), Reply::Refused(_)) => sum.refused += 1.0,
+            (Some(_), Reply::Rejected(_)) => sum.refused += 1.0,
             _ => {}
         },
         _ => {}
--- a/crates/lab/tests/judge/answers.rs
+++ b/crates/lab/tests/judge/answers.rs
@@ -18,7 +18,7 @@
     vec![vec![taken(1, UNSAFE).remove(0), (1.0, What::Answered { id: 1, status: 503 })], sent(1, 1, 1, 9.0),
          vec![replied(1, Reply::Served, 99.0)]], &[Rule::OneAnswer])]
 #[case::sent_after_its_end(
-    vec![taken(1, KEYED), vec![notice(1, true, 50.0)], sent(1, 1, 1, 60.0), vec![replied(1, Reply::Refused(None), 90.0)]],
+    vec![taken(1, KEYED), vec![notice(1, true, 50.0)], sent(1, 1, 1, 60.0), vec![replied(1, Reply::Rejected(None), 90.0)]],
     &[Rule::OneAnswer])]
 #[case::two_ends(vec![taken(1, UNSAFE), vec![notice(1, true, 50.0), notice(1, false, 60.0)]], &[Rule::OneAnswer])]
 #[case::one_end_told_twice(vec![taken(1, UNSAFE), vec![notice(1, true, 50.0), notice(1, true, 60.0)]], &[])]
--- a/crates/lab/tests/judge/endpoints.rs
+++ b/crates/lab/tests/judge/endpoints.rs
@@ -47,7 +47,7 @@
             let at = 500.0 * call as f64;
             parts.extend([
                 sent(call, 1, 1, at),
-                vec![replied(call, Reply::Refused(None), at + 100.0)],
+                vec![replied(call, Reply::Rejected(None), at + 100.0)],
             ]);
         }
         verdict(&history(parts))
@@ -82,7 +82,7 @@
     for call in 0..10 {
         let at = 5_500.0 + 100.0 * call as f64;
         let ended = vec![
-            replied(call, Reply::Refused(None), at + 40.0),
+            replied(call, Reply::Rejected(None), at + 40.0),
             notice(call, true, at + 50.0),
         ];
         parts.extend([
@@ -93,7 +93,7 @@
     }
     if saw {
         let ended = vec![
-            replied(90, Reply::Refused(None), 60.0),
+            replied(90, Reply::Rejected(None), 60.0),
             notice(90, true, 80.0),
         ];
         parts.extend([taken(90, UNSAFE), sent(90, 90, 1, 5.0), ended]);
--- a/crates/lab/tests/judge/repeats.rs
+++ b/crates/lab/tests/judge/repeats.rs
@@ -8,7 +8,7 @@
 use crate::history::{KEYED, UNSAFE, again, history, notice, replied, sent, taken, verdict};
 
 #[rstest]
-#[case::refused(Some(Reply::Refused(None)), None, UNSAFE, 500.0, &[])]
+#[case::refused(Some(Reply::Rejected(None)), None, UNSAFE, 500.0, &[])]
 #[case::never_sent(None, Some(Silence::NeverSent), UNSAFE, 500.0, &[])]
 #[case::reset(None, Some(Silence::Reset), UNSAFE, 500.0, &[Rule::NoSecondEffect])]
 #[case::died(None, Some(Silence::Died), UNSAFE, 500.0, &[Rule::NoSecondEffect])]
@@ -16,7 +16,7 @@
 #[case::still_out(None, None, UNSAFE, 500.0, &[Rule::NoSecondEffect])]
 #[case::keyed_in_its_window(None, Some(Silence::TimedOut), KEYED, 5_900.0, &[])]
 #[case::keyed_out_of_it(None, Some(Silence::TimedOut), KEYED, 6_100.0, &[Rule::KeyWindow])]
-#[case::keyed_that_never_ran(Some(Reply::Refused(None)), None, KEYED, 9_000.0, &[])]
+#[case::keyed_that_never_ran(Some(Reply::Rejected(None)), None, KEYED, 9_000.0, &[])]
 fn what_may_have_run_is_repeated_only_where_its_class_allows(
     #[case] reply: Option<Reply>,
     #[case] silence: Option<Silence>,
--- a/crates/lab/tests/judge/waits.rs
+++ b/crates/lab/tests/judge/waits.rs
@@ -13,7 +13,7 @@
 #[case::when_it_is_over(2_060.0, &[])]
 fn a_told_wait_binds_all_messages(#[case] at: f64, #[case] want: &[Rule]) {
     let told = vec![
-        replied(1, Reply::Refused(Some(2_000.0)), 50.0),
+        replied(1, Reply::Rejected(Some(2_000.0)), 50.0),
         notice(1, true, 60.0),
     ];
     let end = vec![replied(2, Reply::Served, at + 300.0)];
@@ -33,7 +33,7 @@
  {
     let off = |at: f64| {
         let told = vec![
-            replied(1, Reply::Refused(Some(2_000.0)), 50.0),
+            replied(1, Reply::Rejected(Some(2_000.0)), 50.0),
             (
                 at,
                 What::Ended {
@@ -54,11 +54,11 @@
     };
     assert_eq!((off(55.0), off(400.0)), (vec![], vec![Rule::Waits]));
     let first = vec![
-        replied(1, Reply::Refused(Some(2_000.0)), 50.0),
+        replied(1, Reply::Rejected(Some(2_000.0)), 50.0),
         notice(1, true, 60.0),
     ];
     let second = vec![
-        replied(2, Reply::Refused(Some(9_000.0)), 120.0),
+        replied(2, Reply::Rejected(Some(9_000.0)), 120.0),
         (
             125.0,
             What::Ended {
@@ -89,7 +89,7 @@
 #[test]
 fn a_restart_ends_a_wait_and_excuses_an_end_for_a_moment() {
     let told = vec![
-        replied(1, Reply::Refused(Some(9_000.0)), 50.0),
+        replied(1, Reply::Rejected(Some(9_000.0)), 50.0),
         notice(1, true, 60.0),
     ];
     let life = vec![
--- a/crates/lab/tests/model.rs
+++ b/crates/lab/tests/model.rs
@@ -22,7 +22,7 @@
            class {{ name: \"c\" share: 1 work_ms {{ least: 100 most: 100 }} cv: 0.01 }} }}"
     ));
     let site = Site::new(&x.world, 1);
-    let partner = Partner::new(&site.partners[0], &x.world.kinds[0], site.work, 1, [0]);
+    let partner = Partner::new(&site.partners[0], &x.world.kinds[0], site.mean_work, 1, [0]);
     (x, site, partner)
 }
 
@@ -56,7 +56,7 @@
     );
     assert_eq!(
         admissions[24],
-        Admission::Answered(Reply::Refused(Some(1_500.0)))
+        Admission::Answered(Reply::Rejected(Some(1_500.0)))
     );
     assert!(
         !matches!(
@@ -121,19 +121,19 @@
         lone("limit: NONE cold_from: 0.25 cold_s: 8 queue { least: 0 most: 0 }");
     let faults = no_faults(&x, &site);
     partner.deliver(0, call(1), &faults, 0.0);
-    partner.set_out(true, 1.0);
+    partner.set_outage(true, 1.0);
     assert_eq!(partner.next_completion(), None, "what ran there is lost");
-    partner.set_out(false, 10_000.0);
+    partner.set_outage(false, 10_000.0);
     assert_eq!(
         (partner.warmth(10_000.0), partner.warmth(18_000.0)),
         (0.25, 1.0)
     );
-    let can = site.partners[0].capacity(site.work);
+    let can = site.partners[0].capacity(site.mean_work);
     let push = |times: f64| {
         let (_, _, mut partner) =
             lone("limit: NONE cold_from: 0.25 cold_s: 8 queue { least: 0 most: 0 }");
-        partner.set_out(true, 1.0);
-        partner.set_out(false, 10_000.0);
+        partner.set_outage(true, 1.0);
+        partner.set_outage(false, 10_000.0);
         let gap = 1e3 / (can * times);
         let count = (4_000.0 / gap) as u64;
         (0..count).for_each(|no| {
@@ -162,9 +162,9 @@
         [1.0, 2.0, 6.0, 3.0, 1.0]
     );
     assert!(
-        faults.is_out(ranked[0], 12e3)
-            && !faults.is_out(ranked[1], 12e3)
-            && !faults.is_out(ranked[0], 15e3)
+        faults.in_outage(ranked[0], 12e3)
+            && !faults.in_outage(ranked[1], 12e3)
+            && !faults.in_outage(ranked[0], 15e3)
     );
     assert_eq!(
         faults.active_at(ranked[0], 32_100.0).paused_until,
@@ -176,7 +176,13 @@
         None,
         "the smallest is not among half of the traffic"
     );
-    assert_eq!(faults.active_at(ranked[9], 41e3).reset.after, 0.75);
+    assert_eq!(
+        faults
+            .active_at(ranked[9], 41e3)
+            .connection_resets
+            .after_last_byte,
+        0.75
+    );
 }
 
 #[test]
--- a/crates/lab/tests/orders/calls.rs
+++ b/crates/lab/tests/orders/calls.rs
@@ -200,7 +200,7 @@
         let Some(call) = picked else {
             return;
         };
-        self.seen.retry_afters += usize::from(matches!(reply, Reply::Refused(Some(_))));
+        self.seen.retry_afters += usize::from(matches!(reply, Reply::Rejected(Some(_))));
         self.fact(What::Replied { call, reply });
         self.end_and_tell(call, outcome);
     }
--- a/crates/lab/tests/orders/steps.rs
+++ b/crates/lab/tests/orders/steps.rs
@@ -113,7 +113,7 @@
             Step::Overloaded(pick, wait) => {
                 let retry_after = nanos(wait);
                 let overloaded = Outcome::Overloaded { retry_after };
-                self.answer(pick, Reply::Refused(Some(wait)), overloaded);
+                self.answer(pick, Reply::Rejected(Some(wait)), overloaded);
             }
             Step::Reset(pick) => self.lose_picked(pick, Silence::Reset, Outcome::ConnectionLost),
             Step::Withdrawn(pick) => self.lose_picked(pick, Silence::NeverSent, Outcome::NotSent),
--- a/crates/lab/tests/runs.rs
+++ b/crates/lab/tests/runs.rs
@@ -75,7 +75,7 @@
         count("network", |w| matches!(
             w,
             What::Replied {
-                reply: Reply::Spoilt,
+                reply: Reply::Malformed,
                 ..
             }
         )) > 5
@@ -90,7 +90,7 @@
         count("cold-return", |w| matches!(
             w,
             What::Replied {
-                reply: Reply::Refused(Some(_)),
+                reply: Reply::Rejected(Some(_)),
                 ..
             }
         )) > 20
