--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -34,7 +34,7 @@
 
 /// The sender that a message is submitted to.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct HandIn {
+pub struct SenderChoice {
     /// The sender's number.
     pub sender: u32,
     /// How long the message takes there.
@@ -87,13 +87,13 @@
 
     /// Chooses which of the senders that are up a message is submitted to, as a load balancer would; none where none
     /// is up.
-    pub fn choose_sender(&self, origin: u64, up: &[u32]) -> Option<HandIn> {
+    pub fn choose_sender(&self, origin: u64, up: &[u32]) -> Option<SenderChoice> {
         let retries = self.message(origin).retries;
         let mut rng = rng_for(self.seed, Stream::Client, origin, retries.into());
         let places = Span::new(0.0, up.len() as f64 - INDEX_MARGIN);
         let place = uniform(&mut rng, places) as usize;
         let sender = *up.get(place)?;
-        Some(HandIn {
+        Some(SenderChoice {
             sender,
             latency: uniform(&mut rng, HAND_IN_LATENCY),
         })
--- a/crates/lab/src/commands/members.rs
+++ b/crates/lab/src/commands/members.rs
@@ -1,6 +1,6 @@
 //! `members`: membership at size, in simulated time.
 
-use martenlatch_lab::members::{self, Figures};
+use martenlatch_lab::members::{self, MembershipFigures};
 use martenlatch_lab::outcome::SampleStatistics;
 use miette::miette;
 
@@ -20,7 +20,7 @@
     print_head();
     for size in &options.members {
         for loss in &options.loss {
-            let by_seed: Vec<Figures> = (1..=options.repeats.max(1))
+            let by_seed: Vec<MembershipFigures> = (1..=options.repeats.max(1))
                 .map(|seed| members::measure(*size, *loss, seed))
                 .collect();
             print_line(*size, *loss, &by_seed);
@@ -46,21 +46,21 @@
     );
 }
 
-fn print_line(size: usize, loss: f64, by_seed: &[Figures]) {
-    let mean = |read: fn(&Figures) -> f64| {
+fn print_line(size: usize, loss: f64, by_seed: &[MembershipFigures]) {
+    let mean = |read: fn(&MembershipFigures) -> f64| {
         SampleStatistics::of(&by_seed.iter().map(read).collect::<Vec<_>>()).mean
     };
-    let spans = |read: fn(&Figures) -> Option<f64>| {
+    let spans = |read: fn(&MembershipFigures) -> Option<f64>| {
         format_spans(&by_seed.iter().map(read).collect::<Vec<_>>())
     };
     println!(
         "{size:>8} {loss:>6} {:>11.0} {:>13.2} {:>18} {:>18} {:>13.1} {:>8.1}",
-        mean(|figures| figures.bytes),
-        mean(|figures| figures.datagrams),
-        spans(|figures| figures.death),
-        spans(|figures| figures.join),
+        mean(|figures| figures.bytes_per_second),
+        mean(|figures| figures.datagrams_per_second),
+        spans(|figures| figures.death_known_after),
+        spans(|figures| figures.join_known_after),
         mean(|figures| figures.false_deaths as f64),
-        mean(|figures| figures.unknown as f64),
+        mean(|figures| figures.unknown_pairs as f64),
     );
 }
 
--- a/crates/lab/src/commands/run.rs
+++ b/crates/lab/src/commands/run.rs
@@ -82,15 +82,15 @@
     );
     for VariantTurns { variant, turns } in machine {
         let name = report::escaped(variant);
-        for (bits, statistics) in &turns.by_held {
+        for (bits, statistics) in &turns.by_held_bits {
             let TurnStatistics {
                 count,
-                total,
-                longest,
+                total_ns,
+                longest_ns,
             } = *statistics;
             let most_held = (1u64 << bits) - 1;
-            let mean = total as f64 / count as f64 / NANOSECONDS_PER_MICROSECOND;
-            let longest = longest as f64 / NANOSECONDS_PER_MICROSECOND;
+            let mean = total_ns as f64 / count as f64 / NANOSECONDS_PER_MICROSECOND;
+            let longest = longest_ns as f64 / NANOSECONDS_PER_MICROSECOND;
             html +=
                 &format!("<tr><td>{name}<td>{most_held}<td>{count}<td>{mean:.1}<td>{longest:.1}");
         }
@@ -138,7 +138,7 @@
         }
     };
     let variant = &experiment.variants[0];
-    sim::play(experiment, variant, experiment.seed, Some(Box::new(sink))).map_err(report)?;
+    sim::run(experiment, variant, experiment.seed, Some(Box::new(sink))).map_err(report)?;
     file.flush().map_err(file_report(&path))?;
     match first_error {
         Some(error) => Err(file_report(&path)(error)),
--- a/crates/lab/src/commands/turns.rs
+++ b/crates/lab/src/commands/turns.rs
@@ -19,11 +19,11 @@
         let cost = turn_cost::measure(*held, options.turns.max(1)).map_err(report)?;
         println!(
             "{:>8} {:>13} {:>11.1} {:>11.1} {:>11.1}",
-            cost.held, cost.destinations, cost.median, cost.p99, cost.longest
+            cost.held, cost.destinations, cost.median_us, cost.p99_us, cost.longest_us
         );
         medians.push(Point {
             x: cost.held as f64,
-            y: cost.median,
+            y: cost.median_us,
         });
     }
     if let Some(file) = &options.plot {
--- a/crates/lab/src/members.rs
+++ b/crates/lab/src/members.rs
@@ -14,48 +14,48 @@
 
 /// What was measured with one number of members, one loss and one seed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Figures {
+pub struct MembershipFigures {
     /// Sent by each member in a second, with the 28 bytes that UDP over IPv4 adds.
-    pub bytes: f64,
+    pub bytes_per_second: f64,
     /// Datagrams of each member in a second.
-    pub datagrams: f64,
+    pub datagrams_per_second: f64,
     /// Until a death is known to all others, in milliseconds; none where it was not within a minute.
-    pub death: Option<Millis>,
+    pub death_known_after: Option<Millis>,
     /// Until a newcomer and all others know each other, in milliseconds; none where they did not within a minute.
-    pub join: Option<Millis>,
+    pub join_known_after: Option<Millis>,
     /// Times that any member declared a running one dead, while nobody died.
     pub false_deaths: u64,
     /// Pairs that did not know each other as members when the steady time was over.
-    pub unknown: usize,
+    pub unknown_pairs: usize,
 }
 
 /// Measures one network. `loss` is the share of the datagrams that is lost. The same seed gives the same figures.
-pub fn measure(members: usize, loss: f64, seed: u64) -> Figures {
+pub fn measure(members: usize, loss: f64, seed: u64) -> MembershipFigures {
     let mut network = SimulatedNetwork::of(members, loss, seed);
     network.run(SETTLING_TIME);
     let figures = measure_steady(&mut network, members);
     let newcomer = members;
-    let join = measure_join(&mut network, newcomer, members);
-    let death = measure_death(&mut network, newcomer, members);
-    Figures {
-        join,
-        death,
+    let join_known_after = measure_join(&mut network, newcomer, members);
+    let death_known_after = measure_death(&mut network, newcomer, members);
+    MembershipFigures {
+        join_known_after,
+        death_known_after,
         ..figures
     }
 }
 
-fn measure_steady(network: &mut SimulatedNetwork, members: usize) -> Figures {
+fn measure_steady(network: &mut SimulatedNetwork, members: usize) -> MembershipFigures {
     let (datagrams_before, bytes_before) = network.sent;
     let deaths_before = network.deaths();
     network.run(STEADY_TIME);
     let (datagrams, bytes) = network.sent;
     let member_seconds = STEADY_TIME / 1e3 * members as f64;
-    Figures {
-        datagrams: (datagrams - datagrams_before) as f64 / member_seconds,
-        bytes: (bytes - bytes_before) as f64 / member_seconds,
+    MembershipFigures {
+        datagrams_per_second: (datagrams - datagrams_before) as f64 / member_seconds,
+        bytes_per_second: (bytes - bytes_before) as f64 / member_seconds,
         false_deaths: (network.deaths() - deaths_before) as u64,
-        unknown: network.unknown(),
-        ..Figures::default()
+        unknown_pairs: network.unknown(),
+        ..MembershipFigures::default()
     }
 }
 
--- a/crates/lab/src/model/environment.rs
+++ b/crates/lab/src/model/environment.rs
@@ -198,7 +198,7 @@
         now: Millis,
     ) -> Millis {
         let change = (u64::from(endpoint) << 2) | state as u64;
-        let mut rng = rng_for(self.seed, Stream::List, change, sender.into());
+        let mut rng = rng_for(self.seed, Stream::EndpointList, change, sender.into());
         let late = uniform(&mut rng, self.list_lateness);
         let least = if state == ListedState::Removed {
             REPLACEMENT_OVERLAP
--- a/crates/lab/src/network.rs
+++ b/crates/lab/src/network.rs
@@ -33,12 +33,12 @@
 
 /// The one-way latency of a call or of its reply, in milliseconds.
 pub fn latency(experiment: &Experiment, seed: u64, call: u64, direction: Direction) -> Millis {
-    let mut rng = rng_for(seed, Stream::Travel, call, direction as u64);
+    let mut rng = rng_for(seed, Stream::Latency, call, direction as u64);
     uniform(&mut rng, experiment.world.latency)
 }
 
 /// How many one-way latencies pass until the last byte of a call is there.
-pub fn trips(new_connection: bool) -> f64 {
+pub fn one_way_trips(new_connection: bool) -> f64 {
     if new_connection {
         NEW_CONNECTION_TRIPS
     } else {
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -9,7 +9,7 @@
 use crate::error::LabError;
 use crate::experiment::{self, Experiment};
 use crate::outcome::{FailureSpan, Outcome, Run, Variant};
-use crate::sim::{self, SimulatedRun, Turns};
+use crate::sim::{self, SimulatedRun, TurnTimes};
 use crate::sockets::{self, resource_usage::ResourceUsage};
 
 /// A run on sockets is repeated at most so often in all where the machine was too busy.
@@ -23,7 +23,7 @@
     /// The variant's name.
     pub variant: String,
     /// Its turns over all runs.
-    pub turns: Turns,
+    pub turns: TurnTimes,
 }
 
 /// What a machine measured beside the outcome, one entry a variant.
@@ -133,7 +133,7 @@
         return None;
     }
     let variant = &experiment.variants[job.variant];
-    let played = sim::play_until(experiment, variant, job.seed, None, stop);
+    let played = sim::run_unless_stopped(experiment, variant, job.seed, None, stop);
     if played.is_err() && stop.load(Ordering::Relaxed) {
         return None;
     }
@@ -208,7 +208,7 @@
 fn no_turns(variant: &Variant) -> VariantTurns {
     VariantTurns {
         variant: variant.name.clone(),
-        turns: Turns::default(),
+        turns: TurnTimes::default(),
     }
 }
 
--- a/crates/lab/src/sampling.rs
+++ b/crates/lab/src/sampling.rs
@@ -18,11 +18,11 @@
     /// What happens to a single call.
     Call = 4,
     /// Network latency of a message or a call.
-    Travel = 5,
+    Latency = 5,
     /// What clients do after a rejection.
     Client = 6,
     /// Lateness of the endpoint list.
-    List = 7,
+    EndpointList = 7,
 }
 
 /// A closed range of numbers.
--- a/crates/lab/src/sim/calls.rs
+++ b/crates/lab/src/sim/calls.rs
@@ -112,7 +112,7 @@
     ) {
         let trip = self.latency(call, Direction::ToPartner);
         let is_new = connection.is_new();
-        let arrives_at = self.now + trip * network::trips(is_new);
+        let arrives_at = self.now + trip * network::one_way_trips(is_new);
         let is_stale = connection
             .idle_since
             .is_some_and(|since| self.now - since >= faults.idle_close_after);
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -31,7 +31,7 @@
 
 use simulation::Simulation;
 
-pub use turn_statistics::{TurnStatistics, Turns};
+pub use turn_statistics::{TurnStatistics, TurnTimes};
 pub use variant_settings::{checked_settings, settings};
 
 /// The decision module's clock at the start of a run.
@@ -40,7 +40,7 @@
 const SETTLING_TIME: Millis = 6_000.0;
 
 /// Where a run's facts also go.
-pub type Sink<'a> = Box<dyn FnMut(&LoggedEvent) + 'a>;
+pub type EventSink<'a> = Box<dyn FnMut(&LoggedEvent) + 'a>;
 
 /// The result of a run.
 #[derive(Debug)]
@@ -50,31 +50,31 @@
     /// What the judge found.
     pub verdict: Verdict,
     /// What turns of the decision module took.
-    pub turns: Turns,
+    pub turns: TurnTimes,
 }
 
 /// Runs one variant with one seed to its end. Every fact also goes to `sink`.
 ///
 /// # Errors
 /// Where the decision module rejects the settings.
-pub fn play<'a>(
+pub fn run<'a>(
     experiment: &'a Experiment,
     variant: &'a Variant,
     seed: u64,
-    sink: Option<Sink<'a>>,
+    sink: Option<EventSink<'a>>,
 ) -> Result<SimulatedRun, LabError> {
-    play_until(experiment, variant, seed, sink, &AtomicBool::new(false))
+    run_unless_stopped(experiment, variant, seed, sink, &AtomicBool::new(false))
 }
 
 /// Runs one variant with one seed, unless `stop` is set before its end. Every fact also goes to `sink`.
 ///
 /// # Errors
 /// Where the decision module rejects the settings, or the run was stopped.
-pub fn play_until<'a>(
+pub fn run_unless_stopped<'a>(
     experiment: &'a Experiment,
     variant: &'a Variant,
     seed: u64,
-    sink: Option<Sink<'a>>,
+    sink: Option<EventSink<'a>>,
     stop: &AtomicBool,
 ) -> Result<SimulatedRun, LabError> {
     let end = experiment.last_deadline() + SETTLING_TIME;
--- a/crates/lab/src/sim/simulation.rs
+++ b/crates/lab/src/sim/simulation.rs
@@ -9,8 +9,8 @@
 use super::calls::Call;
 use super::event::SimEvent;
 use super::sender::Sender;
-use super::turn_statistics::Turns;
-use super::{SimulatedRun, Sink, variant_settings};
+use super::turn_statistics::TurnTimes;
+use super::{EventSink, SimulatedRun, variant_settings};
 use crate::clients::Clients;
 use crate::delay_queue::DelayQueue;
 use crate::error::LabError;
@@ -45,8 +45,8 @@
     pub next_message: u64,
     judge: Judge,
     metrics: Metrics,
-    sink: Option<Sink<'a>>,
-    pub turns: Turns,
+    sink: Option<EventSink<'a>>,
+    pub turns: TurnTimes,
     /// A sender that starts receives the gossip of those that run.
     pub learns: bool,
     /// How old that gossip is.
@@ -62,7 +62,7 @@
         experiment: &'a Experiment,
         variant: &'a Variant,
         seed: u64,
-        sink: Option<Sink<'a>>,
+        sink: Option<EventSink<'a>>,
     ) -> Result<Simulation<'a>, LabError> {
         let environment = Environment::new(experiment, seed);
         let settings = variant_settings::checked_settings(experiment, variant, &environment.site)?;
@@ -74,7 +74,7 @@
             metrics: Metrics::new(&world.classes, 0.0, experiment.length),
             plan: load::plan(experiment, &environment.site, &environment.faults, seed),
             clients: Clients::new(experiment, seed),
-            turns: Turns::default(),
+            turns: TurnTimes::default(),
             calls: HashMap::new(),
             queue: DelayQueue::new(),
             now: 0.0,
--- a/crates/lab/src/sim/turn_statistics.rs
+++ b/crates/lab/src/sim/turn_statistics.rs
@@ -8,41 +8,44 @@
     /// How many turns there were.
     pub count: u64,
     /// Nanoseconds of all together.
-    pub total: u64,
+    pub total_ns: u64,
     /// Nanoseconds of the longest.
-    pub longest: u64,
+    pub longest_ns: u64,
 }
 
 impl TurnStatistics {
     fn add(&mut self, other: &TurnStatistics) {
         self.count += other.count;
-        self.total += other.total;
-        self.longest = self.longest.max(other.longest);
+        self.total_ns += other.total_ns;
+        self.longest_ns = self.longest_ns.max(other.longest_ns);
     }
 }
 
 /// What turns took, by how many messages were held.
 #[derive(Clone, Debug, Default)]
-pub struct Turns {
+pub struct TurnTimes {
     /// The turns for each number of bits of the number of messages held.
-    pub by_held: BTreeMap<u32, TurnStatistics>,
+    pub by_held_bits: BTreeMap<u32, TurnStatistics>,
 }
 
-impl Turns {
+impl TurnTimes {
     /// Adds what another run measured.
-    pub fn add_all(&mut self, other: &Turns) {
-        for (bits, statistics) in &other.by_held {
-            self.by_held.entry(*bits).or_default().add(statistics);
+    pub fn add_all(&mut self, other: &TurnTimes) {
+        for (bits, statistics) in &other.by_held_bits {
+            self.by_held_bits.entry(*bits).or_default().add(statistics);
         }
     }
 
     /// Adds one turn with `held` messages that took so many nanoseconds.
     pub(super) fn add(&mut self, held: usize, nanoseconds: u64) {
         let bits = usize::BITS - held.leading_zeros();
-        self.by_held.entry(bits).or_default().add(&TurnStatistics {
-            count: 1,
-            total: nanoseconds,
-            longest: nanoseconds,
-        });
+        self.by_held_bits
+            .entry(bits)
+            .or_default()
+            .add(&TurnStatistics {
+                count: 1,
+                total_ns: nanoseconds,
+                longest_ns: nanoseconds,
+            });
     }
 }
--- a/crates/lab/src/sockets/clients.rs
+++ b/crates/lab/src/sockets/clients.rs
@@ -7,7 +7,7 @@
 use super::event::{Event, HandInFailure};
 use super::peer::{ClientConnection, Peer, is_closed};
 use super::testbed::{SubmittedMessage, Testbed};
-use crate::clients::{ClientMessage, HandIn};
+use crate::clients::{ClientMessage, SenderChoice};
 use crate::event_log::What;
 use crate::experiment::Effect;
 
@@ -46,7 +46,7 @@
         let deadline = self.clients.message(origin).deadline;
         let up = self.senders_up();
         let chosen = self.clients.choose_sender(origin, &up);
-        let Some(HandIn { sender, .. }) = chosen.filter(|_| now < deadline) else {
+        let Some(SenderChoice { sender, .. }) = chosen.filter(|_| now < deadline) else {
             return self.schedule_retry(origin, HandInFailure::Unanswered);
         };
         let message = self.next_message;
--- a/crates/lab/src/sockets/partners.rs
+++ b/crates/lab/src/sockets/partners.rs
@@ -186,7 +186,8 @@
             self.reset_call(call, key);
             return;
         }
-        let arrival = now + self.latency(call, Direction::ToPartner) * network::trips(fresh);
+        let arrival =
+            now + self.latency(call, Direction::ToPartner) * network::one_way_trips(fresh);
         self.events.push(arrival, Event::CallArrived { call });
     }
 
--- a/crates/lab/src/turn_cost.rs
+++ b/crates/lab/src/turn_cost.rs
@@ -26,7 +26,7 @@
 
 /// What a turn costs with so many messages held, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cost {
+pub struct TurnCost {
     /// Messages held.
     pub held: usize,
     /// Destinations that they are for.
@@ -34,11 +34,11 @@
     /// Turns that were measured.
     pub turns: usize,
     /// Median of a turn, in microseconds.
-    pub median: f64,
+    pub median_us: f64,
     /// 99th percentile, in microseconds.
-    pub p99: f64,
+    pub p99_us: f64,
     /// The longest, in microseconds.
-    pub longest: f64,
+    pub longest_us: f64,
 }
 
 /// Measures turns with `held` messages, for a quarter as many destinations with two endpoints each: in every turn a
@@ -46,7 +46,7 @@
 ///
 /// # Errors
 /// Where the decision module rejects the settings.
-pub fn measure(held: usize, turns: usize) -> Result<Cost, LabError> {
+pub fn measure(held: usize, turns: usize) -> Result<TurnCost, LabError> {
     let destinations = (held / 4).max(1);
     let mut bench = Bench::new(held, destinations)?;
     // The first turn fills the store; each later one replaces what has ended.
@@ -54,13 +54,13 @@
     let mut took: Vec<f64> = (0..turns).map(|_| bench.turn(true)).collect();
     took.sort_by(f64::total_cmp);
     let quantile = |share: f64| took[((took.len() - 1) as f64 * share) as usize];
-    Ok(Cost {
+    Ok(TurnCost {
         held,
         destinations,
         turns,
-        median: quantile(0.5),
-        p99: quantile(0.99),
-        longest: quantile(1.0),
+        median_us: quantile(0.5),
+        p99_us: quantile(0.99),
+        longest_us: quantile(1.0),
     })
 }
 
--- a/crates/lab/tests/hostile.rs
+++ b/crates/lab/tests/hostile.rs
@@ -61,7 +61,7 @@
         },
         _ => {}
     };
-    let played = sim::play(&x, &x.variants[0], seed, Some(Box::new(sink))).unwrap();
+    let played = sim::run(&x, &x.variants[0], seed, Some(Box::new(sink))).unwrap();
     assert!(
         played.verdict.clean(),
         "seed {seed}: {:?}",
--- a/crates/lab/tests/runs.rs
+++ b/crates/lab/tests/runs.rs
@@ -27,7 +27,7 @@
 #[case("rough")]
 fn the_shipped_experiments_keep_every_rule(#[case] name: &str) {
     let x = shipped(name);
-    let played = sim::play(&x, &x.variants[0], x.seed, None).unwrap();
+    let played = sim::run(&x, &x.variants[0], x.seed, None).unwrap();
     assert!(played.verdict.clean(), "{:#?}", played.verdict);
     assert!(
         played.figures.messages > 1_000 && played.figures.share > 0.5,
@@ -42,7 +42,7 @@
     let facts = |seed: u64| {
         let mut all = String::new();
         let sink = |f: &martenlatch_lab::event_log::LoggedEvent| all += &format!("{f:?}\n");
-        let played = sim::play(&x, &x.variants[0], seed, Some(Box::new(sink))).unwrap();
+        let played = sim::run(&x, &x.variants[0], seed, Some(Box::new(sink))).unwrap();
         (all, serde_json::to_string(&played.figures).unwrap())
     };
     let (first, again, other) = (facts(5), facts(5), facts(6));
@@ -56,7 +56,7 @@
     let count = |name: &str, of: fn(&What) -> bool| {
         let (x, mut seen) = (shipped(name), 0);
         let sink = |f: &martenlatch_lab::event_log::LoggedEvent| seen += usize::from(of(&f.what));
-        sim::play(&x, &x.variants[0], 1, Some(Box::new(sink))).unwrap();
+        sim::run(&x, &x.variants[0], 1, Some(Box::new(sink))).unwrap();
         seen
     };
     use martenlatch_lab::event_log::Silence::*;
@@ -104,7 +104,7 @@
     let x = shipped("calm");
     let stop = Arc::new(AtomicBool::new(true));
     assert_eq!(
-        sim::play_until(&x, &x.variants[0], 1, None, &stop)
+        sim::run_unless_stopped(&x, &x.variants[0], 1, None, &stop)
             .unwrap_err()
             .to_string(),
         "stopped"
