--- a/crates/lab/src/model/environment.rs
+++ b/crates/lab/src/model/environment.rs
@@ -1,5 +1,5 @@
-//! All partners of a run together: which endpoint belongs to whom, which partners are in an outage, when the next
-//! call is done, and which endpoint replaces which. The same model serves simulated and real time.
+//! All partners of a run: which endpoint belongs to which partner, which partners are in an outage, when the next call
+//! completes, and which endpoint replaces which. Simulated runs and runs in real time use the same model.
 
 use martenlatch_clock::Millis;
 
@@ -9,96 +9,97 @@
 use crate::model::site::Site;
 use crate::sampling::{Span, Stream, rng_for, uniform};
 
-/// A replaced endpoint is gone so many milliseconds after its successor has come.
+/// Milliseconds from the appearance of a new endpoint until the endpoint that it replaces is removed.
 pub const REPLACEMENT_OVERLAP: Millis = 8_000.0;
 
-/// What the endpoint list says of an endpoint. The order is part of the random draws.
+/// The state of an endpoint in the endpoint list. The order of the variants is part of the random draws.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedState {
     /// In service.
     Active,
-    /// It finishes what it has.
+    /// It finishes the calls that it has and takes no new ones.
     Draining,
-    /// Not there any more.
+    /// No longer listed.
     Removed,
 }
 
-/// What became of a call that was delivered.
+/// The result of delivering a call to a partner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Delivery {
-    /// What its partner did with it.
+    /// Whether the partner answered the call at once, runs it or queued it.
     pub admission: Admission,
-    /// Its partner has collapsed under it.
+    /// Whether this call made the partner collapse.
     pub collapsed: bool,
 }
 
-/// A partner goes into an outage, or comes out of one.
+/// The start or the end of a partner's outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OutageChange {
     /// The partner's number.
     pub partner: u32,
-    /// Whether it is in an outage now.
+    /// Whether the partner is in an outage from now on.
     pub in_outage: bool,
 }
 
-/// An endpoint that takes the place of another.
+/// A new endpoint that replaces an old one of the same partner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Replacement {
-    /// The endpoint that leaves.
+    /// The endpoint that is replaced.
     pub old: u32,
-    /// Its successor.
+    /// The endpoint that replaces it.
     pub new: u32,
 }
 
 /// All partners of a run.
 #[derive(Debug)]
 pub struct Environment {
-    /// The partners as drawn.
+    /// The drawn properties of the partners.
     pub site: Site,
-    /// What goes wrong when.
+    /// The failures of the run, and when each is active.
     pub faults: FaultSchedule,
-    /// The partner of each endpoint that ever was.
+    /// The partner of each endpoint, including the endpoints that were removed.
     pub endpoint_partners: Vec<u32>,
     partners: Vec<Partner>,
     /// For each partner, whether it is in an outage.
     in_outage: Vec<bool>,
-    /// For each partner, when it was last said to be looked at.
-    next_completion: Vec<Option<Millis>>,
+    /// For each partner, the earliest completion that has been scheduled.
+    scheduled_completion: Vec<Option<Millis>>,
     /// Endpoints of each partner that are in service, oldest first.
-    serving: Vec<Vec<u32>>,
+    in_service: Vec<Vec<u32>>,
     seed: u64,
     list_lateness: Span,
 }
 
 impl Environment {
-    /// The partners that a seed draws, with their first endpoints numbered partner by partner.
+    /// Draws the partners for a seed. Their initial endpoints are numbered consecutively, partner by partner.
     pub fn new(experiment: &Experiment, seed: u64) -> Environment {
         let site = Site::new(&experiment.world, seed);
         let faults = FaultSchedule::new(experiment, &site);
         let mut endpoint_partners = Vec::new();
-        let mut serving = Vec::new();
+        let mut in_service = Vec::new();
         let mut partners = Vec::new();
         for (number, profile) in site.partners.iter().enumerate() {
-            let first = endpoint_partners.len() as u32;
+            let first_endpoint = endpoint_partners.len() as u32;
             endpoint_partners.extend(std::iter::repeat_n(
                 number as u32,
                 profile.endpoint_count as usize,
             ));
-            let own: Vec<u32> = (first..endpoint_partners.len() as u32).collect();
+            let own_endpoints: Vec<u32> =
+                (first_endpoint..endpoint_partners.len() as u32).collect();
             let kind = &experiment.world.kinds[profile.kind_index];
-            let endpoints = own.iter().copied();
+            let endpoints = own_endpoints.iter().copied();
             partners.push(Partner::new(profile, kind, site.mean_work, seed, endpoints));
-            serving.push(own);
+            in_service.push(own_endpoints);
         }
         Environment {
             in_outage: vec![false; partners.len()],
-            next_completion: vec![None; partners.len()],
+            scheduled_completion: vec![None; partners.len()],
             list_lateness: experiment.world.list_lateness,
             site,
             faults,
             endpoint_partners,
             partners,
-            serving,
+            in_service,
             seed,
         }
     }
@@ -108,12 +109,12 @@
         self.endpoint_partners[endpoint as usize]
     }
 
-    /// The faults of a partner at an instant.
+    /// The faults that are active for a partner at `now`.
     pub fn faults_at(&self, partner: u32, now: Millis) -> ActiveFaults {
         self.faults.active_at(partner as usize, now)
     }
 
-    /// Hands a call whose last byte has come to its partner.
+    /// Delivers a call whose last byte has arrived at an endpoint to the endpoint's partner.
     pub fn deliver(&mut self, endpoint: u32, call: Call, now: Millis) -> Delivery {
         let number = self.endpoint_partners[endpoint as usize] as usize;
         let faults = self.faults.active_at(number, now);
@@ -126,29 +127,30 @@
         }
     }
 
-    /// When a partner's next call is done, if that is sooner than was last said.
+    /// When a partner's next call completes, if that is earlier than the completion that is already scheduled.
     pub fn earlier_completion(&mut self, partner: u32) -> Option<Millis> {
         let next = self.partners[partner as usize].next_completion();
-        let known = &mut self.next_completion[partner as usize];
-        let sooner = next.filter(|at| known.is_none_or(|known| *at < known));
-        if sooner.is_some() {
-            *known = sooner;
+        let scheduled = &mut self.scheduled_completion[partner as usize];
+        let earlier = next.filter(|at| scheduled.is_none_or(|scheduled| *at < scheduled));
+        if earlier.is_some() {
+            *scheduled = earlier;
         }
-        sooner
+        earlier
     }
 
-    /// Lets a partner finish what is done by now; nothing where it was looked at already.
+    /// Completes a partner's calls that are done by `now`. Does nothing unless a completion is scheduled for `now` or
+    /// earlier.
     pub fn advance(&mut self, partner: u32, now: Millis) -> Progress {
         let number = partner as usize;
-        if self.next_completion[number].is_none_or(|at| at > now) {
+        if self.scheduled_completion[number].is_none_or(|at| at > now) {
             return Progress::default();
         }
-        self.next_completion[number] = None;
+        self.scheduled_completion[number] = None;
         let faults = self.faults.active_at(number, now);
         self.partners[number].advance(&faults, now)
     }
 
-    /// Follows a failure that has begun or ended: the partners that go into an outage, or come out of one.
+    /// Updates the partners after a failure has begun or ended, and returns the outages that begin or end with it.
     pub fn update_outages(&mut self, now: Millis) -> Vec<OutageChange> {
         let mut changes = Vec::new();
         for number in 0..self.partners.len() {
@@ -165,31 +167,33 @@
         changes
     }
 
-    /// The partner that a failure has an endpoint replaced of at its `turn`th time; they take turns.
-    pub fn next_partner_to_replace(&self, failure: usize, turn: usize) -> Option<u32> {
-        let hit = self.faults.partners_of(failure)?;
-        hit.get(turn % hit.len().max(1))
+    /// The partner of which a failure replaces an endpoint at its repetition number `repetition`, from zero. The
+    /// affected partners take turns. `None` if there is no such failure or it affects no partner.
+    pub fn next_partner_to_replace(&self, failure: usize, repetition: usize) -> Option<u32> {
+        let affected = self.faults.partners_affected_by(failure)?;
+        affected
+            .get(repetition % affected.len().max(1))
             .map(|partner| *partner as u32)
     }
 
-    /// Puts a new endpoint in the place of a partner's oldest.
+    /// Replaces the oldest endpoint that a partner has in service by a new one.
     pub fn replace_endpoint(&mut self, partner: u32) -> Replacement {
         let new = self.endpoint_partners.len() as u32;
         self.endpoint_partners.push(partner);
-        let serving = &mut self.serving[partner as usize];
-        let old = serving.remove(0);
-        serving.push(new);
+        let in_service = &mut self.in_service[partner as usize];
+        let old = in_service.remove(0);
+        in_service.push(new);
         self.partners[partner as usize].add_endpoint(new);
         Replacement { old, new }
     }
 
-    /// Has an endpoint take no more calls.
+    /// Makes an endpoint drain, so that it takes no more calls.
     pub fn retire_endpoint(&mut self, endpoint: u32) {
         let partner = self.endpoint_partners[endpoint as usize];
         self.partners[partner as usize].drain_endpoint(endpoint);
     }
 
-    /// When a sender is notified of a change to the endpoint list that is made now.
+    /// When a sender is notified of a change that is made to the endpoint list at `now`.
     pub fn notification_time(
         &self,
         sender: u32,
@@ -199,15 +203,15 @@
     ) -> Millis {
         let change = (u64::from(endpoint) << 2) | state as u64;
         let mut rng = rng_for(self.seed, Stream::EndpointList, change, sender.into());
-        let late = uniform(&mut rng, self.list_lateness);
-        let least = if state == ListedState::Removed {
+        let delay = uniform(&mut rng, self.list_lateness);
+        let overlap = if state == ListedState::Removed {
             REPLACEMENT_OVERLAP
         } else {
             0.0
         };
         match self.faults.discovery(now) {
-            Discovery::Up { delay_factor } => now + least + late * delay_factor,
-            Discovery::DownUntil(end) => end + least + late,
+            Discovery::Up { delay_factor } => now + overlap + delay * delay_factor,
+            Discovery::DownUntil(end) => end + overlap + delay,
         }
     }
 }
--- a/crates/lab/src/model/fault_schedule.rs
+++ b/crates/lab/src/model/fault_schedule.rs
@@ -1,56 +1,56 @@
-//! Which faults hit whom and when: an experiment's failures, combined for one partner at one instant. The schedule
-//! has no state of its own, so the same instant always has the same faults.
+//! Which faults affect which partner and when: an experiment's failures, combined for one partner at one instant. The
+//! schedule keeps no state that changes, so the same instant always has the same faults.
 
 use martenlatch_clock::Millis;
 
 use crate::experiment::{Experiment, Failure, What};
 use crate::model::site::Site;
 
-/// A part of the calls takes longer than the rest.
+/// A heavy tail of service times: some calls take longer than the rest.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HeavyTail {
-    /// The share of the calls.
+    /// The share of calls that take longer.
     pub share: f64,
-    /// Their service times are so many times as long.
+    /// The factor by which their service times are longer.
     pub factor: f64,
 }
 
-/// Shares of the calls whose connection is reset.
+/// The shares of calls whose connection is reset.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionResets {
-    /// Before the call's last byte.
+    /// Reset before the call's last byte.
     pub before_last_byte: f64,
-    /// After the call's last byte.
+    /// Reset after the call's last byte.
     pub after_last_byte: f64,
 }
 
-/// The faults of a partner at an instant.
+/// The faults that are active for a partner at an instant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ActiveFaults {
-    /// Takes calls and answers none.
+    /// The partner takes calls and answers none.
     pub hung: bool,
-    /// Rejects everything, until then.
+    /// Until when the partner rejects all calls. `None` if it does not.
     pub rejects_until: Option<Millis>,
-    /// Cannot be reached, and packets are dropped without a word.
+    /// The partner cannot be reached: packets to it are dropped silently.
     pub partitioned: bool,
-    /// Makes no progress until then.
+    /// Until when the partner makes no progress. `None` if it is not paused.
     pub paused_until: Option<Millis>,
-    /// Service times are so many times as long.
+    /// The factor by which all service times are longer.
     pub slowdown: f64,
-    /// A part of the calls takes longer still.
+    /// The calls that take longer still.
     pub heavy_tail: HeavyTail,
-    /// The rate limit is so many times what it was.
+    /// The factor that is applied to the rate limit.
     pub rate_limit_factor: f64,
-    /// Connections that are reset.
+    /// How often connections are reset.
     pub connection_resets: ConnectionResets,
-    /// Share of the answers that are malformed.
+    /// The share of answers that are malformed.
     pub malformed_share: f64,
-    /// Connections that have been idle for so long are closed without notice.
+    /// The idle time after which the partner closes a connection without notice.
     pub idle_close_after: Millis,
 }
 
 impl ActiveFaults {
-    /// No fault at all.
+    /// No active fault.
     pub const NONE: ActiveFaults = ActiveFaults {
         hung: false,
         rejects_until: None,
@@ -70,7 +70,7 @@
         idle_close_after: f64::INFINITY,
     };
 
-    /// Adds a failure that is active now.
+    /// Adds a failure that is active at `now`.
     fn add(&mut self, failure: &Failure, now: Millis) {
         match failure.what {
             What::Hang => self.hung = true,
@@ -87,19 +87,21 @@
             What::Tight => self.rate_limit_factor *= failure.size,
             What::ResetBefore => {
                 self.connection_resets.before_last_byte =
-                    either(self.connection_resets.before_last_byte, failure.share)
+                    probability_of_either(self.connection_resets.before_last_byte, failure.share)
             }
             What::ResetAfter => {
                 self.connection_resets.after_last_byte =
-                    either(self.connection_resets.after_last_byte, failure.share)
+                    probability_of_either(self.connection_resets.after_last_byte, failure.share)
+            }
+            What::Spoilt => {
+                self.malformed_share = probability_of_either(self.malformed_share, failure.share)
             }
-            What::Spoilt => self.malformed_share = either(self.malformed_share, failure.share),
             What::SilentClose => self.idle_close_after = self.idle_close_after.min(failure.size),
             _ => {}
         }
     }
 
-    /// Pauses come every `every` milliseconds and last `size` each.
+    /// Adds a failure whose pauses begin every `every` milliseconds and last `size` milliseconds each.
     fn add_pause(&mut self, failure: &Failure, now: Millis) {
         let since = (now - failure.start) % failure.every;
         if since < failure.size {
@@ -109,49 +111,49 @@
     }
 }
 
-/// The later of two instants of which the first may be missing.
+/// The later of two instants, the first of which may be missing.
 fn later(known: Option<Millis>, at: Millis) -> Millis {
     known.unwrap_or(0.0).max(at)
 }
 
 /// The probability that at least one of two independent events happens.
-fn either(one: f64, other: f64) -> f64 {
+fn probability_of_either(one: f64, other: f64) -> f64 {
     1.0 - (1.0 - one) * (1.0 - other)
 }
 
-/// How the endpoint list is delivered at an instant.
+/// The state of the discovery service at an instant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Discovery {
-    /// It works, and is so many times as late as usual.
+    /// It delivers the endpoint list.
     Up {
-        /// The factor on the usual delay.
+        /// The factor on the usual delay of changes.
         delay_factor: f64,
     },
-    /// It says nothing until then.
+    /// It delivers nothing until this instant.
     DownUntil(Millis),
 }
 
-/// A failure, with the partners that it is for.
+/// A failure and the partners that it affects.
 #[derive(Clone, Debug)]
 struct TargetedFailure {
     failure: Failure,
-    /// For each partner, whether it is hit.
-    hits: Vec<bool>,
+    /// For each partner, whether the failure affects it.
+    affected: Vec<bool>,
 }
 
-/// All failures of an experiment, each with the partners that it is for.
+/// All failures of an experiment, each with the partners that it affects.
 #[derive(Clone, Debug)]
 pub struct FaultSchedule {
     failures: Vec<TargetedFailure>,
 }
 
 impl FaultSchedule {
-    /// Finds out which partners each failure is for.
+    /// Determines which partners each failure affects.
     pub fn new(experiment: &Experiment, site: &Site) -> FaultSchedule {
         let ranked = site.by_traffic();
         let targeted = |failure: &Failure| TargetedFailure {
             failure: failure.clone(),
-            hits: partners_hit(failure, site, &ranked),
+            affected: affected_partners(failure, site, &ranked),
         };
         FaultSchedule {
             failures: experiment.failures.iter().map(targeted).collect(),
@@ -161,90 +163,94 @@
     fn active(&self, now: Millis) -> impl Iterator<Item = &TargetedFailure> {
         self.failures
             .iter()
-            .filter(move |it| now >= it.failure.start && now < it.failure.end)
+            .filter(move |targeted| now >= targeted.failure.start && now < targeted.failure.end)
     }
 
-    fn active_of(&self, what: What, now: Millis) -> impl Iterator<Item = &Failure> {
+    fn active_of_kind(&self, what: What, now: Millis) -> impl Iterator<Item = &Failure> {
         self.active(now)
             .map(|targeted| &targeted.failure)
             .filter(move |failure| failure.what == what)
     }
 
-    /// The faults of a partner at an instant.
+    /// The faults that are active for a partner at `now`.
     pub fn active_at(&self, partner: usize, now: Millis) -> ActiveFaults {
         let mut faults = ActiveFaults::NONE;
-        for targeted in self.active(now).filter(|it| it.hits[partner]) {
+        for targeted in self
+            .active(now)
+            .filter(|targeted| targeted.affected[partner])
+        {
             faults.add(&targeted.failure, now);
         }
         faults
     }
 
-    /// Whether a partner is in an outage: nothing that goes there is served, and it comes back cold.
+    /// Whether a partner is in an outage: it serves no calls, and it starts cold afterwards.
     pub fn in_outage(&self, partner: usize, now: Millis) -> bool {
         let faults = self.active_at(partner, now);
         faults.hung || faults.partitioned || faults.rejects_until.is_some()
     }
 
-    /// How many times the usual load comes at an instant.
+    /// The factor on the usual load at `now`.
     pub fn load_factor(&self, now: Millis) -> f64 {
-        self.active_of(What::Burst, now)
+        self.active_of_kind(What::Burst, now)
             .map(|failure| failure.size)
             .product()
     }
 
-    /// How the endpoint list is delivered at an instant.
+    /// The state of the discovery service at `now`.
     pub fn discovery(&self, now: Millis) -> Discovery {
         let down_until = self
-            .active_of(What::DiscoveryDown, now)
+            .active_of_kind(What::DiscoveryDown, now)
             .map(|failure| failure.end)
             .reduce(f64::max);
         match down_until {
             Some(until) => Discovery::DownUntil(until),
             None => Discovery::Up {
                 delay_factor: self
-                    .active_of(What::DiscoveryLate, now)
+                    .active_of_kind(What::DiscoveryLate, now)
                     .map(|failure| failure.size)
                     .product(),
             },
         }
     }
 
-    /// Whether the endpoint list is delivered at all at an instant.
+    /// Whether the discovery service delivers the endpoint list at `now`.
     pub fn discovery_up(&self, now: Millis) -> bool {
         matches!(self.discovery(now), Discovery::Up { .. })
     }
 
-    /// Whether senders cannot record anything new.
+    /// Whether the senders' disks are full, so that they cannot write any record.
     pub fn disk_full(&self, now: Millis) -> bool {
-        self.active_of(What::DiskFull, now).next().is_some()
+        self.active_of_kind(What::DiskFull, now).next().is_some()
     }
 
-    /// The partners that a failure is for, in ascending order; none where there is no such failure.
-    pub fn partners_of(&self, failure: usize) -> Option<Vec<usize>> {
+    /// The partners that a failure affects, in ascending order. `None` if there is no such failure.
+    pub fn partners_affected_by(&self, failure: usize) -> Option<Vec<usize>> {
         let targeted = self.failures.get(failure)?;
-        let hit = targeted.hits.iter().enumerate().filter(|(_, hit)| **hit);
-        Some(hit.map(|(partner, _)| partner).collect())
+        let affected = targeted.affected.iter().enumerate();
+        let affected = affected.filter(|(_, affected)| **affected);
+        Some(affected.map(|(partner, _)| partner).collect())
     }
 }
 
-/// Which partners a failure is for: those that it names by their rank, those with its share of the traffic, or all
-/// where it says neither.
-fn partners_hit(failure: &Failure, site: &Site, ranked: &[usize]) -> Vec<bool> {
+/// Determines which partners a failure affects: those that it names by their rank, and the largest ones that together
+/// have at most its share of the traffic (always the largest). It affects all partners if it gives neither.
+fn affected_partners(failure: &Failure, site: &Site, ranked: &[usize]) -> Vec<bool> {
     let all = failure.partner_ranks.is_empty() && failure.traffic_share.is_none();
-    let mut hits = vec![all; site.partners.len()];
+    let mut affected = vec![all; site.partners.len()];
     for rank in &failure.partner_ranks {
-        hits[ranked[*rank as usize]] = true;
+        affected[ranked[*rank as usize]] = true;
     }
-    let Some(traffic) = failure.traffic_share else {
-        return hits;
+    let Some(share_limit) = failure.traffic_share else {
+        return affected;
     };
-    let mut sum = 0.0;
+    let mut share_sum = 0.0;
     for (rank, partner) in ranked.iter().enumerate() {
-        sum += site.partners[*partner].traffic_share;
-        if rank > 0 && sum > traffic {
+        share_sum += site.partners[*partner].traffic_share;
+        if rank > 0 && share_sum > share_limit {
             break;
         }
-        hits[*partner] = true;
+        affected[*partner] = true;
     }
-    hits
+    affected
 }
--- a/crates/lab/src/model/mod.rs
+++ b/crates/lab/src/model/mod.rs
@@ -1,5 +1,4 @@
-//! The model that a run plays against: partners with their limits, queues and slow start, and the faults that hit
-//! them.
+//! The model of the partners in a run: their rate limits, queues and slow start, and the faults that affect them.
 
 mod endpoint;
 pub mod environment;
--- a/crates/lab/src/model/partner.rs
+++ b/crates/lab/src/model/partner.rs
@@ -1,8 +1,8 @@
-//! One partner as it runs: its rate limit, the queues of its endpoints, its slow start after an outage, and its
-//! collapse under too much load while it is still warming up.
+//! The running state of one partner: its rate limit, the queues of its endpoints, its slow start after an outage, and
+//! its collapse under too much load while it is warming up.
 //!
-//! The model does not know what carries its calls. It is notified of a call once the call's last byte has come, and
-//! says what it writes and when.
+//! The model is independent of the transport of the calls. It is notified of a call once the call's last byte has
+//! arrived, and returns the reply and when it is written.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -15,102 +15,102 @@
 use crate::model::site::PartnerProfile;
 use crate::sampling::{Stream, bernoulli, gamma_factor, rng_for, uniform};
 
-/// A partner that is warming up collapses under so many times its capacity of the moment ...
+/// A partner that is warming up collapses when its load exceeds its current capacity by this factor ...
 pub const COLLAPSE_FACTOR: f64 = 2.0;
-/// ... sustained over so many milliseconds.
+/// ... over a window of this many milliseconds.
 pub const COLLAPSE_WINDOW: Millis = 3_000.0;
 
-/// Spread of a call's service time around the work of its message.
+/// Coefficient of variation of a call's service time around the work of its message.
 const SERVICE_TIME_VARIATION: f64 = 0.3;
 /// The shortest service time, in milliseconds.
-const LEAST_SERVICE_TIME: Millis = 0.1;
+const MIN_SERVICE_TIME: Millis = 0.1;
 
-/// Numbers that tell apart the random draws for one call or message.
+/// Indices that keep the random draws for one call or message apart.
 mod draw_index {
-    pub const TELLS_WAIT: u64 = 1;
-    pub const WAIT: u64 = 2;
+    pub const HAS_RETRY_AFTER: u64 = 1;
+    pub const RETRY_AFTER: u64 = 2;
     pub const ANSWER: u64 = 3;
-    /// Plus the number of the attempt.
+    /// The attempt's number is added to this index.
     pub const SERVICE_TIME: u64 = 100;
 }
 
-/// What a partner writes to a call.
+/// A partner's reply to a call. The serialized names are those of stored event logs.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum Reply {
-    /// The call has run.
+    /// Success: the call has run.
     Served,
-    /// An error; the call has run.
+    /// An error: the call has run.
     Failed,
-    /// The call has run, and its answer is malformed.
+    /// A malformed answer: the call has run.
     #[serde(rename = "Spoilt")]
     Malformed,
-    /// The call has not run. With the Retry-After that is given, in milliseconds.
+    /// A rejection: the call has not run. With the Retry-After in milliseconds, if one is given.
     #[serde(rename = "Refused")]
     Rejected(Option<Millis>),
 }
 
-/// A call as a partner sees it.
+/// A call that arrives at a partner.
 #[derive(Clone, Copy, Debug)]
 pub struct Call {
-    /// Its number, unique within a run.
+    /// The call's number, unique within a run.
     pub number: u64,
-    /// The client's message that it carries.
+    /// The number of the client's message that the call carries.
     pub origin: u64,
-    /// How many calls of that message came before.
+    /// The number of the attempt to deliver the message, from zero.
     pub attempt: u32,
-    /// The work of its class.
+    /// The distribution of the work of the message's class.
     pub work: WorkDistribution,
 }
 
-/// What became of a call that has come.
+/// What a partner does with a call that has arrived.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Admission {
-    /// It is answered at once.
+    /// It answers the call at once.
     Answered(Reply),
-    /// It runs now.
+    /// It runs the call now.
     Running,
-    /// It waits in a queue.
+    /// It queues the call.
     Queued,
 }
 
-/// The answer to a call.
+/// The reply to a call that has run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Answer {
     /// The call's number.
     pub call: u64,
-    /// What is written.
+    /// The reply that the partner writes.
     pub reply: Reply,
 }
 
-/// What a partner has done up to an instant.
+/// The calls that a partner has answered and started up to an instant.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Progress {
-    /// Calls that are answered now.
+    /// The answers to calls that have completed.
     pub answers: Vec<Answer>,
-    /// Numbers of the queued calls that have begun to run.
+    /// The numbers of the queued calls that have begun to run.
     pub started: Vec<u64>,
 }
 
-/// A partner as it runs.
+/// The running state of one partner.
 #[derive(Debug)]
 pub struct Partner {
     profile: PartnerProfile,
     kind: Kind,
     seed: u64,
-    /// Calls a second when it is warm.
+    /// Calls per second when it is warm.
     capacity: f64,
     endpoints: BTreeMap<u32, Endpoint>,
     limiter: RateLimiter,
     in_outage: bool,
-    /// When its last outage ended; none where it has had none, or is in one.
+    /// When its last outage ended. `None` if it has had no outage or is in one.
     recovered_at: Option<Millis>,
-    /// Calls that came within the last collapse window while it was warming up.
+    /// Arrival times of the calls within the last `COLLAPSE_WINDOW` while it was warming up.
     recent_arrivals: VecDeque<Millis>,
     collapsed: bool,
 }
 
 impl Partner {
-    /// A warm partner with its first endpoints. `mean_work` is the mean work of a call, in milliseconds.
+    /// Creates a warm partner with its initial endpoints. `mean_work` is the mean work of a call in milliseconds.
     pub fn new(
         profile: &PartnerProfile,
         kind: &Kind,
@@ -135,21 +135,21 @@
         }
     }
 
-    /// Says whether the partner is in an outage from `now` on. One that comes back starts cold.
+    /// Begins or ends an outage of the partner at `now`. After an outage, the partner starts cold.
     pub fn set_outage(&mut self, in_outage: bool, now: Millis) {
         if self.in_outage && !in_outage {
             self.recovered_at = Some(now);
             self.recent_arrivals.clear();
         }
         if in_outage && !self.in_outage {
-            // What ran or waited there is lost, and its answers never come.
+            // The running and queued calls are lost and never answered.
             self.drop_all_calls();
             self.recovered_at = None;
         }
         self.in_outage = in_outage;
     }
 
-    /// Whether it has collapsed; it does not come back from that.
+    /// Whether the partner has collapsed. It does not recover from that.
     pub fn collapsed(&self) -> bool {
         self.collapsed
     }
@@ -159,14 +159,14 @@
         self.endpoints.entry(endpoint).or_default();
     }
 
-    /// Has an endpoint drain: it takes no more calls, and goes once it is empty.
+    /// Makes an endpoint drain: it takes no more calls, and is removed once it has none.
     pub fn drain_endpoint(&mut self, endpoint: u32) {
         if let Some(endpoint) = self.endpoints.get_mut(&endpoint) {
             endpoint.draining = true;
         }
     }
 
-    /// The share of its capacity that it has at an instant: less than one while it is warming up.
+    /// The share of its capacity that the partner has at `now`: less than one while it is warming up.
     pub fn warmth(&self, now: Millis) -> f64 {
         let Some(recovered_at) = self.recovered_at.filter(|_| self.kind.warm_up > 0.0) else {
             return 1.0;
@@ -175,7 +175,7 @@
         self.kind.initial_share + (1.0 - self.kind.initial_share) * progress
     }
 
-    /// Takes a call whose last byte has come to an endpoint.
+    /// Takes a call whose last byte has arrived at an endpoint.
     pub fn deliver(
         &mut self,
         endpoint: u32,
@@ -187,13 +187,17 @@
             return Admission::Answered(Reply::Rejected(None));
         }
         if let Some(until) = faults.rejects_until {
-            return Admission::Answered(self.refusal(&call, until - now));
+            return Admission::Answered(self.rejection(&call, until - now));
         }
-        if self.endpoints.get(&endpoint).is_none_or(|it| it.draining) {
+        if self
+            .endpoints
+            .get(&endpoint)
+            .is_none_or(|target| target.draining)
+        {
             return Admission::Answered(Reply::Rejected(None));
         }
-        if let Some(wait) = self.wait_over_limit(&call, faults, now) {
-            return Admission::Answered(self.refusal(&call, wait));
+        if let Some(retry_after) = self.retry_after_over_limit(&call, faults, now) {
+            return Admission::Answered(self.rejection(&call, retry_after));
         }
         if faults.hung {
             return Admission::Queued;
@@ -201,7 +205,7 @@
         self.run_or_queue(endpoint, call, faults, now)
     }
 
-    /// Counts an arrival while the partner is warming up, and says whether it collapses under it.
+    /// Counts an arrival while the partner is warming up, and returns whether the partner collapses under its load.
     fn collapses_under_load(&mut self, faults: &ActiveFaults, now: Millis) -> bool {
         let warming = self
             .recovered_at
@@ -216,8 +220,9 @@
         }
         let sustainable =
             self.capacity * faults.rate_limit_factor * self.warmth(now) * COLLAPSE_WINDOW / 1e3;
-        let most = (COLLAPSE_FACTOR * sustainable).max(COLLAPSE_FACTOR);
-        if now < recovered_at + COLLAPSE_WINDOW || self.recent_arrivals.len() as f64 <= most {
+        let max_arrivals = (COLLAPSE_FACTOR * sustainable).max(COLLAPSE_FACTOR);
+        if now < recovered_at + COLLAPSE_WINDOW || self.recent_arrivals.len() as f64 <= max_arrivals
+        {
             return false;
         }
         self.collapsed = true;
@@ -231,15 +236,20 @@
         }
     }
 
-    /// A rejection; whether it gives a Retry-After is drawn.
-    fn refusal(&self, call: &Call, wait: Millis) -> Reply {
-        let mut rng = rng_for(self.seed, Stream::Call, call.number, draw_index::TELLS_WAIT);
-        let tells = bernoulli(&mut rng, self.kind.retry_after_share);
-        Reply::Rejected(tells.then_some(wait))
+    /// A rejection. Whether it gives the Retry-After is drawn.
+    fn rejection(&self, call: &Call, retry_after: Millis) -> Reply {
+        let mut rng = rng_for(
+            self.seed,
+            Stream::Call,
+            call.number,
+            draw_index::HAS_RETRY_AFTER,
+        );
+        let has_retry_after = bernoulli(&mut rng, self.kind.retry_after_share);
+        Reply::Rejected(has_retry_after.then_some(retry_after))
     }
 
-    /// Counts a call against the rate limit. Where it is over the limit: how long until there is capacity again.
-    fn wait_over_limit(
+    /// Counts a call against the rate limit. If the call exceeds the limit, returns how long the caller has to wait.
+    fn retry_after_over_limit(
         &mut self,
         call: &Call,
         faults: &ActiveFaults,
@@ -248,9 +258,14 @@
         let rate = self.profile.rate_limit? * faults.rate_limit_factor;
         match self.limiter.admit(rate, now) {
             LimitDecision::Admitted => None,
-            LimitDecision::RejectedFor(wait) => Some(wait),
+            LimitDecision::RejectedFor(retry_after) => Some(retry_after),
             LimitDecision::RejectedForDrawnWait => {
-                let mut rng = rng_for(self.seed, Stream::Call, call.number, draw_index::WAIT);
+                let mut rng = rng_for(
+                    self.seed,
+                    Stream::Call,
+                    call.number,
+                    draw_index::RETRY_AFTER,
+                );
                 Some(uniform(&mut rng, self.kind.retry_after))
             }
         }
@@ -282,32 +297,32 @@
     fn start(&mut self, endpoint: u32, call: Call, faults: &ActiveFaults, now: Millis) {
         let service_time = self.service_time(&call, faults, now);
         let starts_at = faults.paused_until.unwrap_or(now).max(now);
-        let done_at = starts_at + service_time.max(LEAST_SERVICE_TIME);
+        let completes_at = starts_at + service_time.max(MIN_SERVICE_TIME);
         if let Some(endpoint) = self.endpoints.get_mut(&endpoint) {
-            let key = CompletionKey::new(done_at, call.number);
+            let key = CompletionKey::new(completes_at, call.number);
             endpoint.running.insert(key, call);
         }
     }
 
-    /// Draws the service time of a call. The message has its work; each call of it adds a variation of its own.
+    /// Draws the service time of a call. The work is drawn once per message, and a variation of it once per attempt.
     fn service_time(&self, call: &Call, faults: &ActiveFaults, now: Millis) -> Millis {
-        let attempt = draw_index::SERVICE_TIME + u64::from(call.attempt);
-        let mut call_rng = rng_for(self.seed, Stream::Call, call.origin, attempt);
+        let attempt_draw = draw_index::SERVICE_TIME + u64::from(call.attempt);
+        let mut call_rng = rng_for(self.seed, Stream::Call, call.origin, attempt_draw);
         let mut message_rng = rng_for(self.seed, Stream::Work, call.origin, 0);
         let message_factor = gamma_factor(&mut message_rng, call.work.variation);
         let call_factor = gamma_factor(&mut call_rng, SERVICE_TIME_VARIATION);
-        let mut took = call.work.mean
+        let mut service_time = call.work.mean
             * message_factor
             * call_factor
             * self.profile.service_time_factor
             * faults.slowdown;
         if bernoulli(&mut call_rng, faults.heavy_tail.share) {
-            took *= faults.heavy_tail.factor;
+            service_time *= faults.heavy_tail.factor;
         }
-        took / self.warmth(now)
+        service_time / self.warmth(now)
     }
 
-    /// When the next running call is done.
+    /// When the next running call completes. `None` if no call runs.
     pub fn next_completion(&self) -> Option<Millis> {
         let first = |endpoint: &Endpoint| endpoint.running.first_key_value().map(|(key, _)| *key);
         self.endpoints
@@ -317,14 +332,14 @@
             .map(CompletionKey::at)
     }
 
-    /// Finishes the calls that are done by an instant, and starts queued ones in their place.
+    /// Completes the calls that are done by `now`, and starts queued calls in their place.
     pub fn advance(&mut self, faults: &ActiveFaults, now: Millis) -> Progress {
         let mut progress = Progress::default();
         let names: Vec<u32> = self.endpoints.keys().copied().collect();
         for name in names {
             self.advance_endpoint(name, faults, now, &mut progress);
         }
-        self.endpoints.retain(|_, endpoint| !endpoint.is_finished());
+        self.endpoints.retain(|_, endpoint| !endpoint.is_drained());
         progress
     }
 
@@ -356,7 +371,7 @@
         }
     }
 
-    /// Draws the answer to a call that has run.
+    /// Draws the reply to a call that has run.
     fn answer(&self, call: &Call, faults: &ActiveFaults) -> Reply {
         let mut rng = rng_for(self.seed, Stream::Call, call.number, draw_index::ANSWER);
         if bernoulli(&mut rng, faults.malformed_share) {
--- a/crates/lab/src/model/rate_limit.rs
+++ b/crates/lab/src/model/rate_limit.rs
@@ -1,4 +1,4 @@
-//! The rate limits of a partner: a fixed window, a sliding window in which rejected calls count too, and a token
+//! The rate limiters of partners: a fixed window, a sliding window in which rejected calls also count, and a token
 //! bucket.
 
 use std::collections::VecDeque;
@@ -7,54 +7,54 @@
 
 use crate::experiment::{Kind, Limit};
 
-/// A token bucket holds the tokens of so many seconds.
-const BUCKET_DEPTH_SECONDS: f64 = 0.5;
+/// The capacity of a token bucket, in seconds of its rate.
+const BUCKET_SECONDS: f64 = 0.5;
 
-/// What a limiter says to a call.
+/// The decision of a rate limiter on a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LimitDecision {
     /// The call is within the limit, and has been counted.
     Admitted,
-    /// The call is over the limit, which has capacity again after so long.
+    /// The call exceeds the limit, which has capacity again after this time.
     RejectedFor(Millis),
-    /// The call is over the limit, and the partner draws the wait from its own range.
+    /// The call exceeds the limit, and the partner draws the Retry-After from its own range.
     RejectedForDrawnWait,
 }
 
-/// Calls taken in the current span of a fixed window.
+/// The current fixed window and the number of calls admitted in it.
 #[derive(Debug, Default)]
 struct FixedWindow {
     index: u64,
-    taken: f64,
+    admitted: f64,
 }
 
-/// Tokens of a bucket, and when they were last refilled.
+/// The tokens of a bucket and when they were last refilled.
 #[derive(Debug)]
 struct TokenBucket {
     tokens: f64,
     refilled_at: Millis,
 }
 
-/// The state of one partner's limit.
+/// The state of one partner's rate limit.
 #[derive(Debug)]
 pub struct RateLimiter {
     limit: Limit,
     window: Millis,
-    rejected_count: bool,
+    counts_rejected: bool,
     fixed: FixedWindow,
-    /// Arrivals of the last window; used where rejected calls count too, so that a caller who persists stays
-    /// rejected.
+    /// Arrival times within the last window. Used if rejected calls also count, so that a caller who keeps sending too
+    /// fast stays rejected.
     arrivals: VecDeque<Millis>,
     bucket: TokenBucket,
 }
 
 impl RateLimiter {
-    /// The limiter of a kind of partner, with its whole capacity available.
+    /// Creates the limiter of a kind of partner, with its whole capacity available.
     pub fn new(kind: &Kind) -> RateLimiter {
         RateLimiter {
             limit: kind.limit,
             window: kind.window,
-            rejected_count: kind.rejections_count,
+            counts_rejected: kind.rejections_count,
             fixed: FixedWindow::default(),
             arrivals: VecDeque::new(),
             bucket: TokenBucket {
@@ -64,11 +64,11 @@
         }
     }
 
-    /// Counts a call that comes at `now` against a limit of `rate` calls a second.
+    /// Counts a call that arrives at `now` against a limit of `rate` calls per second.
     pub fn admit(&mut self, rate: f64, now: Millis) -> LimitDecision {
         match self.limit {
             Limit::None => LimitDecision::Admitted,
-            Limit::Window if self.rejected_count => self.admit_sliding(rate, now),
+            Limit::Window if self.counts_rejected => self.admit_sliding(rate, now),
             Limit::Window => self.admit_fixed(rate, now),
             Limit::Rate => self.admit_bucket(rate, now),
         }
@@ -79,32 +79,35 @@
         while self.arrivals.front().is_some_and(|at| *at <= oldest) {
             self.arrivals.pop_front();
         }
-        let most = (rate * self.window / 1e3).max(1.0) as usize;
+        let max_calls = (rate * self.window / 1e3).max(1.0) as usize;
         self.arrivals.push_back(now);
-        // There is capacity again once as many have left the window as are over the limit.
-        match self.arrivals.len().checked_sub(most + 1) {
+        // There is capacity again once as many arrivals have left the window as exceed the limit.
+        match self.arrivals.len().checked_sub(max_calls + 1) {
             None => LimitDecision::Admitted,
-            Some(over) => LimitDecision::RejectedFor(self.arrivals[over] + self.window - now),
+            Some(excess) => LimitDecision::RejectedFor(self.arrivals[excess] + self.window - now),
         }
     }
 
     fn admit_fixed(&mut self, rate: f64, now: Millis) -> LimitDecision {
         let index = (now / self.window) as u64;
         if self.fixed.index != index {
-            self.fixed = FixedWindow { index, taken: 0.0 };
+            self.fixed = FixedWindow {
+                index,
+                admitted: 0.0,
+            };
         }
-        let most = (rate * self.window / 1e3).max(1.0);
-        if self.fixed.taken + 1.0 > most {
+        let max_calls = (rate * self.window / 1e3).max(1.0);
+        if self.fixed.admitted + 1.0 > max_calls {
             return LimitDecision::RejectedFor((index + 1) as f64 * self.window - now);
         }
-        self.fixed.taken += 1.0;
+        self.fixed.admitted += 1.0;
         LimitDecision::Admitted
     }
 
     fn admit_bucket(&mut self, rate: f64, now: Millis) -> LimitDecision {
-        let depth = (rate * BUCKET_DEPTH_SECONDS).max(1.0);
+        let capacity = (rate * BUCKET_SECONDS).max(1.0);
         let filled = self.bucket.tokens + (now - self.bucket.refilled_at) / 1e3 * rate;
-        self.bucket.tokens = filled.min(depth);
+        self.bucket.tokens = filled.min(capacity);
         self.bucket.refilled_at = now;
         if self.bucket.tokens < 1.0 {
             return LimitDecision::RejectedForDrawnWait;
--- a/crates/lab/src/model/site.rs
+++ b/crates/lab/src/model/site.rs
@@ -1,5 +1,5 @@
-//! The site that a seed draws: its partners, how much of the traffic each gets, what each can take, and what the
-//! endpoint list says of that.
+//! The site that is drawn from a seed: its partners, their shares of the traffic, their capacities, and the weights
+//! that the endpoint list advertises for them.
 
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
@@ -7,68 +7,69 @@
 use crate::experiment::{Kind, Limit, World};
 use crate::sampling::{Stream, rng_for, uniform};
 
-/// How strongly a kind's `lean` moves its partners in the ranking by traffic.
-const LEAN_WEIGHT: f64 = 0.3;
-/// A partner has at most so many endpoints.
-const MOST_ENDPOINTS: f64 = 4.0;
-/// A partner has cores for so many times its limit ...
-const LEAST_SPARE: f64 = 1.2;
-/// ... and for up to so much more.
-const SPARE_RANGE: f64 = 0.3;
+/// How strongly a kind's `traffic_lean` moves its partners in the ranking by traffic.
+const TRAFFIC_LEAN_WEIGHT: f64 = 0.3;
+/// Maximum number of endpoints of a partner.
+const MAX_ENDPOINTS: f64 = 4.0;
+/// A partner has cores for at least this many times its rate limit ...
+const MIN_CORE_HEADROOM: f64 = 1.2;
+/// ... and for up to this much more.
+const CORE_HEADROOM_RANGE: f64 = 0.3;
 /// The advertised weight is off by a power of two whose exponent is uniform in a range of this width around zero.
 const WEIGHT_ERROR_EXPONENT: f64 = 1.17;
 
-/// First numbers of the draws for a site.
+/// Indices that keep the draws for a site apart.
 mod draw_index {
     pub const RANK: u64 = 1;
     pub const PARTNER: u64 = 2;
 }
 
-/// A partner as drawn.
+/// The drawn properties of a partner.
 #[derive(Clone, Debug)]
 pub struct PartnerProfile {
-    /// Place among the world's kinds.
+    /// Index of its kind among the world's kinds.
     pub kind_index: usize,
     /// Share of the traffic.
     pub traffic_share: f64,
-    /// Calls a second at full load.
+    /// Calls per second at full load.
     pub full_rate: f64,
-    /// Calls a second that it takes at most; none: only its capacity limits it.
+    /// Rate limit in calls per second. `None` if only its capacity limits the rate.
     pub rate_limit: Option<f64>,
-    /// Service times are so many times the class's.
+    /// The factor on the service times of the classes.
     pub service_time_factor: f64,
-    /// Endpoints that it starts with.
+    /// Number of endpoints at the start of the run.
     pub endpoint_count: u32,
-    /// Calls that one endpoint runs at a time.
+    /// Calls that one endpoint runs at the same time.
     pub cores: u32,
-    /// Calls that may queue at an endpoint.
+    /// Maximum number of calls in the queue of one endpoint.
     pub queue_capacity: u32,
-    /// The rough figure for its rate that the endpoint list gives.
+    /// The weight in the endpoint list: a rough figure for its capacity.
     pub advertised_weight: f64,
 }
 
 impl PartnerProfile {
-    /// Calls a second that it can do when it is warm, given the mean work of a call in milliseconds.
+    /// Calls per second that it can serve when it is warm, for a mean work of `mean_work` milliseconds per call.
     pub fn capacity(&self, mean_work: f64) -> f64 {
-        let served = f64::from(self.cores * self.endpoint_count) * 1e3
+        let core_rate = f64::from(self.cores * self.endpoint_count) * 1e3
             / (mean_work * self.service_time_factor);
-        self.rate_limit.map_or(served, |limit| limit.min(served))
+        self.rate_limit
+            .map_or(core_rate, |limit| limit.min(core_rate))
     }
 }
 
-/// The partners of a world, drawn.
+/// The drawn partners of a world.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// Every partner, by its number.
+    /// All partners, indexed by their number.
     pub partners: Vec<PartnerProfile>,
-    /// Mean work of a message, in milliseconds.
+    /// Mean work of a message in milliseconds.
     pub mean_work: f64,
 }
 
 impl Site {
-    /// Draws the site that a seed gives.
+    /// Draws the site for a seed.
     pub fn new(world: &World, seed: u64) -> Site {
-        let draft = Draft::new(world, seed);
+        let draft = SiteDraft::new(world, seed);
         Site {
             partners: (0..draft.kinds.len())
                 .map(|number| draft.partner(number, seed))
@@ -77,7 +78,7 @@
         }
     }
 
-    /// The partners' numbers, the one with the most traffic first.
+    /// The partners' numbers in descending order of traffic.
     pub fn by_traffic(&self) -> Vec<usize> {
         let share = |number: usize| self.partners[number].traffic_share;
         let mut ranked: Vec<usize> = (0..self.partners.len()).collect();
@@ -86,52 +87,52 @@
     }
 }
 
-/// What is settled of a site before its partners are drawn one by one.
-struct Draft<'a> {
+/// The properties of a site that are determined before its partners are drawn one by one.
+struct SiteDraft<'a> {
     world: &'a World,
-    /// Mean work of a message, in milliseconds.
+    /// Mean work of a message in milliseconds.
     mean_work: f64,
     /// The kind of each partner.
     kinds: Vec<usize>,
     /// The rank of each partner by traffic, from zero.
     ranks: Vec<usize>,
-    /// The traffic of each partner, in parts of `all_parts`.
-    parts: Vec<f64>,
-    all_parts: f64,
+    /// The traffic of each partner, relative to `total_traffic`.
+    traffic: Vec<f64>,
+    total_traffic: f64,
 }
 
-impl<'a> Draft<'a> {
-    fn new(world: &'a World, seed: u64) -> Draft<'a> {
-        let kinds = deal_kinds(world);
+impl<'a> SiteDraft<'a> {
+    fn new(world: &'a World, seed: u64) -> SiteDraft<'a> {
+        let kinds = assign_kinds(world);
         let ranks = rank_by_traffic(world, &kinds, seed);
-        let parts: Vec<f64> = ranks
+        let traffic: Vec<f64> = ranks
             .iter()
             .map(|rank| 1.0 / ((rank + 1) as f64).powf(world.zipf_exponent))
             .collect();
-        Draft {
+        SiteDraft {
             world,
             mean_work: mean_work(world),
             kinds,
             ranks,
-            all_parts: parts.iter().sum(),
-            parts,
+            total_traffic: traffic.iter().sum(),
+            traffic,
         }
     }
 
-    /// Draws a partner. The order of the draws is part of what a seed means.
+    /// Draws a partner. The order of the draws determines the partner that a seed gives.
     fn partner(&self, number: usize, seed: u64) -> PartnerProfile {
         let kind: &Kind = &self.world.kinds[self.kinds[number]];
         let mut rng = rng_for(seed, Stream::World, draw_index::PARTNER, number as u64);
-        let traffic_share = self.parts[number] / self.all_parts;
+        let traffic_share = self.traffic[number] / self.total_traffic;
         let full_rate = traffic_share * self.world.full_rate;
         let headroom = uniform(&mut rng, kind.headroom);
         let least_rate = uniform(&mut rng, kind.least_rate);
         let limit = (headroom * full_rate).max(least_rate);
         let service_time_factor = uniform(&mut rng, kind.service_time_factor);
         let endpoint_count = self.draw_endpoint_count(number, &mut rng);
-        let spare = LEAST_SPARE + SPARE_RANGE * rng.random::<f64>();
-        let busy = limit * self.mean_work * service_time_factor / 1e3 * spare;
-        let cores = (busy / f64::from(endpoint_count)).ceil().max(1.0) as u32;
+        let core_headroom = MIN_CORE_HEADROOM + CORE_HEADROOM_RANGE * rng.random::<f64>();
+        let all_cores = limit * self.mean_work * service_time_factor / 1e3 * core_headroom;
+        let cores = (all_cores / f64::from(endpoint_count)).ceil().max(1.0) as u32;
         let queue_capacity =
             (uniform(&mut rng, kind.queue_per_core) * f64::from(cores)).round() as u32;
         let weight_error = 2f64.powf(WEIGHT_ERROR_EXPONENT * (rng.random::<f64>() - 0.5));
@@ -150,35 +151,36 @@
         profile
     }
 
-    /// Draws how many endpoints a partner has. Busier partners have more: the upper half by rank gets those over the
-    /// mean.
+    /// Draws the number of endpoints of a partner. Busier partners have more: the upper half of the ranking gets those
+    /// above the mean.
     fn draw_endpoint_count(&self, number: usize, rng: &mut Pcg64Mcg) -> u32 {
-        let place = 1.0 - self.ranks[number] as f64 / self.parts.len() as f64;
-        let more = 2.0 * (self.world.mean_endpoints - 1.0) * place;
-        (1.0 + more + rng.random::<f64>() - 0.5)
+        let rank_position = 1.0 - self.ranks[number] as f64 / self.traffic.len() as f64;
+        let additional = 2.0 * (self.world.mean_endpoints - 1.0) * rank_position;
+        (1.0 + additional + rng.random::<f64>() - 0.5)
             .round()
-            .clamp(1.0, MOST_ENDPOINTS) as u32
+            .clamp(1.0, MAX_ENDPOINTS) as u32
     }
 }
 
-/// The mean work of a message over all classes, in milliseconds.
+/// The mean work of a message over all classes in milliseconds.
 fn mean_work(world: &World) -> f64 {
-    let all: f64 = world.classes.iter().map(|class| class.share).sum();
+    let share_sum: f64 = world.classes.iter().map(|class| class.share).sum();
     world
         .classes
         .iter()
-        .map(|class| class.share / all * (class.work.least + class.work.most) / 2.0)
+        .map(|class| class.share / share_sum * (class.work.least + class.work.most) / 2.0)
         .sum()
 }
 
-/// The kind of each partner: in proportion to the kinds' shares, so that every seed has the same number of each.
-fn deal_kinds(world: &World) -> Vec<usize> {
-    let shares: f64 = world.kinds.iter().map(|kind| kind.share).sum();
+/// Assigns a kind to each partner in proportion to the kinds' shares, so that every seed has the same number of
+/// partners of each kind.
+fn assign_kinds(world: &World) -> Vec<usize> {
+    let share_sum: f64 = world.kinds.iter().map(|kind| kind.share).sum();
     let mut kinds: Vec<usize> = Vec::new();
-    let mut owed = 0.0;
+    let mut target_count = 0.0;
     for (number, kind) in world.kinds.iter().enumerate() {
-        owed += kind.share / shares * f64::from(world.partners);
-        while (kinds.len() as f64) + 0.5 <= owed {
+        target_count += kind.share / share_sum * f64::from(world.partners);
+        while (kinds.len() as f64) + 0.5 <= target_count {
             kinds.push(number);
         }
     }
@@ -186,17 +188,17 @@
     kinds
 }
 
-/// Draws the rank of each partner by traffic, from zero. Kinds that lean to the top are more likely to be there.
+/// Draws the rank of each partner by traffic, from zero. A kind with a positive `traffic_lean` tends to higher traffic.
 fn rank_by_traffic(world: &World, kinds: &[usize], seed: u64) -> Vec<usize> {
-    let place = |number: usize| {
+    let draw_sort_key = |number: usize| {
         let mut rng = rng_for(seed, Stream::World, draw_index::RANK, number as u64);
-        rng.random::<f64>() - LEAN_WEIGHT * world.kinds[kinds[number]].traffic_lean
+        rng.random::<f64>() - TRAFFIC_LEAN_WEIGHT * world.kinds[kinds[number]].traffic_lean
     };
-    let places: Vec<f64> = (0..kinds.len()).map(place).collect();
+    let sort_keys: Vec<f64> = (0..kinds.len()).map(draw_sort_key).collect();
     let mut order: Vec<usize> = (0..kinds.len()).collect();
     order.sort_by(|left, right| {
-        places[*left]
-            .total_cmp(&places[*right])
+        sort_keys[*left]
+            .total_cmp(&sort_keys[*right])
             .then(left.cmp(right))
     });
     let mut ranks = vec![0; kinds.len()];
