--- a/crates/lab/src/delay_queue.rs
+++ b/crates/lab/src/delay_queue.rs
@@ -1,18 +1,19 @@
-//! Events to come, in the order of their instants; among equal instants, in the order in which they were scheduled.
+//! A queue of future events in the order of their instants. Events at the same instant come in the order in which they
+//! were scheduled.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
 use martenlatch_clock::Millis;
 
-/// An event to come.
+/// A scheduled event.
 #[derive(Debug)]
 pub struct Scheduled<E> {
-    /// When, in milliseconds from the start of the run.
+    /// When the event is due, in milliseconds from the start of the run.
     pub at: Millis,
-    /// Its number, unique within a queue.
+    /// The event's number, unique within a queue.
     pub sequence: u64,
-    /// What happens.
+    /// The event itself.
     pub event: E,
 }
 
@@ -38,7 +39,7 @@
     }
 }
 
-/// A queue of events to come.
+/// A queue of scheduled events.
 #[derive(Debug)]
 pub struct DelayQueue<E> {
     heap: BinaryHeap<Reverse<Scheduled<E>>>,
@@ -46,7 +47,7 @@
 }
 
 impl<E> DelayQueue<E> {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new() -> DelayQueue<E> {
         DelayQueue {
             heap: BinaryHeap::new(),
@@ -64,12 +65,12 @@
         }));
     }
 
-    /// When the next event is due.
+    /// When the next event is due. `None` if the queue is empty.
     pub fn next_at(&self) -> Option<Millis> {
         self.heap.peek().map(|Reverse(next)| next.at)
     }
 
-    /// Takes out the event that is due first.
+    /// Removes and returns the event that is due first.
     pub fn pop(&mut self) -> Option<Scheduled<E>> {
         self.heap.pop().map(|Reverse(next)| next)
     }
--- a/crates/lab/src/sim/calls.rs
+++ b/crates/lab/src/sim/calls.rs
@@ -1,4 +1,5 @@
-//! Calls of simulated senders: how they leave, what the network does to them, and how they end for their sender.
+//! Calls of simulated senders: how they are sent, how the network carries or loses them, and how they end for their
+//! sender.
 
 use martenlatch_clock::{Millis, nanos};
 use martenlatch_policy::interface::{Event, MessageId, Outcome};
@@ -12,7 +13,7 @@
 use crate::model::partner::Reply;
 use crate::network::{self, Direction};
 
-/// A sender closes connections that have been idle for this share of the time after which partners do.
+/// A sender closes idle connections after this share of the idle time after which partners close them.
 const IDLE_LIMIT_SHARE: f64 = 0.9;
 
 /// A call in flight.
@@ -26,12 +27,12 @@
     pub partner: u32,
     pub endpoint: u32,
     pub sent_at: Millis,
-    /// Its connection is reset after its last byte.
+    /// Whether its connection is reset after its last byte.
     pub reset_after: bool,
 }
 
 impl Simulation<'_> {
-    /// A sender sends an attempt of a message to an endpoint.
+    /// Sends an attempt to deliver a message to an endpoint.
     pub(super) fn send(&mut self, sender: u32, id: u64, endpoint: u32, timeout: Millis) {
         let max_in_flight = self.settings.max_in_flight;
         let state = &mut self.senders[sender as usize];
@@ -89,7 +90,7 @@
         connection
     }
 
-    /// Notes a call that leaves now, and returns its number.
+    /// Registers a call that is sent now, and returns its number.
     fn add_call(&mut self, call: Call) -> u64 {
         let number = self.next_call;
         self.next_call += 1;
@@ -102,7 +103,7 @@
         number
     }
 
-    /// Schedules what the network does to a call: it reaches its partner, or is lost on the way.
+    /// Schedules the arrival of a call at its partner, or its loss on the way.
     fn cross_network(
         &mut self,
         call: u64,
@@ -110,20 +111,20 @@
         faults: &ActiveFaults,
         reset_before: bool,
     ) {
-        let trip = self.latency(call, Direction::ToPartner);
+        let latency = self.latency(call, Direction::ToPartner);
         let is_new = connection.is_new();
-        let arrives_at = self.now + trip * network::one_way_trips(is_new);
+        let arrives_at = self.now + latency * network::one_way_trips(is_new);
         let is_stale = connection
             .idle_since
             .is_some_and(|since| self.now - since >= faults.idle_close_after);
         if faults.partitioned {
-            // On an open connection, the call times out.
+            // On an open connection, nothing is scheduled: the call times out.
             if is_new {
                 let at = self.now + CONNECT_TIMEOUT;
                 self.schedule_loss(at, call, Silence::NeverSent, Outcome::Unreachable);
             }
         } else if is_stale {
-            let at = arrives_at + trip;
+            let at = arrives_at + latency;
             self.schedule_loss(at, call, Silence::Reset, Outcome::StaleConnection);
         } else if reset_before {
             let outcome = if is_new {
@@ -141,13 +142,13 @@
         self.schedule(at, SimEvent::CallLost { call, how, outcome });
     }
 
-    /// The connection of a call is reset after its last byte: its sender notices one latency later.
+    /// Resets the connection of a call after its last byte. The sender notices one latency later.
     pub(super) fn reset_call(&mut self, call: u64) {
         let at = self.now + self.latency(call, Direction::ToSender);
         self.schedule_loss(at, call, Silence::Reset, Outcome::ConnectionLost);
     }
 
-    /// A partner writes its answer, which reaches the sender one latency later.
+    /// Writes a partner's reply, which reaches the sender one latency later.
     pub(super) fn reply(&mut self, call: u64, reply: Reply) {
         if self.calls.contains_key(&call) {
             self.record(What::Replied { call, reply });
@@ -156,7 +157,7 @@
         }
     }
 
-    /// A call ends for its sender without an answer, and its connection is closed.
+    /// Ends a call without an answer, and closes its connection.
     pub(super) fn lose_call(&mut self, call: u64, how: Silence, outcome: Outcome) {
         if !self.calls.contains_key(&call) {
             return;
@@ -167,13 +168,13 @@
         }
     }
 
-    /// The answer to a call has come; its connection is kept, unless the answer was malformed.
+    /// Ends a call whose answer has arrived at the sender. Keeps its connection unless the answer is malformed.
     pub(super) fn answer_at_sender(&mut self, call: u64, reply: Reply) {
         let outcome = match reply {
             Reply::Served => Outcome::Success,
             Reply::Failed | Reply::Malformed => Outcome::Failure,
-            Reply::Rejected(wait) => Outcome::Overloaded {
-                retry_after: nanos(wait.unwrap_or(0.0)),
+            Reply::Rejected(retry_after) => Outcome::Overloaded {
+                retry_after: nanos(retry_after.unwrap_or(0.0)),
             },
         };
         let Some(ended) = self.end_call(call, outcome) else {
@@ -188,7 +189,7 @@
         idle.push(self.now);
     }
 
-    /// A call has ended for its sender, whose decision module is told.
+    /// Ends a call for its sender, and notifies the sender's decision module.
     fn end_call(&mut self, call: u64, outcome: Outcome) -> Option<Call> {
         let ended = self.calls.remove(&call)?;
         let sender = &mut self.senders[ended.sender as usize];
@@ -203,7 +204,7 @@
             sender.open_messages -= 1;
         }
         let finished = !message.open;
-        sender.forget_if_finished(ended.id);
+        sender.remove_if_finished(ended.id);
         let attempt_ended = Event::AttemptEnded {
             id: MessageId(ended.id),
             attempt: ended.attempt,
--- a/crates/lab/src/sim/clients.rs
+++ b/crates/lab/src/sim/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of a simulated run: they submit messages, are answered, and retry.
+//! Clients of a simulated run: they submit messages, receive answers and status reports, and retry.
 
 use martenlatch_clock::{Millis, nanos};
 use martenlatch_policy::interface::{ClassId, DestinationId, Event, MessageId};
@@ -10,13 +10,13 @@
 use super::simulation::Simulation;
 use crate::event_log::What;
 
-/// The Retry-After of a sender that takes no message now.
+/// The Retry-After of a sender that rejects a message.
 const REJECTION_RETRY_AFTER: Millis = 1_000.0;
 const ACCEPTED: u16 = 202;
 const UNAVAILABLE: u16 = 503;
 
 impl Simulation<'_> {
-    /// A client submits a message, through a load balancer in front of the senders that are up.
+    /// Submits a client's message through a load balancer in front of the senders that are up.
     pub(super) fn submit(&mut self, origin: u64) {
         let up: Vec<u32> = (0..self.senders.len() as u32)
             .filter(|sender| self.senders[*sender as usize].is_up())
@@ -28,25 +28,33 @@
                 self.schedule(at, SimEvent::MessageAtSender { origin, sender });
             }
             // No sender is up: the connection is refused, and the client retries.
-            None => self.retry_unheard(origin),
+            None => self.retry_unreached(origin),
         }
     }
 
-    fn retry_unheard(&mut self, origin: u64) {
-        self.client_retry(origin, None, false);
+    /// Schedules the retry of a message that has reached no sender.
+    fn retry_unreached(&mut self, origin: u64) {
+        self.schedule_client_retry(origin, None, false);
     }
 
-    fn client_retry(&mut self, origin: u64, retry_after: Option<Millis>, heard: bool) {
-        let retry_at = self.clients.retry_at(origin, retry_after, heard, self.now);
+    fn schedule_client_retry(
+        &mut self,
+        origin: u64,
+        retry_after: Option<Millis>,
+        reached_sender: bool,
+    ) {
+        let retry_at = self
+            .clients
+            .retry_at(origin, retry_after, reached_sender, self.now);
         if let Some(at) = retry_at {
             self.schedule(at, SimEvent::ClientRetry { origin });
         }
     }
 
-    /// A message has come to a sender, which accepts or rejects it.
+    /// Lets a sender accept or reject a message that has arrived there.
     pub(super) fn message_at_sender(&mut self, origin: u64, sender: u32) {
         if !self.senders[sender as usize].is_up() {
-            return self.retry_unheard(origin);
+            return self.retry_unreached(origin);
         }
         let message = *self.clients.message(origin);
         let id = self.next_message;
@@ -64,7 +72,7 @@
         if self.rejects_messages(sender) {
             let status = UNAVAILABLE;
             self.record(What::Answered { id, status });
-            return self.client_retry(origin, Some(REJECTION_RETRY_AFTER), true);
+            return self.schedule_client_retry(origin, Some(REJECTION_RETRY_AFTER), true);
         }
         let deadline = message.deadline;
         let accepting = &mut self.senders[sender as usize];
@@ -86,7 +94,7 @@
         self.notify(sender, accepted);
     }
 
-    /// Whether a sender cannot take a message: it shuts down, cannot record it, or holds too many.
+    /// Whether a sender rejects messages: it shuts down, cannot record them, or holds too many.
     fn rejects_messages(&self, sender: u32) -> bool {
         let sender = &self.senders[sender as usize];
         sender.is_draining(self.now)
@@ -94,7 +102,7 @@
             || sender.open_messages >= self.settings.max_held
     }
 
-    /// A status report has come to the platform, which tells the client.
+    /// Handles a status report that has arrived at the platform, which passes it on to the client.
     pub(super) fn status_report(&mut self, report: StatusReport) {
         let StatusReport {
             sender,
@@ -115,9 +123,9 @@
         if let Some(sent_at) = message.may_have_run_since() {
             self.clients.may_have_run(origin, sent_at);
         }
-        self.senders[sender as usize].forget_if_finished(id);
+        self.senders[sender as usize].remove_if_finished(id);
         if deferred {
-            self.client_retry(origin, retry_after, true);
+            self.schedule_client_retry(origin, retry_after, true);
         }
     }
 }
--- a/crates/lab/src/sim/discovery.rs
+++ b/crates/lab/src/sim/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery in a simulated run: the endpoint list of each sender, and the changes that it is notified of.
+//! Discovery in a simulated run: the endpoint list of each sender and its change notifications.
 
 use martenlatch_policy::interface::{
     DestinationId, EndpointEntry, EndpointId, EndpointState, Event, KindId, ZoneId,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Tells every sender of a change to an endpoint, as late as the endpoint list is now.
+    /// Schedules the notification of every sender about a change to an endpoint, with the current delay of the list.
     pub(super) fn publish_endpoint(&mut self, endpoint: u32, listed: ListedState) {
         let state = match listed {
             ListedState::Active => EndpointState::Active,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// A sender is notified of a change to an endpoint; its agent remembers it for the next process.
+    /// Notifies a sender of a change to an endpoint. The sender's agent keeps the change for the next process.
     pub(super) fn endpoint_change(&mut self, sender: u32, endpoint: u32, state: EndpointState) {
         let entry = self.endpoint_entry(endpoint, state);
         let partner = entry.destination.0 as u32;
--- a/crates/lab/src/sim/event.rs
+++ b/crates/lab/src/sim/event.rs
@@ -6,27 +6,27 @@
 use crate::event_log::Silence;
 use crate::model::partner::Reply;
 
-/// Something that happens at an instant. Events of a sender's process carry its incarnation where they are void after
-/// the process has ended.
+/// An event of a simulated run. Events that must be ignored after a sender's process has ended carry the process's
+/// incarnation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum SimEvent {
-    /// A planned message comes for the first time.
+    /// A client submits a planned message for the first time.
     PlannedMessage {
-        /// Its place in the plan.
+        /// The message's index in the plan.
         index: usize,
     },
     /// A message that a client submits reaches a sender.
     MessageAtSender { origin: u64, sender: u32 },
     /// A client submits a message again.
     ClientRetry { origin: u64 },
-    /// The decision module of a sender takes its turn.
+    /// The decision module of a sender takes a turn.
     Turn { sender: u32, incarnation: u32 },
-    /// The decision module of a sender asked to be woken now.
+    /// The decision module of a sender is woken, as it has requested.
     Wake { sender: u32, incarnation: u32 },
     /// The last byte of a call reaches its partner.
     CallAtPartner { call: u64 },
-    /// A partner has a call that is done by now.
-    PartnerDue { partner: u32 },
+    /// At least one running call of a partner completes.
+    CallsComplete { partner: u32 },
     /// A partner's answer reaches the sender.
     AnswerAtSender { call: u64, reply: Reply },
     /// A call ends for its sender without an answer.
@@ -35,16 +35,16 @@
         how: Silence,
         outcome: Outcome,
     },
-    /// The sender stops waiting for a call.
+    /// A call times out at its sender.
     CallTimeout { call: u64 },
     /// A status report reaches the platform.
     StatusReport(StatusReport),
-    /// A failure begins or ends, so that outages may do so.
+    /// A failure begins or ends, so outages may begin or end.
     OutagesChange,
-    /// A failure of a sender's begins.
+    /// A failure begins that does not replace endpoints.
     FailureBegins { failure: usize },
-    /// A failure replaces an endpoint, for the `turn`th time.
-    ReplaceEndpoint { failure: usize, turn: usize },
+    /// A failure replaces an endpoint. `repetition` counts its replacements from zero.
+    ReplaceEndpoint { failure: usize, repetition: usize },
     /// A replaced endpoint takes no more calls.
     RetireEndpoint { endpoint: u32 },
     /// A sender is notified of a change to the endpoint list.
@@ -53,25 +53,25 @@
         endpoint: u32,
         state: EndpointState,
     },
-    /// The time of a sender that shuts down is up.
+    /// The time that a sender has for its shutdown has passed.
     ShutdownTimeout { sender: u32, incarnation: u32 },
     /// A sender's process starts.
     StartSender { sender: u32 },
-    /// What the other senders know is put down for one that joins later.
+    /// The knowledge of the running senders is collected for a sender that joins later.
     CollectGossip { sender: u32 },
-    /// A message's time has been up for so long that it is ended in any case.
+    /// A message is still held too long after its deadline, and is ended in any case.
     MessageOverdue { sender: u32, id: u64 },
-    /// The number of messages held is sampled.
+    /// The number of held messages is sampled.
     Sample,
 }
 
-/// What a sender reports to the platform when it has given a message up.
+/// The status report that a sender sends to the platform when it has given up a message.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct StatusReport {
     pub sender: u32,
     pub id: u64,
-    /// The client may submit the message again.
+    /// Whether the client may submit the message again.
     pub deferred: bool,
-    /// The Retry-After that it is given, in milliseconds.
+    /// The Retry-After for the client, in milliseconds.
     pub retry_after: Option<Millis>,
 }
--- a/crates/lab/src/sim/faults.rs
+++ b/crates/lab/src/sim/faults.rs
@@ -1,4 +1,4 @@
-//! Faults in a simulated run: outages of partners, ends and joins of senders, and replaced endpoints.
+//! Faults in a simulated run: outages of partners, ends and joins of senders, and replacements of endpoints.
 
 use super::event::SimEvent;
 use super::simulation::Simulation;
@@ -7,7 +7,7 @@
 use crate::model::environment::{ListedState, REPLACEMENT_OVERLAP};
 
 impl Simulation<'_> {
-    /// A failure has begun or ended: partners go into an outage, or come out of one.
+    /// Begins and ends the outages of partners after a failure has begun or ended.
     pub(super) fn update_outages(&mut self) {
         for change in self.environment.update_outages(self.now) {
             self.record(What::Out {
@@ -17,7 +17,7 @@
         }
     }
 
-    /// A failure begins that is not a replacement of endpoints.
+    /// Begins a failure that does not replace endpoints.
     pub(super) fn failure_begins(&mut self, failure: usize) {
         let failure = &self.experiment.failures[failure];
         let sender = failure.sender;
@@ -32,13 +32,16 @@
         }
     }
 
-    /// A failure replaces an endpoint of the partner whose turn it is.
-    pub(super) fn replace_endpoint(&mut self, failure: usize, turn: usize) {
-        let replacing = &self.experiment.failures[failure];
-        if self.now >= replacing.end {
+    /// Replaces an endpoint of the next partner that a failure affects, and schedules the next replacement.
+    pub(super) fn replace_endpoint(&mut self, failure: usize, repetition: usize) {
+        let replace_failure = &self.experiment.failures[failure];
+        if self.now >= replace_failure.end {
             return;
         }
-        if let Some(partner) = self.environment.next_partner_to_replace(failure, turn) {
+        if let Some(partner) = self
+            .environment
+            .next_partner_to_replace(failure, repetition)
+        {
             let replacement = self.environment.replace_endpoint(partner);
             self.connections.push(0);
             self.publish_endpoint(replacement.new, ListedState::Active);
@@ -51,8 +54,8 @@
         }
         let next = SimEvent::ReplaceEndpoint {
             failure,
-            turn: turn + 1,
+            repetition: repetition + 1,
         };
-        self.schedule(self.now + replacing.every, next);
+        self.schedule(self.now + replace_failure.every, next);
     }
 }
--- a/crates/lab/src/sim/gossip.rs
+++ b/crates/lab/src/sim/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip in a simulated run: what running senders tell one that joins.
+//! Gossip in a simulated run: the knowledge of partners that running senders pass on to a sender that joins.
 
 use martenlatch_clock::nanos;
 use martenlatch_peers::partner_knowledge::{Bounds, Digest, PartnerKnowledge};
@@ -7,19 +7,20 @@
 use super::CLOCK_ORIGIN;
 use super::simulation::Simulation;
 
-/// A newcomer asks at most so many others.
-const PEERS_ASKED: usize = 3;
-/// Observations that cross the network together.
+/// Maximum number of running senders that a joining sender learns from.
+const MAX_PEERS_ASKED: usize = 3;
+/// Number of observations in one page of gossip.
 const PAGE_SIZE: usize = 32;
 
 impl Simulation<'_> {
-    /// Puts down what the others know now, for a sender that joins later.
+    /// Collects the current knowledge of the running senders for a sender that joins later.
     pub(super) fn collect_gossip(&mut self, newcomer: u32) {
         let collected = self.gossip_for(newcomer);
         self.senders[newcomer as usize].collected_gossip = Some(collected);
     }
 
-    /// What a few others that run can tell a newcomer now, in the form in which it crosses the network.
+    /// The current knowledge of up to `MAX_PEERS_ASKED` running senders for a joining sender, in the form in which it
+    /// crosses the network.
     pub(super) fn gossip_for(&self, newcomer: u32) -> PartnerKnowledge {
         let mut known = PartnerKnowledge::default();
         let others = self
@@ -28,14 +29,14 @@
             .enumerate()
             .filter(|(number, _)| *number as u32 != newcomer);
         let running = others.filter_map(|(number, sender)| Some((number, sender.policy.as_ref()?)));
-        for (number, policy) in running.take(PEERS_ASKED) {
-            self.hear_all(&mut known, number, policy);
+        for (number, policy) in running.take(MAX_PEERS_ASKED) {
+            self.add_observations(&mut known, number, policy);
         }
         known
     }
 
-    /// Hears everything that a sender has observed, page by page.
-    fn hear_all(&self, known: &mut PartnerKnowledge, reporter: usize, policy: &Policy) {
+    /// Adds all observations of a sender to `known`, page by page.
+    fn add_observations(&self, known: &mut PartnerKnowledge, reporter: usize, policy: &Policy) {
         let reporter = reporter.to_string();
         let now = nanos(CLOCK_ORIGIN + self.now);
         let bounds = Bounds::default();
--- a/crates/lab/src/sim/lifecycle.rs
+++ b/crates/lab/src/sim/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Processes of simulated senders: start, shutdown and death; and messages that the decision module has not ended in
+//! Processes of simulated senders: start, shutdown and end; and messages that the decision module has not ended in
 //! time.
 
 use martenlatch_clock::{Millis, nanos};
@@ -12,17 +12,17 @@
 use super::variant_settings::TURN_INTERVAL;
 use crate::event_log::{Silence, What};
 
-/// A message that the decision module has not ended so long after its deadline is ended for it.
+/// The sender itself ends a message that the decision module has not ended by this time after the deadline.
 pub(super) const OVERDUE_AFTER: Millis = 120.0;
-/// How long a sender that is asked to shut down may take.
+/// How long a sender may take to shut down.
 const SHUTDOWN_TIME: Millis = 3_300.0;
-/// A sender that is still there so long after that is killed.
+/// Time from the end of `SHUTDOWN_TIME` until a sender that still runs is killed.
 const KILL_AFTER: Millis = 100.0;
-/// How long a status report takes to the platform.
+/// One-way latency of a status report to the platform.
 const REPORT_LATENCY: Millis = 1.0;
 
 impl Simulation<'_> {
-    /// A sender's process starts, with what its folder and its agent hold.
+    /// Starts a sender's process with the messages of its state folder and the endpoint list of its agent.
     pub(super) fn start_sender(&mut self, sender: u32) {
         let incarnation = self.senders[sender as usize].incarnation;
         let seed = self.seed ^ (u64::from(sender) << 32) ^ u64::from(incarnation);
@@ -50,7 +50,7 @@
         self.schedule_turn(sender);
     }
 
-    /// The gossip that a process receives when it starts.
+    /// The events with the gossip that a process receives when it starts.
     fn gossip_events(&mut self, sender: u32) -> Vec<Event> {
         let known = match self.senders[sender as usize].collected_gossip.take() {
             Some(collected) => collected,
@@ -68,7 +68,7 @@
             .collect()
     }
 
-    /// The messages that the folder of a sender kept over a restart.
+    /// The events with the open messages that a sender's state folder has kept over a restart.
     fn resumed_events(&self, sender: u32) -> Vec<Event> {
         self.senders[sender as usize]
             .held
@@ -80,7 +80,7 @@
             .collect()
     }
 
-    /// Schedules the next turn of a sender's decision module, unless one is.
+    /// Schedules the next turn of a sender's decision module, unless one is scheduled already.
     pub(super) fn schedule_turn(&mut self, sender: u32) {
         let state = &mut self.senders[sender as usize];
         if !state.is_up() || state.turn_scheduled {
@@ -98,13 +98,13 @@
         );
     }
 
-    /// Tells the decision module of a sender of an event, at its next turn.
+    /// Passes an event to a sender's decision module at its next turn.
     pub(super) fn notify(&mut self, sender: u32, event: Event) {
         self.senders[sender as usize].events.push(event);
         self.schedule_turn(sender);
     }
 
-    /// The decision module has given a message up: a status report goes to the platform.
+    /// Gives up a message, and sends a status report to the platform.
     pub(super) fn give_up(
         &mut self,
         sender: u32,
@@ -125,21 +125,22 @@
         self.schedule(at, SimEvent::StatusReport(report));
     }
 
-    /// Ends what the decision module should have ended, as the sender does.
+    /// Ends a message that the decision module should have ended, as the sender does. A sender that is down or has
+    /// started less than `OVERDUE_AFTER` ago gets that time again.
     pub(super) fn message_overdue(&mut self, sender: u32, id: u64) {
         let state = &self.senders[sender as usize];
         if state.held.get(&id).is_none_or(|message| !message.open) {
             return;
         }
         if !state.is_up() || self.now < state.started_at + OVERDUE_AFTER {
-            let again = SimEvent::MessageOverdue { sender, id };
-            return self.schedule(self.now + OVERDUE_AFTER, again);
+            let next_check = SimEvent::MessageOverdue { sender, id };
+            return self.schedule(self.now + OVERDUE_AFTER, next_check);
         }
         self.give_up(sender, id, false, None);
         self.notify(sender, Event::ClientLeft(MessageId(id)));
     }
 
-    /// A sender is asked to shut down; a new process starts so long after it has ended.
+    /// Asks a sender to shut down. A new process starts `restart_after` milliseconds after the old one has ended.
     pub(super) fn shut_down(&mut self, sender: u32, restart_after: Millis) {
         let state = &mut self.senders[sender as usize];
         if !state.is_up() || state.shutdown_at.is_some() {
@@ -161,20 +162,20 @@
         );
     }
 
-    /// The time of a sender that shuts down is up.
+    /// Kills a sender that has not ended within its time for the shutdown.
     pub(super) fn shutdown_timeout(&mut self, sender: u32, incarnation: u32) {
         if self.senders[sender as usize].incarnation == incarnation {
             self.end_process(sender);
         }
     }
 
-    /// A sender is killed; a new process starts so long after.
+    /// Kills a sender. A new process starts `restart_after` milliseconds later.
     pub(super) fn kill(&mut self, sender: u32, restart_after: Millis) {
         self.senders[sender as usize].restart_after = restart_after;
         self.end_process(sender);
     }
 
-    /// A sender's process ends, in whatever way: its calls end with it, and only its folder stays.
+    /// Ends a sender's process for any reason. Its calls end with it, and only its state folder is kept.
     pub(super) fn end_process(&mut self, sender: u32) {
         let state = &mut self.senders[sender as usize];
         if state.policy.take().is_none() {
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -1,9 +1,9 @@
-//! Runs in simulated time: the decision module of each sender against the model of the partners, with no sockets and
-//! no waiting.
+//! Runs in simulated time: the decision module of each sender against the model of the partners, without sockets and
+//! without waiting.
 //!
-//! The simulation carries out the decision module's actions as the sender does (attempts, records, restarts) and
-//! decides nothing itself. Every fact goes to the judge and to the figures in the order of time, and equal seeds give
-//! equal facts.
+//! The simulation carries out the decision module's actions as the sender does (attempts, records, restarts) and makes
+//! no decisions itself. It passes every event to the judge and to the metrics in the order of time. Equal seeds give
+//! equal events.
 
 mod calls;
 mod clients;
@@ -34,29 +34,29 @@
 pub use turn_statistics::{TurnStatistics, TurnTimes};
 pub use variant_settings::{checked_settings, settings};
 
-/// The decision module's clock at the start of a run.
+/// The time of the decision module's clock at the start of a run.
 const CLOCK_ORIGIN: Millis = 1e6;
-/// A run goes on for so long after the last deadline.
+/// Time from the last deadline to the end of a run.
 const SETTLING_TIME: Millis = 6_000.0;
 
-/// Where a run's facts also go.
+/// An additional receiver of the events of a run.
 pub type EventSink<'a> = Box<dyn FnMut(&LoggedEvent) + 'a>;
 
 /// The result of a run.
 #[derive(Debug)]
 pub struct SimulatedRun {
-    /// Its figures.
+    /// The figures of the run.
     pub figures: Figures,
-    /// What the judge found.
+    /// The verdict of the judge.
     pub verdict: Verdict,
-    /// What turns of the decision module took.
+    /// The durations of the decision module's turns.
     pub turns: TurnTimes,
 }
 
-/// Runs one variant with one seed to its end. Every fact also goes to `sink`.
+/// Runs one variant with one seed to the end. Every event is also passed to `sink`.
 ///
 /// # Errors
-/// Where the decision module rejects the settings.
+/// If the decision module rejects the settings.
 pub fn run<'a>(
     experiment: &'a Experiment,
     variant: &'a Variant,
@@ -66,10 +66,10 @@
     run_unless_stopped(experiment, variant, seed, sink, &AtomicBool::new(false))
 }
 
-/// Runs one variant with one seed, unless `stop` is set before its end. Every fact also goes to `sink`.
+/// Runs one variant with one seed, and stops early if `stop` is set. Every event is also passed to `sink`.
 ///
 /// # Errors
-/// Where the decision module rejects the settings, or the run was stopped.
+/// If the decision module rejects the settings, or if the run was stopped.
 pub fn run_unless_stopped<'a>(
     experiment: &'a Experiment,
     variant: &'a Variant,
--- a/crates/lab/src/sim/partners.rs
+++ b/crates/lab/src/sim/partners.rs
@@ -1,4 +1,4 @@
-//! Partners of a simulated run: calls come to them, run, and are answered.
+//! Partners of a simulated run: calls arrive there, run and are answered.
 
 use super::event::SimEvent;
 use super::simulation::Simulation;
@@ -7,7 +7,7 @@
 use crate::model::partner::{self, Admission, Answer, Reply};
 
 impl Simulation<'_> {
-    /// The last byte of a call has come to its partner.
+    /// Delivers a call whose last byte has arrived at its partner.
     pub(super) fn call_at_partner(&mut self, number: u64) {
         let Some(call) = self.calls.get(&number) else {
             return;
@@ -16,7 +16,7 @@
         let partner = call.partner;
         let reset_after = call.reset_after;
         let class = self.clients.message(call.origin).planned.class;
-        let delivered = partner::Call {
+        let delivered_call = partner::Call {
             number,
             origin: call.origin,
             attempt: call.attempt,
@@ -29,7 +29,7 @@
         let Delivery {
             admission,
             collapsed,
-        } = self.environment.deliver(endpoint, delivered, self.now);
+        } = self.environment.deliver(endpoint, delivered_call, self.now);
         if collapsed {
             self.record(What::Toppled { partner });
         }
@@ -46,19 +46,19 @@
         }
     }
 
-    /// Schedules a look at a partner when its next call is done, if that is sooner than the last one scheduled.
+    /// Schedules the completion of a partner's next call, if it is earlier than the completion already scheduled.
     fn schedule_completion(&mut self, partner: u32) {
         if let Some(at) = self.environment.earlier_completion(partner) {
-            self.schedule(at.max(self.now), SimEvent::PartnerDue { partner });
+            self.schedule(at.max(self.now), SimEvent::CallsComplete { partner });
         }
     }
 
-    /// A partner answers the calls that are done, and starts queued ones.
-    pub(super) fn partner_due(&mut self, partner: u32) {
+    /// Answers the calls of a partner that are done, and starts queued ones.
+    pub(super) fn complete_calls(&mut self, partner: u32) {
         let progress = self.environment.advance(partner, self.now);
         for Answer { call, reply } in progress.answers {
-            let is_reset = |number| self.calls.get(number).is_some_and(|call| call.reset_after);
-            if !is_reset(&call) {
+            let is_reset = self.calls.get(&call).is_some_and(|call| call.reset_after);
+            if !is_reset {
                 self.reply(call, reply);
             }
         }
--- a/crates/lab/src/sim/sender.rs
+++ b/crates/lab/src/sim/sender.rs
@@ -1,4 +1,4 @@
-//! The state of one simulated sender: its process, and what its folder keeps over a restart.
+//! The state of one simulated sender: its process, and the data in its state folder, which survives a restart.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,24 +10,24 @@
 use super::CLOCK_ORIGIN;
 use crate::load::PlannedMessage;
 
-/// A sender that shuts down takes new messages for so long.
-const ACCEPTS_FOR: Millis = 600.0;
+/// How long a sender still accepts messages after it has been asked to shut down.
+const ACCEPTS_AFTER_SHUTDOWN: Millis = 600.0;
 
-/// One attempt to deliver a message, as the sender's folder records it.
+/// An attempt to deliver a message, as recorded in the sender's state folder.
 pub(super) struct Attempt {
     pub sent_at: Millis,
-    /// It is known that the attempt did not reach its partner.
+    /// Whether it is known that the attempt did not run at its partner.
     pub never_ran: bool,
 }
 
-/// A message that a sender holds.
+/// A message that a sender has accepted.
 pub(super) struct HeldMessage {
     pub origin: u64,
     pub deadline: Millis,
     pub attempts: Vec<Attempt>,
-    /// Calls in flight, by the number of the attempt.
+    /// Calls in flight by the number of their attempt.
     pub calls: BTreeMap<u32, u64>,
-    /// It has not ended yet.
+    /// Whether the message has not ended yet.
     pub open: bool,
 }
 
@@ -43,7 +43,7 @@
         }
     }
 
-    /// When the first attempt was sent that may have run.
+    /// When the first attempt that may have run was sent. `None` if no attempt may have run.
     pub fn may_have_run_since(&self) -> Option<Millis> {
         self.attempts
             .iter()
@@ -51,7 +51,7 @@
             .map(|attempt| attempt.sent_at)
     }
 
-    /// The event that tells a new process of this message.
+    /// The event that passes this message to the decision module of a new process.
     pub fn resumed(&self, id: u64, planned: &PlannedMessage) -> Event {
         Event::MessageResumed {
             id: MessageId(id),
@@ -66,23 +66,23 @@
     }
 }
 
-/// How an attempt begins.
+/// An attempt that has been recorded.
 pub(super) struct StartedAttempt {
     /// Its number within the message, from zero.
     pub number: u32,
     pub origin: u64,
-    /// No call may be added to those in flight, so that it is not sent.
+    /// Whether the maximum number of calls is in flight, so that the attempt is not sent.
     pub at_capacity: bool,
-    /// The message has ended already.
+    /// Whether the message has already ended.
     pub finished: bool,
 }
 
-/// The connection that a call leaves on.
+/// The connection on which a call is sent.
 #[derive(Clone, Copy)]
 pub(super) struct Connection {
-    /// Since when it was idle; none for a new one.
+    /// Since when it was idle. `None` for a new connection.
     pub idle_since: Option<Millis>,
-    /// Idle connections that were closed on the way, as they had been idle for too long.
+    /// Number of idle connections that were closed during the search because they had been idle for too long.
     pub expired: usize,
 }
 
@@ -92,14 +92,14 @@
     }
 }
 
-/// A sender: its process, and what its folder keeps.
+/// A sender: its process, and the data in its state folder.
 #[derive(Default)]
 pub(super) struct Sender {
-    /// The decision module; none while no process runs.
+    /// The decision module. `None` while no process runs.
     pub policy: Option<Policy>,
-    /// How many processes came before this one.
+    /// Number of the sender's earlier processes.
     pub incarnation: u32,
-    /// Events for the decision module at its next turn.
+    /// Events for the next turn of the decision module.
     pub events: Vec<Event>,
     pub turn_scheduled: bool,
     pub last_turn: Millis,
@@ -112,10 +112,10 @@
     /// Held messages that have not ended.
     pub open_messages: usize,
     pub calls_in_flight: usize,
-    /// Idle connections to each endpoint, since when; the most recently used last.
+    /// For each endpoint, the instants since which its connections are idle, most recently used last.
     pub idle_connections: HashMap<u32, Vec<Millis>>,
     pub known_endpoints: BTreeMap<u32, EndpointEntry>,
-    /// The gossip that it is given when it starts, where that was collected before.
+    /// Gossip that was collected in advance for its start.
     pub collected_gossip: Option<PartnerKnowledge>,
 }
 
@@ -124,18 +124,18 @@
         self.policy.is_some()
     }
 
-    /// Whether it shuts down, and takes no new messages any more.
+    /// Whether it shuts down and accepts no more messages.
     pub fn is_draining(&self, now: Millis) -> bool {
         self.shutdown_at
-            .is_some_and(|shutdown_at| now >= shutdown_at + ACCEPTS_FOR)
+            .is_some_and(|shutdown_at| now >= shutdown_at + ACCEPTS_AFTER_SHUTDOWN)
     }
 
-    /// Whether nothing keeps it from ending its process.
+    /// Whether it has no open message and no call in flight, so that its process may end.
     pub fn is_idle(&self) -> bool {
         self.open_messages == 0 && self.calls_in_flight == 0
     }
 
-    /// Sets up the state of a new process, which receives `events` at its first turn.
+    /// Sets up the state of a new process, whose decision module receives `events` at its first turn.
     pub fn begin_process(&mut self, policy: Policy, events: Vec<Event>, now: Millis) {
         self.policy = Some(policy);
         self.shutdown_at = None;
@@ -146,7 +146,7 @@
         self.events = events;
     }
 
-    /// Drops what dies with the process, and returns the calls that were in flight, in ascending order.
+    /// Drops the state that is lost with the process, and returns the calls that were in flight, in ascending order.
     pub fn end_process(&mut self) -> Vec<u64> {
         self.incarnation += 1;
         self.turn_scheduled = false;
@@ -161,7 +161,7 @@
         calls
     }
 
-    /// Notes that a message has ended. Returns false where it was not open.
+    /// Marks a message as ended. Returns false if it was not open.
     pub fn close_message(&mut self, id: u64) -> bool {
         let Some(message) = self.held.get_mut(&id).filter(|message| message.open) else {
             return false;
@@ -171,15 +171,15 @@
         true
     }
 
-    /// Forgets a message that has ended and has no call in flight.
-    pub fn forget_if_finished(&mut self, id: u64) {
+    /// Removes a message if it has ended and has no call in flight.
+    pub fn remove_if_finished(&mut self, id: u64) {
         let finished = |message: &HeldMessage| !message.open && message.calls.is_empty();
         if self.held.get(&id).is_some_and(finished) {
             self.held.remove(&id);
         }
     }
 
-    /// Records an attempt of a message; none where the message is not held.
+    /// Records an attempt to deliver a message. Returns `None` if the message is not held.
     pub fn start_attempt(
         &mut self,
         id: u64,
@@ -201,8 +201,8 @@
         })
     }
 
-    /// Takes the most recently used idle connection to an endpoint, or a new one. Those that have been idle for the
-    /// limit are closed.
+    /// Takes the most recently used idle connection to an endpoint, or a new one. Closes the connections that have been
+    /// idle for `idle_limit` or longer.
     pub fn take_connection(
         &mut self,
         endpoint: u32,
--- a/crates/lab/src/sim/simulation.rs
+++ b/crates/lab/src/sim/simulation.rs
@@ -1,4 +1,4 @@
-//! The state of a simulated run, and its loop over the events.
+//! The state of a simulated run, and its event loop.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -22,10 +22,10 @@
 use crate::model::environment::Environment;
 use crate::network::{self, Direction};
 
-/// Time between two samples of the number of messages held.
+/// Time between two samples of the number of held messages.
 const SAMPLE_INTERVAL: Millis = 100.0;
 
-/// A simulated run. Its clock starts at zero.
+/// The state of a simulated run. Its clock starts at zero.
 pub(super) struct Simulation<'a> {
     pub experiment: &'a Experiment,
     pub seed: u64,
@@ -47,17 +47,17 @@
     metrics: Metrics,
     sink: Option<EventSink<'a>>,
     pub turns: TurnTimes,
-    /// A sender that starts receives the gossip of those that run.
+    /// Whether a sender that starts receives the gossip of the running senders.
     pub learns: bool,
-    /// How old that gossip is.
+    /// The age of that gossip.
     gossip_age: Millis,
 }
 
 impl<'a> Simulation<'a> {
-    /// Draws a run.
+    /// Draws the partners, the load and the clients of a run.
     ///
     /// # Errors
-    /// Where the decision module rejects the settings.
+    /// If the decision module rejects the settings.
     pub fn new(
         experiment: &'a Experiment,
         variant: &'a Variant,
@@ -93,7 +93,7 @@
     /// Runs until `end`.
     ///
     /// # Errors
-    /// Where `stop` was set before.
+    /// If `stop` is set before `end`.
     pub fn run(&mut self, end: Millis, stop: &AtomicBool) -> Result<(), LabError> {
         self.start();
         while let Some(next) = self.queue.pop() {
@@ -109,7 +109,7 @@
         Ok(())
     }
 
-    /// The result of a run that has ended at `end`.
+    /// Returns the result of a run that has ended at `end`.
     pub fn finish(self, end: Millis) -> SimulatedRun {
         SimulatedRun {
             figures: self.metrics.end(),
@@ -123,36 +123,37 @@
         self.queue.push(at, event);
     }
 
-    /// Hands a fact to all that follow the run.
+    /// Passes an event to the judge, the metrics and the sink.
     pub fn record(&mut self, what: What) {
-        let fact = LoggedEvent { at: self.now, what };
-        self.judge.hear(&fact);
-        self.metrics.hear(&fact);
+        let event = LoggedEvent { at: self.now, what };
+        self.judge.hear(&event);
+        self.metrics.hear(&event);
         if let Some(sink) = self.sink.as_mut() {
-            sink(&fact);
+            sink(&event);
         }
     }
 
-    /// One-way latency of a call, or of its reply.
+    /// The one-way latency of a call or of its reply.
     pub fn latency(&self, call: u64, direction: Direction) -> Millis {
         network::latency(self.experiment, self.seed, call, direction)
     }
 
     fn start(&mut self) {
         for sender in 0..self.senders.len() as u32 {
-            self.start_with_all_endpoints(sender);
+            self.prepare_sender(sender);
         }
         if let Some(first) = self.plan.first() {
             self.schedule(first.at, SimEvent::PlannedMessage { index: 0 });
         }
         let experiment = self.experiment;
-        for (number, failure) in experiment.failures.iter().enumerate() {
-            self.schedule_failure(number, failure);
+        for (index, failure) in experiment.failures.iter().enumerate() {
+            self.schedule_failure(index, failure);
         }
         self.schedule(0.0, SimEvent::Sample);
     }
 
-    fn start_with_all_endpoints(&mut self, sender: u32) {
+    /// Gives a sender the entries of all endpoints, and starts its process unless it joins later.
+    fn prepare_sender(&mut self, sender: u32) {
         for endpoint in 0..self.environment.endpoint_partners.len() as u32 {
             let entry = self.endpoint_entry(endpoint, EndpointState::Active);
             let known = &mut self.senders[sender as usize].known_endpoints;
@@ -168,14 +169,14 @@
         }
     }
 
-    fn schedule_failure(&mut self, number: usize, failure: &Failure) {
+    fn schedule_failure(&mut self, index: usize, failure: &Failure) {
         let first = if failure.what == FailureKind::Replace {
             SimEvent::ReplaceEndpoint {
-                failure: number,
-                turn: 0,
+                failure: index,
+                repetition: 0,
             }
         } else {
-            SimEvent::FailureBegins { failure: number }
+            SimEvent::FailureBegins { failure: index }
         };
         self.schedule(failure.start, first);
         self.schedule(failure.end, SimEvent::OutagesChange);
@@ -195,7 +196,7 @@
                 incarnation,
             } => self.wake(sender, incarnation),
             SimEvent::CallAtPartner { call } => self.call_at_partner(call),
-            SimEvent::PartnerDue { partner } => self.partner_due(partner),
+            SimEvent::CallsComplete { partner } => self.complete_calls(partner),
             SimEvent::AnswerAtSender { call, reply } => self.answer_at_sender(call, reply),
             SimEvent::CallLost { call, how, outcome } => self.lose_call(call, how, outcome),
             SimEvent::CallTimeout { call } => {
@@ -204,7 +205,10 @@
             SimEvent::StatusReport(report) => self.status_report(report),
             SimEvent::OutagesChange => self.update_outages(),
             SimEvent::FailureBegins { failure } => self.failure_begins(failure),
-            SimEvent::ReplaceEndpoint { failure, turn } => self.replace_endpoint(failure, turn),
+            SimEvent::ReplaceEndpoint {
+                failure,
+                repetition,
+            } => self.replace_endpoint(failure, repetition),
             SimEvent::RetireEndpoint { endpoint } => self.environment.retire_endpoint(endpoint),
             SimEvent::EndpointChange {
                 sender,
--- a/crates/lab/src/sim/turn.rs
+++ b/crates/lab/src/sim/turn.rs
@@ -1,4 +1,4 @@
-//! Turns of the decision module of a simulated sender, and the carrying out of its actions.
+//! Turns of the decision module of a simulated sender, and the execution of its actions.
 
 use std::time::Instant;
 
@@ -11,13 +11,13 @@
 use crate::event_log::Silence;
 
 impl Simulation<'_> {
-    /// The decision module of a sender takes a turn, unless its process has ended since.
+    /// Runs a turn of a sender's decision module, unless the process of that incarnation has ended.
     pub(super) fn take_turn(&mut self, sender: u32, incarnation: u32) {
         let Some(actions) = self.decide(sender, incarnation) else {
             return;
         };
         for action in actions {
-            self.carry_out(sender, incarnation, action);
+            self.execute(sender, incarnation, action);
         }
         let state = &self.senders[sender as usize];
         if state.is_draining(self.now) && state.is_idle() {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// What the decision module of a sender wants done now; none where its process has ended.
+    /// The actions that a sender's decision module requests now. `None` if the process of that incarnation has ended.
     fn decide(&mut self, sender: u32, incarnation: u32) -> Option<Vec<Action>> {
         let state = &mut self.senders[sender as usize];
         if state.incarnation != incarnation {
@@ -36,14 +36,14 @@
         let policy = state.policy.as_mut()?;
         let events = std::mem::take(&mut state.events);
         let mut actions = Vec::new();
-        let clock = Instant::now();
+        let started = Instant::now();
         policy.turn(nanos(CLOCK_ORIGIN + self.now), &events, &mut actions);
-        let took = clock.elapsed().as_nanos() as u64;
-        self.turns.add(state.open_messages, took);
+        let nanoseconds = started.elapsed().as_nanos() as u64;
+        self.turns.add(state.open_messages, nanoseconds);
         Some(actions)
     }
 
-    fn carry_out(&mut self, sender: u32, incarnation: u32, action: Action) {
+    fn execute(&mut self, sender: u32, incarnation: u32, action: Action) {
         match action {
             Action::Send {
                 id,
--- a/crates/lab/src/sim/turn_statistics.rs
+++ b/crates/lab/src/sim/turn_statistics.rs
@@ -1,15 +1,15 @@
-//! What turns of the decision module take on this machine. Not part of a result that a seed decides.
+//! The durations of the decision module's turns on this machine. They are not part of the result of a seed.
 
 use std::collections::BTreeMap;
 
-/// Turns of the decision module with a similar number of messages held.
+/// The durations of turns with a similar number of held messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TurnStatistics {
-    /// How many turns there were.
+    /// Number of turns.
     pub count: u64,
-    /// Nanoseconds of all together.
+    /// Sum of the durations, in nanoseconds.
     pub total_ns: u64,
-    /// Nanoseconds of the longest.
+    /// The longest duration, in nanoseconds.
     pub longest_ns: u64,
 }
 
@@ -21,22 +21,22 @@
     }
 }
 
-/// What turns took, by how many messages were held.
+/// The durations of turns by the number of held messages.
 #[derive(Clone, Debug, Default)]
 pub struct TurnTimes {
-    /// The turns for each number of bits of the number of messages held.
+    /// The turns for each bit length of the number of held messages.
     pub by_held_bits: BTreeMap<u32, TurnStatistics>,
 }
 
 impl TurnTimes {
-    /// Adds what another run measured.
+    /// Adds the turns of another run.
     pub fn add_all(&mut self, other: &TurnTimes) {
         for (bits, statistics) in &other.by_held_bits {
             self.by_held_bits.entry(*bits).or_default().add(statistics);
         }
     }
 
-    /// Adds one turn with `held` messages that took so many nanoseconds.
+    /// Adds one turn with `held` messages and a duration of `nanoseconds`.
     pub(super) fn add(&mut self, held: usize, nanoseconds: u64) {
         let bits = usize::BITS - held.leading_zeros();
         self.by_held_bits
--- a/crates/lab/src/sim/variant_settings.rs
+++ b/crates/lab/src/sim/variant_settings.rs
@@ -1,4 +1,4 @@
-//! The settings that the senders of a variant get in a world.
+//! The settings of the senders of a variant in a world.
 
 use martenlatch_clock::{Millis, nanos};
 use martenlatch_policy::interface::{
@@ -13,32 +13,33 @@
 
 /// Time between two turns of the decision module.
 pub(super) const TURN_INTERVAL: Millis = 5.0;
-/// How long an attempt waits for its connection.
+/// How long an attempt may wait for its connection.
 pub(super) const CONNECT_TIMEOUT: Millis = 1_000.0;
 
-/// Without a setting, a sender has so many times the attempts in flight that a full load keeps busy ...
+/// By default, the limit on a sender's attempts in flight is this many times the mean number at full load ...
 const IN_FLIGHT_FACTOR: f64 = 2.2;
-/// ... and at least so many.
-const LEAST_IN_FLIGHT: usize = 3;
-/// Without a setting, a sender holds the messages of so many seconds of full load ...
+/// ... and at least this number.
+const MIN_IN_FLIGHT: usize = 3;
+/// By default, a sender holds at most the messages of this many seconds of full load ...
 const HELD_SECONDS: f64 = 9.0;
-/// ... and at least so many.
-const LEAST_HELD: usize = 8;
+/// ... and at least this number.
+const MIN_HELD: usize = 8;
 /// The longest Retry-After that a client is given.
-const MOST_RETRY_AFTER: Millis = 3_000.0;
+const MAX_RETRY_AFTER: Millis = 3_000.0;
 
-/// The settings that a variant's senders get in a world.
+/// The settings of a variant's senders in a world, without checks.
 pub fn settings(experiment: &Experiment, variant: &Variant, site: &Site) -> Settings {
     let world = &experiment.world;
     let rate_per_sender = world.full_rate / f64::from(world.senders);
-    let work_share = site
+    let mean_service_time_factor = site
         .partners
         .iter()
         .map(|partner| partner.traffic_share * partner.service_time_factor)
         .sum::<f64>();
-    let busy = work_share * rate_per_sender * site.mean_work / 1e3;
-    let in_flight = ((IN_FLIGHT_FACTOR * busy).round() as usize).max(LEAST_IN_FLIGHT);
-    let held = ((HELD_SECONDS * rate_per_sender).round() as usize).max(LEAST_HELD);
+    let mean_in_flight = mean_service_time_factor * rate_per_sender * site.mean_work / 1e3;
+    let default_in_flight =
+        ((IN_FLIGHT_FACTOR * mean_in_flight).round() as usize).max(MIN_IN_FLIGHT);
+    let default_held = ((HELD_SECONDS * rate_per_sender).round() as usize).max(MIN_HELD);
     Settings {
         senders: world.senders,
         zone: ZoneId(0),
@@ -53,12 +54,12 @@
         classes: world.classes.iter().map(message_class).collect(),
         decay: Decay::Halving,
         weight_meaning: EndpointWeights::Approximate,
-        max_in_flight: variant.max_in_flight.unwrap_or(in_flight),
-        max_held: variant.max_held.unwrap_or(held),
+        max_in_flight: variant.max_in_flight.unwrap_or(default_in_flight),
+        max_held: variant.max_held.unwrap_or(default_held),
         max_attempts: variant.max_attempts,
         may_cancel: variant.may_cancel,
         may_hedge: variant.may_hedge,
-        max_retry_after: Some(nanos(MOST_RETRY_AFTER)),
+        max_retry_after: Some(nanos(MAX_RETRY_AFTER)),
         recovery: recovery_ramp(world),
         key_quiet_period: 0,
         connect_timeout: nanos(CONNECT_TIMEOUT),
@@ -99,10 +100,10 @@
     }
 }
 
-/// The settings that a variant's senders get in a world, once the decision module allows them.
+/// The settings of a variant's senders in a world, checked by the decision module.
 ///
 /// # Errors
-/// Where the decision module rejects them.
+/// If the decision module rejects them.
 pub fn checked_settings(
     experiment: &Experiment,
     variant: &Variant,
