--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -1,5 +1,5 @@
-//! What clients want: their messages, which senders they submit them to, and when they retry. Clients never wait for
-//! an answer before the next message comes, and do not submit again what may not be repeated.
+//! The clients of a run: their messages, the senders to which they submit them, and when they retry. Clients do not
+//! wait for an answer before the next message, and do not submit a message again that must not be repeated.
 
 use martenlatch_clock::Millis;
 
@@ -7,37 +7,38 @@
 use crate::load::PlannedMessage;
 use crate::sampling::{Span, Stream, rng_for, uniform};
 
-/// A client whose connections are refused retries so often beyond its usual limit.
+/// Additional retries, beyond the usual limit, of a client whose connections are refused.
 const CONNECTION_RETRIES: u32 = 100;
-/// How long a message takes to its sender, in milliseconds.
-const HAND_IN_LATENCY: Span = Span::new(0.28, 1.0);
-/// A client that was given a Retry-After waits at most so many milliseconds longer.
+/// One-way latency from a client to a sender, in milliseconds.
+const SUBMIT_LATENCY: Span = Span::new(0.28, 1.0);
+/// A client that was given a Retry-After waits at most this many milliseconds longer.
 const RETRY_AFTER_SLACK: Millis = 100.0;
-/// A client does not retry within so many milliseconds of the message's end.
-const LEAST_TIME_LEFT: Millis = 50.0;
-/// Keeps a draw over the places of a list within it.
+/// Minimum time from a retry to the message's deadline and to the end of its idempotency window.
+const MIN_TIME_LEFT: Millis = 50.0;
+/// Keeps a drawn index within its list.
 const INDEX_MARGIN: f64 = 0.001;
-/// Numbers the draws of backoffs, apart from those of the choice of a sender.
-const BACKOFF_DRAW: u64 = 1_000;
+/// First index of the draws of backoffs. It keeps them apart from the draws of senders.
+const FIRST_BACKOFF_DRAW: u64 = 1_000;
 
-/// A message of a client, over all its attempts to submit it.
+/// A client's message, over all attempts to submit it.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientMessage {
-    /// As it was planned.
+    /// The message as planned.
     pub planned: PlannedMessage,
-    /// When its time is up.
+    /// The message's deadline.
     pub deadline: Millis,
     retries: u32,
-    /// One with an idempotency key that may have run is not handed in again after this.
-    key_valid_until: Millis,
+    /// When the idempotency window ends. A message with an idempotency key that may have run is not submitted again
+    /// after this.
+    window_end: Millis,
 }
 
-/// The sender that a message is submitted to.
+/// The sender to which a message is submitted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SenderChoice {
     /// The sender's number.
     pub sender: u32,
-    /// How long the message takes there.
+    /// How long the message takes to reach the sender.
     pub latency: Millis,
 }
 
@@ -50,7 +51,7 @@
 }
 
 impl<'a> Clients<'a> {
-    /// Clients that have submitted nothing yet.
+    /// Creates clients that have submitted nothing yet.
     pub fn new(experiment: &'a Experiment, seed: u64) -> Clients<'a> {
         Clients {
             experiment,
@@ -59,19 +60,19 @@
         }
     }
 
-    /// Notes a message that comes for the first time, and returns its number.
+    /// Registers a message before it is first submitted, and returns its number.
     pub fn register(&mut self, planned: PlannedMessage) -> u64 {
         let deadline = planned.at + self.class_of(&planned).deadline;
         self.messages.push(ClientMessage {
             planned,
             deadline,
             retries: 0,
-            key_valid_until: f64::INFINITY,
+            window_end: f64::INFINITY,
         });
         self.messages.len() as u64 - 1
     }
 
-    /// A message by its number.
+    /// The message with a number.
     pub fn message(&self, origin: u64) -> &ClientMessage {
         &self.messages[origin as usize]
     }
@@ -80,58 +81,63 @@
         &self.experiment.world.classes[planned.class as usize]
     }
 
-    /// Whether a message may be repeated.
+    /// The effect of a message, which decides whether it may be repeated.
     pub fn effect(&self, origin: u64) -> Effect {
         self.class_of(&self.message(origin).planned).effect
     }
 
-    /// Chooses which of the senders that are up a message is submitted to, as a load balancer would; none where none
-    /// is up.
+    /// Chooses a sender for a message from the senders that are up, as a load balancer would. `None` if none is up.
     pub fn choose_sender(&self, origin: u64, up: &[u32]) -> Option<SenderChoice> {
         let retries = self.message(origin).retries;
         let mut rng = rng_for(self.seed, Stream::Client, origin, retries.into());
-        let places = Span::new(0.0, up.len() as f64 - INDEX_MARGIN);
-        let place = uniform(&mut rng, places) as usize;
-        let sender = *up.get(place)?;
+        let indices = Span::new(0.0, up.len() as f64 - INDEX_MARGIN);
+        let index = uniform(&mut rng, indices) as usize;
+        let sender = *up.get(index)?;
         Some(SenderChoice {
             sender,
-            latency: uniform(&mut rng, HAND_IN_LATENCY),
+            latency: uniform(&mut rng, SUBMIT_LATENCY),
         })
     }
 
-    /// Notes that a call of a message that was sent at an instant may have run: partners know its key from then on.
-    pub fn may_have_run(&mut self, origin: u64, sent: Millis) {
+    /// Notes that an attempt that was sent at `sent_at` may have run. Partners know the message's idempotency key from
+    /// then on, so its idempotency window begins.
+    pub fn may_have_run(&mut self, origin: u64, sent_at: Millis) {
         let class = self.class_of(&self.message(origin).planned);
         if class.effect == Effect::Keyed {
             let message = &mut self.messages[origin as usize];
-            message.key_valid_until = message.key_valid_until.min(sent + class.window);
+            message.window_end = message.window_end.min(sent_at + class.window);
         }
     }
 
-    /// When a message is submitted again that was rejected, with the Retry-After that was given, or for which no
-    /// sender was there to listen (`heard` is false); none: never.
+    /// When a message is submitted again after a rejection with an optional Retry-After, or after it has reached no
+    /// sender (`reached_sender` is false). `None` if it is not submitted again.
     pub fn retry_at(
         &mut self,
         origin: u64,
         retry_after: Option<Millis>,
-        heard: bool,
+        reached_sender: bool,
         now: Millis,
     ) -> Option<Millis> {
         let load = &self.experiment.load;
-        let most = load.retries + if heard { 0 } else { CONNECTION_RETRIES };
+        let connection_retries = if reached_sender {
+            0
+        } else {
+            CONNECTION_RETRIES
+        };
+        let max_retries = load.retries + connection_retries;
         let message = &mut self.messages[origin as usize];
-        if message.retries >= most {
+        if message.retries >= max_retries {
             return None;
         }
         message.retries += 1;
-        let draw = BACKOFF_DRAW + u64::from(message.retries);
+        let draw = FIRST_BACKOFF_DRAW + u64::from(message.retries);
         let mut rng = rng_for(self.seed, Stream::Client, origin, draw);
         let backoff = uniform(&mut rng, load.backoff);
-        let wait = retry_after.map_or(backoff, |told| {
-            told.max(backoff.min(told + RETRY_AFTER_SLACK))
+        let wait = retry_after.map_or(backoff, |min_wait| {
+            min_wait.max(backoff.min(min_wait + RETRY_AFTER_SLACK))
         });
         let at = now + wait;
-        let end = message.deadline.min(message.key_valid_until);
-        (at + LEAST_TIME_LEFT < end).then_some(at)
+        let end = message.deadline.min(message.window_end);
+        (at + MIN_TIME_LEFT < end).then_some(at)
     }
 }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -1,5 +1,5 @@
-//! The load: when each message comes and for whom, drawn before the run. It is an open load, so a slow answer does
-//! not thin it out.
+//! The load: the time, partner and class of each message, drawn before the run. It is an open load: slow answers do not
+//! delay later messages.
 
 use martenlatch_clock::Millis;
 use rand::RngExt;
@@ -11,24 +11,24 @@
 use crate::model::site::Site;
 use crate::sampling::{Stream, bernoulli, rng_for, uniform};
 
-/// The rate is looked at again after so many milliseconds at the latest, so that a long gap drawn before a burst does
-/// not skip it.
-const LONGEST_GAP: Millis = 1_000.0;
-/// The messages of a clump come up to so many milliseconds apart.
-const CLUMP_SPACING: Millis = 2.0;
+/// Maximum time until the arrival rate is evaluated again, so that a long gap drawn before a burst does not skip the
+/// burst.
+const MAX_GAP: Millis = 1_000.0;
+/// Maximum spacing of the messages of a clump, which is several messages for one partner that arrive almost at once.
+const MAX_CLUMP_SPACING: Millis = 2.0;
 
-/// A message as a client means to submit it.
+/// A message that a client is going to submit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlannedMessage {
-    /// When, in milliseconds from the start of the run.
+    /// When it is first submitted, in milliseconds from the start of the run.
     pub at: Millis,
-    /// Its partner.
+    /// The number of its partner.
     pub partner: u32,
-    /// Its class.
+    /// The number of its class.
     pub class: u32,
 }
 
-/// Draws all messages of a run, in the order in which they come.
+/// Draws all messages of a run, in the order of time.
 pub fn plan(
     experiment: &Experiment,
     site: &Site,
@@ -40,14 +40,14 @@
     let mut messages = Vec::new();
     let mut at = 0.0;
     loop {
-        let gap: f64 = Exp1.sample(&mut rng);
-        let gap = gap / arrivals.rate_at(at);
-        at += gap.min(LONGEST_GAP);
+        let unit_gap: f64 = Exp1.sample(&mut rng);
+        let gap = unit_gap / arrivals.rate_at(at);
+        at += gap.min(MAX_GAP);
         if at >= experiment.length {
             break;
         }
-        if gap <= LONGEST_GAP {
-            arrivals.draw_at(at, &mut rng, &mut messages);
+        if gap <= MAX_GAP {
+            arrivals.draw_arrival(at, &mut rng, &mut messages);
         }
     }
     messages.retain(|message| message.at < experiment.length);
@@ -55,26 +55,28 @@
     messages
 }
 
-/// The distribution of arrivals, each of which is one message or a clump of several.
+/// The distribution of arrivals. An arrival is one message or a clump.
 struct Arrivals<'a> {
     experiment: &'a Experiment,
     site: &'a Site,
     faults: &'a FaultSchedule,
     /// Sum of the classes' shares.
     class_shares: f64,
-    /// Share of the arrivals that are clumps.
+    /// Share of arrivals that are clumps.
     clump_share: f64,
-    /// Mean number of messages of an arrival.
+    /// Mean number of messages per arrival.
     messages_per_arrival: f64,
 }
 
 impl<'a> Arrivals<'a> {
     fn new(experiment: &'a Experiment, site: &'a Site, faults: &'a FaultSchedule) -> Arrivals<'a> {
         let load = &experiment.load;
-        let per_clump = messages_per_clump(site, load);
-        // Clumps bring several messages at once, so that fewer arrivals make the same load.
-        let clumps = load.clump_share / per_clump;
-        let clump_share = clumps / (clumps + (1.0 - load.clump_share)).max(1e-9);
+        let per_clump = mean_messages_per_clump(site, load);
+        // `load.clump_share` is a share of messages. A clump brings several messages at once, so that fewer arrivals
+        // make up the same load.
+        let clumps_per_message = load.clump_share / per_clump;
+        let clump_share =
+            clumps_per_message / (clumps_per_message + (1.0 - load.clump_share)).max(1e-9);
         let classes = &experiment.world.classes;
         Arrivals {
             experiment,
@@ -86,33 +88,33 @@
         }
     }
 
-    /// Arrivals a millisecond at an instant.
+    /// Arrivals per millisecond at an instant.
     fn rate_at(&self, at: Millis) -> f64 {
         let load = &self.experiment.load;
-        let usual = self.experiment.world.full_rate * load.level / 1e3;
+        let usual_rate = self.experiment.world.full_rate * load.level / 1e3;
         let swing = 1.0 + load.swing * (at / load.swing_period * std::f64::consts::TAU).sin();
-        (usual * swing * self.faults.load_factor(at) / self.messages_per_arrival).max(1e-9)
+        (usual_rate * swing * self.faults.load_factor(at) / self.messages_per_arrival).max(1e-9)
     }
 
-    /// Draws the messages of an arrival.
-    fn draw_at(&self, at: Millis, rng: &mut Pcg64Mcg, messages: &mut Vec<PlannedMessage>) {
+    /// Draws the messages of an arrival at `at`.
+    fn draw_arrival(&self, at: Millis, rng: &mut Pcg64Mcg, messages: &mut Vec<PlannedMessage>) {
         let partners = self.site.partners.iter();
         let shares = partners.map(|partner| partner.traffic_share);
         let partner = index_of_share(shares, rng.random::<f64>());
-        for number in 0..self.draw_size(partner, rng) {
+        for index in 0..self.draw_message_count(partner, rng) {
             let classes = self.experiment.world.classes.iter();
             let shares = classes.map(|class| class.share / self.class_shares);
             let class = index_of_share(shares, rng.random::<f64>());
             messages.push(PlannedMessage {
-                at: at + number as f64 * CLUMP_SPACING * rng.random::<f64>(),
+                at: at + index as f64 * MAX_CLUMP_SPACING * rng.random::<f64>(),
                 partner: partner as u32,
                 class: class as u32,
             });
         }
     }
 
-    /// Draws how many messages an arrival for a partner has.
-    fn draw_size(&self, partner: usize, rng: &mut Pcg64Mcg) -> usize {
+    /// Draws the number of messages of an arrival for a partner.
+    fn draw_message_count(&self, partner: usize, rng: &mut Pcg64Mcg) -> usize {
         if !bernoulli(rng, self.clump_share) {
             return 1;
         }
@@ -122,8 +124,8 @@
     }
 }
 
-/// Mean number of messages of a clump, over all partners.
-fn messages_per_clump(site: &Site, load: &Load) -> f64 {
+/// Mean number of messages per clump over all partners.
+fn mean_messages_per_clump(site: &Site, load: &Load) -> f64 {
     let mean_seconds = (load.clump_seconds.least + load.clump_seconds.most) / 2.0;
     site.partners
         .iter()
@@ -131,8 +133,8 @@
         .sum()
 }
 
-/// The place of the share in which a point between zero and one falls; the last where rounding leaves it past them
-/// all.
+/// The index of the share into which a point between zero and one falls. Returns the last index if the point lies past
+/// all shares due to rounding.
 fn index_of_share(shares: impl Iterator<Item = f64>, mut point: f64) -> usize {
     let mut last = 0;
     for (index, share) in shares.enumerate() {
--- a/crates/lab/src/members.rs
+++ b/crates/lab/src/members.rs
@@ -1,42 +1,43 @@
-//! Membership at size, in simulated time: what it costs on the network, how soon a death and a join are known to all,
-//! and how often a running member is declared dead by mistake. The figures are a seed's, not the machine's.
+//! Measures membership with many members in simulated time: its network traffic, the time until all members know of a
+//! death or a join, and how often a running member is wrongly declared dead. The figures depend on the seed, not on the
+//! machine.
 
 use martenlatch_clock::Millis;
 use martenlatch_peers::membership::State;
 use martenlatch_peers::simulated_network::SimulatedNetwork;
 
-/// Time from an empty network until figures are taken.
+/// Time from the start of the network until the measurement begins.
 const SETTLING_TIME: Millis = 30_000.0;
-/// Time over which figures are taken.
+/// Duration of the measurement without joins and deaths.
 const STEADY_TIME: Millis = 60_000.0;
-/// Longest wait for a death or a join to be known to all.
-const LONGEST_WAIT: Millis = 60_000.0;
+/// Maximum time to wait until all members know of a death or a join.
+const MAX_WAIT: Millis = 60_000.0;
 
-/// What was measured with one number of members, one loss and one seed.
+/// The figures for one number of members, one datagram loss and one seed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MembershipFigures {
-    /// Sent by each member in a second, with the 28 bytes that UDP over IPv4 adds.
+    /// Bytes that each member sends per second, including the 28 bytes per datagram that UDP over IPv4 adds.
     pub bytes_per_second: f64,
-    /// Datagrams of each member in a second.
+    /// Datagrams that each member sends per second.
     pub datagrams_per_second: f64,
-    /// Until a death is known to all others, in milliseconds; none where it was not within a minute.
+    /// Milliseconds until all others know of a death. `None` if that takes more than a minute.
     pub death_known_after: Option<Millis>,
-    /// Until a newcomer and all others know each other, in milliseconds; none where they did not within a minute.
+    /// Milliseconds until a new member and all others know each other. `None` if that takes more than a minute.
     pub join_known_after: Option<Millis>,
-    /// Times that any member declared a running one dead, while nobody died.
+    /// How often any member declared a running one dead while no member died.
     pub false_deaths: u64,
-    /// Pairs that did not know each other as members when the steady time was over.
+    /// Pairs that did not know each other as members at the end of the measurement without joins and deaths.
     pub unknown_pairs: usize,
 }
 
-/// Measures one network. `loss` is the share of the datagrams that is lost. The same seed gives the same figures.
+/// Measures one network. `loss` is the share of datagrams that are lost. The same seed gives the same figures.
 pub fn measure(members: usize, loss: f64, seed: u64) -> MembershipFigures {
     let mut network = SimulatedNetwork::of(members, loss, seed);
     network.run(SETTLING_TIME);
     let figures = measure_steady(&mut network, members);
-    let newcomer = members;
-    let join_known_after = measure_join(&mut network, newcomer, members);
-    let death_known_after = measure_death(&mut network, newcomer, members);
+    let new_member = members;
+    let join_known_after = measure_join(&mut network, new_member, members);
+    let death_known_after = measure_death(&mut network, new_member, members);
     MembershipFigures {
         join_known_after,
         death_known_after,
@@ -59,24 +60,32 @@
     }
 }
 
-fn measure_join(network: &mut SimulatedNetwork, newcomer: usize, members: usize) -> Option<Millis> {
+fn measure_join(
+    network: &mut SimulatedNetwork,
+    new_member: usize,
+    members: usize,
+) -> Option<Millis> {
     let joined_at = network.now();
-    network.add(newcomer);
-    let known = network.run_until(LONGEST_WAIT, |network| {
-        network.all_know(newcomer) && network.node(newcomer).live() >= members
+    network.add(new_member);
+    let known = network.run_until(MAX_WAIT, |network| {
+        network.all_know(new_member) && network.node(new_member).live() >= members
     });
     known.map(|at| at - joined_at)
 }
 
-fn measure_death(network: &mut SimulatedNetwork, died: usize, members: usize) -> Option<Millis> {
+fn measure_death(
+    network: &mut SimulatedNetwork,
+    dead_member: usize,
+    members: usize,
+) -> Option<Millis> {
     let died_at = network.now();
-    network.kill(died);
-    let knows_death = |network: &SimulatedNetwork, by: usize| {
-        let state = network.state(by, died);
+    network.kill(dead_member);
+    let knows_death = |network: &SimulatedNetwork, observer: usize| {
+        let state = network.state(observer, dead_member);
         state.is_none_or(|state| state == State::Dead)
     };
-    let known = network.run_until(LONGEST_WAIT, |network| {
-        (0..members).all(|by| knows_death(network, by))
+    let known = network.run_until(MAX_WAIT, |network| {
+        (0..members).all(|observer| knows_death(network, observer))
     });
     known.map(|at| at - died_at)
 }
--- a/crates/lab/src/turn_cost.rs
+++ b/crates/lab/src/turn_cost.rs
@@ -1,5 +1,5 @@
-//! The cost of one turn of the decision module by the number of messages held: an outage holds many messages, and one
-//! ends as another is submitted. The figures are the machine's, not a seed's.
+//! Measures the duration of one turn of the decision module by the number of held messages. During an outage, a sender
+//! holds many messages, and one ends as another is submitted. The figures depend on the machine, not on the seed.
 
 use std::time::Instant;
 
@@ -24,36 +24,36 @@
 const DESTINATION_STRIDE: u64 = 7919;
 const ENDPOINT_WEIGHT: f64 = 1e3;
 
-/// What a turn costs with so many messages held, in microseconds.
+/// The durations of turns with a number of held messages.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TurnCost {
-    /// Messages held.
+    /// Number of held messages.
     pub held: usize,
-    /// Destinations that they are for.
+    /// Number of their destinations.
     pub destinations: usize,
-    /// Turns that were measured.
+    /// Number of measured turns.
     pub turns: usize,
-    /// Median of a turn, in microseconds.
+    /// Median, in microseconds.
     pub median_us: f64,
     /// 99th percentile, in microseconds.
     pub p99_us: f64,
-    /// The longest, in microseconds.
+    /// Maximum, in microseconds.
     pub longest_us: f64,
 }
 
-/// Measures turns with `held` messages, for a quarter as many destinations with two endpoints each: in every turn a
-/// call ends, a message is submitted, and what was rejected or sent in the turn before is carried out.
+/// Measures turns with `held` messages for a quarter as many destinations with two endpoints each. In every turn, an
+/// attempt ends and a message is submitted. The actions of a turn take effect before the next one.
 ///
 /// # Errors
-/// Where the decision module rejects the settings.
+/// If the decision module rejects the settings.
 pub fn measure(held: usize, turns: usize) -> Result<TurnCost, LabError> {
     let destinations = (held / 4).max(1);
     let mut bench = Bench::new(held, destinations)?;
-    // The first turn fills the store; each later one replaces what has ended.
+    // The first turn submits `held` messages. Each later one replaces the messages that have ended.
     bench.turn(false);
-    let mut took: Vec<f64> = (0..turns).map(|_| bench.turn(true)).collect();
-    took.sort_by(f64::total_cmp);
-    let quantile = |share: f64| took[((took.len() - 1) as f64 * share) as usize];
+    let mut durations: Vec<f64> = (0..turns).map(|_| bench.turn(true)).collect();
+    durations.sort_by(f64::total_cmp);
+    let quantile = |share: f64| durations[((durations.len() - 1) as f64 * share) as usize];
     Ok(TurnCost {
         held,
         destinations,
@@ -70,24 +70,24 @@
     attempt: u32,
 }
 
-/// A decision module with many messages held.
+/// A decision module that holds many messages.
 struct Bench {
     policy: Policy,
     held: usize,
     destinations: usize,
     /// The module's clock, in nanoseconds.
     now: u64,
-    /// Attempts in flight, the oldest last.
+    /// Attempts in flight, newest first.
     in_flight: Vec<InFlight>,
     last_message: u64,
-    /// Messages that have not ended.
-    open: usize,
+    /// Number of messages that have not ended.
+    open_messages: usize,
     actions: Vec<Action>,
 }
 
 impl Bench {
     fn new(held: usize, destinations: usize) -> Result<Bench, LabError> {
-        let experiment = experiment(held, destinations)?;
+        let experiment = one_sender_experiment(held, destinations)?;
         let site = Site::new(&experiment.world, 1);
         let settings = sim::settings(&experiment, &experiment.variants[0], &site);
         let mut policy = Policy::new(settings, 1).map_err(LabError::MeasurementSettings)?;
@@ -102,30 +102,30 @@
             now: CLOCK_ORIGIN,
             in_flight: Vec::new(),
             last_message: 0,
-            open: 0,
+            open_messages: 0,
             actions,
         })
     }
 
-    /// Takes one turn, and returns its microseconds. With `end_attempt`, an attempt ends in it.
+    /// Runs one turn and returns its duration in microseconds. With `end_attempt`, the oldest attempt ends in it.
     fn turn(&mut self, end_attempt: bool) -> f64 {
         self.now += TURN_INTERVAL;
         let mut events = Vec::new();
-        while self.open < self.held {
+        while self.open_messages < self.held {
             events.push(self.next_message());
-            self.open += 1;
+            self.open_messages += 1;
         }
         if end_attempt && let Some(attempt) = self.in_flight.pop() {
-            events.push(delivered(&attempt));
-            self.open -= 1;
+            events.push(attempt_succeeded(&attempt));
+            self.open_messages -= 1;
         }
         events.push(Event::Wake);
         self.actions.clear();
-        let clock = Instant::now();
+        let started = Instant::now();
         self.policy.turn(self.now, &events, &mut self.actions);
-        let took = clock.elapsed().as_nanos() as f64 / 1e3;
-        self.carry_out();
-        took
+        let microseconds = started.elapsed().as_nanos() as f64 / 1e3;
+        self.execute_actions();
+        microseconds
     }
 
     fn next_message(&mut self) -> Event {
@@ -140,7 +140,7 @@
         }
     }
 
-    fn carry_out(&mut self) {
+    fn execute_actions(&mut self) {
         for action in &self.actions {
             match action {
                 Action::Send { id, .. } => self.in_flight.insert(
@@ -150,14 +150,14 @@
                         attempt: 0,
                     },
                 ),
-                Action::Reject { .. } | Action::Fail { .. } => self.open -= 1,
+                Action::Reject { .. } | Action::Fail { .. } => self.open_messages -= 1,
                 _ => {}
             }
         }
     }
 }
 
-fn experiment(held: usize, destinations: usize) -> Result<Experiment, LabError> {
+fn one_sender_experiment(held: usize, destinations: usize) -> Result<Experiment, LabError> {
     let text = format!(
         "length_s: 1 world {{ senders: 1 partners: {destinations} full_rate: {} }} load {{ level: 1 }} \
          variant {{ name: \"v\" slots: {} hold_limit: {} }}",
@@ -179,7 +179,7 @@
     }
 }
 
-fn delivered(attempt: &InFlight) -> Event {
+fn attempt_succeeded(attempt: &InFlight) -> Event {
     Event::AttemptEnded {
         id: attempt.id,
         attempt: attempt.attempt,
