--- a/crates/lab/tests/orders/calls.rs
+++ b/crates/lab/tests/orders/calls.rs
@@ -1,4 +1,4 @@
-//! Turns of the decision modules of the fleet, the calls that they send, and how those end.
+//! The turns of the fleet's decision modules, and the calls that the senders make.
 
 use martenlatch_clock::{Millis, millis, nanos};
 use martenlatch_lab::event_log::{Silence, What};
@@ -6,18 +6,18 @@
 use martenlatch_policy::interface::{Action, Event, MessageId, Outcome};
 use martenlatch_wal::{AttemptRecord, FinalStatus};
 
-use crate::fleet::{CAPACITY, Call, Fleet, INITIAL_SHARE, OWNER, WARM_UP};
-use crate::steps::Pick;
+use crate::fleet::{CAPACITY, Call, ENDPOINT_PARTNERS, Fleet, INITIAL_SHARE, WARM_UP};
+use crate::steps::CallSelector;
 
-/// What the decision module of a sender has to be told.
-pub struct Told {
+/// The event that notifies a sender's decision module of the end of an attempt.
+pub struct AttemptNotification {
     pub sender: usize,
     pub event: Event,
 }
 
 impl Fleet {
-    /// Has a sender's decision module take turns until its actions lead to no further event.
-    pub fn turn(&mut self, sender: usize, mut events: Vec<Event>) {
+    /// Runs turns of a sender's decision module until its actions lead to no further event.
+    pub fn run_turns(&mut self, sender: usize, mut events: Vec<Event>) {
         loop {
             let Some(policy) = self.senders[sender].policy.as_mut() else {
                 return;
@@ -26,7 +26,7 @@
             policy.turn(nanos(self.now), &events, &mut actions);
             events = actions
                 .into_iter()
-                .filter_map(|action| self.carry_out(sender, action))
+                .filter_map(|action| self.execute(sender, action))
                 .collect();
             if events.is_empty() {
                 return;
@@ -34,7 +34,7 @@
         }
     }
 
-    fn carry_out(&mut self, sender: usize, action: Action) -> Option<Event> {
+    fn execute(&mut self, sender: usize, action: Action) -> Option<Event> {
         match action {
             Action::Send {
                 id,
@@ -43,10 +43,10 @@
                 ..
             } => self.send(sender, id.0, endpoint.0, millis(timeout)),
             Action::Cancel { id, attempt } => self.cancel(sender, id.0, attempt),
-            Action::Reject { id, .. } => self.end(sender, id.0, FinalStatus::Deferred(None)),
-            Action::Fail { id } => self.end(sender, id.0, FinalStatus::Undeliverable),
-            Action::WakeAfter(span) => {
-                self.senders[sender].wake_at = Some(self.now + millis(span));
+            Action::Reject { id, .. } => self.give_up(sender, id.0, FinalStatus::Deferred(None)),
+            Action::Fail { id } => self.give_up(sender, id.0, FinalStatus::Undeliverable),
+            Action::WakeAfter(delay) => {
+                self.senders[sender].wake_at = Some(self.now + millis(delay));
                 None
             }
             Action::CloseIdle(_) => None,
@@ -54,15 +54,17 @@
     }
 
     fn cancel(&mut self, sender: usize, id: u64, attempt: u32) -> Option<Event> {
-        let wanted = |call: &Call| (call.sender, call.id, call.attempt) == (sender, id, attempt);
-        let (call, _) = self.calls.iter().find(|(_, call)| wanted(call))?;
+        let is_cancelled =
+            |call: &Call| (call.sender, call.id, call.attempt) == (sender, id, attempt);
+        let (call, _) = self.calls.iter().find(|(_, call)| is_cancelled(call))?;
         let call = *call;
         let how = Silence::CalledOff;
-        self.fact(What::Ended { call, how });
-        self.ended(call, Outcome::Cancelled).map(|told| told.event)
+        self.record(What::Ended { call, how });
+        self.end_call(call, Outcome::Cancelled)
+            .map(|notification| notification.event)
     }
 
-    /// A sender sends an attempt of a message to an endpoint; the event of it that ends at once.
+    /// Sends an attempt to deliver a message to an endpoint. Returns the event of its end if it ends at once.
     pub fn send(
         &mut self,
         sender: usize,
@@ -80,13 +82,13 @@
             sent_at: now,
             never_ran: false,
         });
-        let partner = OWNER[endpoint as usize];
+        let partner = ENDPOINT_PARTNERS[endpoint as usize];
         let call = self.next_call;
         self.next_call += 1;
-        self.seen.retries += usize::from(attempt > 0);
+        self.coverage.retries += usize::from(attempt > 0);
         let same_message = |call: &Call| (call.sender, call.id) == (sender, id);
-        self.seen.hedges += usize::from(self.calls.values().any(same_message));
-        self.fact(What::Call {
+        self.coverage.hedges += usize::from(self.calls.values().any(same_message));
+        self.record(What::Call {
             call,
             id,
             sender: sender as u32,
@@ -101,47 +103,47 @@
                 attempt,
                 sender,
                 partner,
-                sent: now,
-                due: now + timeout,
+                sent_at: now,
+                times_out_at: now + timeout,
             },
         );
         self.arrive(call, partner)
     }
 
-    /// A call comes to its partner, unless that is in an outage.
+    /// Delivers a call to its partner. The call ends at once if the partner is in an outage.
     fn arrive(&mut self, call: u64, partner: u32) -> Option<Event> {
-        if self.out.contains(&partner) {
+        if self.in_outage.contains(&partner) {
             let how = Silence::NeverSent;
-            self.fact(What::Ended { call, how });
-            let told = self.ended(call, Outcome::Unreachable);
-            return told.map(|told| told.event);
+            self.record(What::Ended { call, how });
+            let notification = self.end_call(call, Outcome::Unreachable);
+            return notification.map(|notification| notification.event);
         }
-        self.fact(What::Arrived { call });
+        self.record(What::Arrived { call });
         self.collapse_under_load(partner);
         None
     }
 
-    /// A partner that is warming up collapses under too many calls.
+    /// Counts a call to a partner that is warming up, which collapses under too many calls.
     fn collapse_under_load(&mut self, partner: u32) {
         let now = self.now;
         let recovered_at = self.recovered_at.get(&partner);
         let Some(recovered_at) = recovered_at.filter(|at| now < **at + WARM_UP) else {
             return;
         };
-        self.seen.recovering += 1;
+        self.coverage.calls_while_warming_up += 1;
         let warmth = INITIAL_SHARE + (1.0 - INITIAL_SHARE) * (now - recovered_at) / WARM_UP;
         let arrivals = self.recent_arrivals.entry(partner).or_default();
         arrivals.push(now);
         arrivals.retain(|at| *at >= now - COLLAPSE_WINDOW);
-        let most = COLLAPSE_FACTOR * CAPACITY * warmth * COLLAPSE_WINDOW / 1e3;
-        if arrivals.len() as f64 > most && !self.collapsed {
+        let max_arrivals = COLLAPSE_FACTOR * CAPACITY * warmth * COLLAPSE_WINDOW / 1e3;
+        if arrivals.len() as f64 > max_arrivals && !self.collapsed {
             self.collapsed = true;
-            self.fact(What::Toppled { partner });
+            self.record(What::Toppled { partner });
         }
     }
 
-    /// A call is over for its sender, which has to be told.
-    pub fn ended(&mut self, call: u64, outcome: Outcome) -> Option<Told> {
+    /// Ends a call for its sender, and returns the notification for the sender's decision module.
+    pub fn end_call(&mut self, call: u64, outcome: Outcome) -> Option<AttemptNotification> {
         let ended = self.calls.remove(&call)?;
         let sender = &mut self.senders[ended.sender];
         let message = sender.held.get_mut(&ended.id)?;
@@ -154,20 +156,20 @@
             message.open = false;
             wal.append_closed(ended.id, &message.record.id);
         }
-        Some(Told {
+        Some(AttemptNotification {
             sender: ended.sender,
             event: Event::AttemptEnded {
                 id: MessageId(ended.id),
                 attempt: ended.attempt,
                 outcome,
-                took: nanos(self.now - ended.sent),
+                took: nanos(self.now - ended.sent_at),
                 finished: !message.open,
             },
         })
     }
 
-    /// The decision module gives a message up. The platform confirms each status report at once.
-    fn end(&mut self, sender: usize, id: u64, status: FinalStatus) -> Option<Event> {
+    /// Gives up a message. The platform confirms the status report at once.
+    fn give_up(&mut self, sender: usize, id: u64, status: FinalStatus) -> Option<Event> {
         let state = &mut self.senders[sender];
         let message = state.held.get_mut(&id).filter(|message| message.open)?;
         let wal = state.wal.as_mut()?;
@@ -175,7 +177,7 @@
         wal.append_final_status(id, status);
         wal.append_closed(id, &message.record.id);
         if !self.drops_reports {
-            self.fact(What::Notice {
+            self.record(What::Notice {
                 sender: sender as u32,
                 id,
                 deferred: matches!(status, FinalStatus::Deferred(_)),
@@ -185,44 +187,44 @@
         None
     }
 
-    /// A partner that is not in an outage answers a call.
-    pub fn answer(&mut self, pick: Pick, reply: Reply, outcome: Outcome) {
-        let reachable = |call: &Call| !self.out.contains(&call.partner);
+    /// Answers the selected one of the calls whose partners are not in an outage.
+    pub fn answer_selected_call(&mut self, selector: CallSelector, reply: Reply, outcome: Outcome) {
+        let reachable = |call: &Call| !self.in_outage.contains(&call.partner);
         let mut calls = self
             .calls
             .iter()
             .filter(|(_, call)| reachable(call))
             .map(|(call, _)| *call);
-        let picked = match pick {
-            Pick::Oldest => calls.next(),
-            Pick::Newest => calls.next_back(),
+        let selected = match selector {
+            CallSelector::Oldest => calls.next(),
+            CallSelector::Newest => calls.next_back(),
         };
-        let Some(call) = picked else {
+        let Some(call) = selected else {
             return;
         };
-        self.seen.retry_afters += usize::from(matches!(reply, Reply::Rejected(Some(_))));
-        self.fact(What::Replied { call, reply });
-        self.end_and_tell(call, outcome);
+        self.coverage.retry_afters += usize::from(matches!(reply, Reply::Rejected(Some(_))));
+        self.record(What::Replied { call, reply });
+        self.end_call_and_run_turns(call, outcome);
     }
 
-    /// A picked call ends without an answer.
-    pub fn lose_picked(&mut self, pick: Pick, how: Silence, outcome: Outcome) {
-        let picked = match pick {
-            Pick::Oldest => self.calls.keys().next(),
-            Pick::Newest => self.calls.keys().next_back(),
+    /// Ends the selected call without an answer.
+    pub fn lose_selected_call(&mut self, selector: CallSelector, how: Silence, outcome: Outcome) {
+        let selected = match selector {
+            CallSelector::Oldest => self.calls.keys().next(),
+            CallSelector::Newest => self.calls.keys().next_back(),
         };
-        if let Some(call) = picked.copied() {
-            self.lose(call, how, outcome);
+        if let Some(call) = selected.copied() {
+            self.lose_call(call, how, outcome);
         }
     }
 
-    /// A call ends without an answer; with `NotSent`, its endpoint has withdrawn the message.
-    pub fn lose(&mut self, call: u64, how: Silence, outcome: Outcome) {
+    /// Ends a call without an answer. With `NotSent`, its endpoint has withdrawn the message.
+    pub fn lose_call(&mut self, call: u64, how: Silence, outcome: Outcome) {
         if outcome == Outcome::NotSent {
             self.withdraw(call);
         }
-        self.fact(What::Ended { call, how });
-        self.end_and_tell(call, outcome);
+        self.record(What::Ended { call, how });
+        self.end_call_and_run_turns(call, outcome);
     }
 
     fn withdraw(&mut self, call: u64) {
@@ -233,14 +235,14 @@
             message.open = false;
             let wal = sender.wal.as_mut().unwrap();
             wal.append_closed(id, &message.record.id);
-            self.seen.withdrawals += 1;
-            self.fact(What::Withdrawn { id });
+            self.coverage.withdrawals += 1;
+            self.record(What::Withdrawn { id });
         }
     }
 
-    fn end_and_tell(&mut self, call: u64, outcome: Outcome) {
-        if let Some(told) = self.ended(call, outcome) {
-            self.turn(told.sender, vec![told.event]);
+    fn end_call_and_run_turns(&mut self, call: u64, outcome: Outcome) {
+        if let Some(notification) = self.end_call(call, outcome) {
+            self.run_turns(notification.sender, vec![notification.event]);
         }
     }
 }
--- a/crates/lab/tests/orders/fleet.rs
+++ b/crates/lab/tests/orders/fleet.rs
@@ -1,5 +1,5 @@
-//! A tiny fleet: two senders, three endpoints of two partners. The decision module and the write-ahead log are the
-//! project's own; the fleet carries out what they want as the sender does, and knows no rule.
+//! A small fleet: two senders, and three endpoints of two partners. The decision module and the write-ahead log are the
+//! real ones. The fleet executes the decision module's actions as the sender does, and checks no rule itself.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
@@ -18,37 +18,39 @@
 };
 use martenlatch_wal::{MessageRecord, WriteAheadLog};
 
-use crate::steps::{Pick, Step};
+use crate::steps::{CallSelector, Step};
 
-/// The classes, by their numbers: non-idempotent, with an idempotency key, and ordered by key.
+/// The numbers of the classes: non-idempotent, with an idempotency key, and ordered by key.
 pub const UNSAFE: u32 = 0;
 pub const KEYED: u32 = 1;
 pub const ORDERED: u32 = 2;
 /// The partner of each endpoint.
-pub const OWNER: [u32; 3] = [0, 0, 1];
+pub const ENDPOINT_PARTNERS: [u32; 3] = [0, 0, 1];
 pub const SENDERS: usize = 2;
 pub const ENDPOINTS: u32 = 3;
 const DEADLINE: Millis = 6_000.0;
-pub const WINDOW: Millis = 3_000.0;
-/// Calls a second that a warm partner takes; the endpoint list tells it.
+pub const IDEMPOTENCY_WINDOW: Millis = 3_000.0;
+/// Calls per second that a warm partner serves, and its weight in the endpoint list.
 pub const CAPACITY: f64 = 4.0;
-/// Share of its capacity that a partner has right after an outage ...
+/// Share of its capacity that a partner has right after an outage.
 pub const INITIAL_SHARE: f64 = 0.22;
-/// ... and how long it takes to warm up.
+/// How long a partner warms up after an outage.
 pub const WARM_UP: Millis = 9_000.0;
-pub const ATTEMPTS: u32 = 8;
+pub const MAX_ATTEMPTS: u32 = 8;
 const WAL_SIZE: u64 = 3_000_000;
-/// So many messages are delivered first, each within so long, that a percentile is believed and requests are hedged.
-const DELIVERED_FIRST: usize = 7;
-const DELIVERED_WITHIN: Millis = 300.0;
+/// Number of messages that a fresh sender delivers first. It is enough for the decision module to trust a percentile of
+/// the latency and to hedge requests.
+const INITIAL_DELIVERIES: usize = 7;
+/// How long the delivery of each of these messages takes.
+const DELIVERY_TIME: Millis = 300.0;
 
 pub struct Call {
     pub id: u64,
     pub attempt: u32,
     pub sender: usize,
     pub partner: u32,
-    pub sent: Millis,
-    pub due: Millis,
+    pub sent_at: Millis,
+    pub times_out_at: Millis,
 }
 
 pub struct HeldMessage {
@@ -65,18 +67,18 @@
     pub incarnation: u64,
 }
 
-/// What a search has seen, so that it can be shown to have seen it.
+/// Counts of the situations that occurred, so that a test can check that its orders covered them.
 #[derive(Default, Debug)]
-pub struct Seen {
+pub struct Coverage {
     pub orders: usize,
     pub hedges: usize,
     pub retries: usize,
     pub retry_afters: usize,
     pub drains: usize,
-    pub recovering: usize,
+    pub calls_while_warming_up: usize,
     pub withdrawals: usize,
     pub resumed: usize,
-    pub left: usize,
+    pub clients_left: usize,
 }
 
 pub struct Fleet {
@@ -86,15 +88,15 @@
     pub calls: BTreeMap<u64, Call>,
     pub next_call: u64,
     pub next_id: u64,
-    /// Endpoints that drain.
+    /// Draining endpoints.
     pub draining: BTreeSet<u32>,
     /// Partners in an outage.
-    pub out: BTreeSet<u32>,
+    pub in_outage: BTreeSet<u32>,
     pub recovered_at: BTreeMap<u32, Millis>,
     pub recent_arrivals: BTreeMap<u32, Vec<Millis>>,
     pub collapsed: bool,
-    pub seen: Seen,
-    /// Has the senders forget to report what was given up: a fault, to see it found.
+    pub coverage: Coverage,
+    /// Whether senders fail to send status reports: a fault that the judge must find.
     pub drops_reports: bool,
 }
 
@@ -109,7 +111,7 @@
     };
     let keyed = Idempotency::IdempotencyKey {
         per_zone: false,
-        window: nanos(WINDOW),
+        window: nanos(IDEMPOTENCY_WINDOW),
     };
     Settings {
         senders: SENDERS as u32,
@@ -127,7 +129,7 @@
         weight_meaning: EndpointWeights::Nominal,
         max_in_flight: 4,
         max_held: 8,
-        max_attempts: ATTEMPTS,
+        max_attempts: MAX_ATTEMPTS,
         may_cancel: true,
         may_hedge: true,
         max_retry_after: Some(nanos(3_000.0)),
@@ -149,14 +151,14 @@
 fn judge() -> Judge {
     let rule = |effect| ClassRule {
         effect,
-        window: WINDOW,
+        window: IDEMPOTENCY_WINDOW,
     };
     let rules = vec![
         rule(Effect::Unsafe),
         rule(Effect::Keyed),
         rule(Effect::Unsafe),
     ];
-    Judge::new(rules, ATTEMPTS)
+    Judge::new(rules, MAX_ATTEMPTS)
 }
 
 impl Fleet {
@@ -177,34 +179,34 @@
             next_call: 0,
             next_id: 0,
             draining: BTreeSet::new(),
-            out: BTreeSet::new(),
+            in_outage: BTreeSet::new(),
             recovered_at: BTreeMap::new(),
             recent_arrivals: BTreeMap::new(),
             collapsed: false,
-            seen: Seen::default(),
+            coverage: Coverage::default(),
             drops_reports: false,
         };
         for sender in 0..SENDERS {
             fleet.start_fresh(sender);
         }
-        fleet.seen = Seen::default();
+        fleet.coverage = Coverage::default();
         fleet
     }
 
-    /// Starts a sender with an empty folder, and has it deliver enough that requests may be hedged.
+    /// Starts a sender with an empty folder, and lets it deliver enough messages that it may hedge requests.
     fn start_fresh(&mut self, sender: usize) {
         let folder = &self.senders[sender].folder;
         let _ = std::fs::remove_dir_all(folder);
         std::fs::create_dir_all(folder).unwrap();
         self.start(sender);
-        for _ in 0..DELIVERED_FIRST {
-            self.hand_in(sender, KEYED, 0, true);
-            self.pass(DELIVERED_WITHIN);
-            self.take(Step::Served(Pick::Oldest));
+        for _ in 0..INITIAL_DELIVERIES {
+            self.submit(sender, KEYED, 0, true);
+            self.advance_time(DELIVERY_TIME);
+            self.perform(Step::Succeed(CallSelector::Oldest));
         }
     }
 
-    pub fn fact(&mut self, what: What) {
+    pub fn record(&mut self, what: What) {
         self.judge.hear(&LoggedEvent { at: self.now, what });
     }
 
@@ -213,7 +215,7 @@
             endpoint: EndpointId(endpoint),
             zone: ZoneId(0),
             kind: KindId(0),
-            destination: DestinationId(OWNER[endpoint as usize].into()),
+            destination: DestinationId(ENDPOINT_PARTNERS[endpoint as usize].into()),
             state: if self.draining.contains(&endpoint) {
                 EndpointState::Draining
             } else {
@@ -223,68 +225,72 @@
         }
     }
 
-    pub fn listed(&mut self, sender: usize, endpoint: u32) {
-        self.fact(What::Listed {
+    /// Records that a sender is notified of an endpoint.
+    pub fn record_listed_endpoint(&mut self, sender: usize, endpoint: u32) {
+        self.record(What::Listed {
             sender: sender as u32,
             endpoint,
-            partner: OWNER[endpoint as usize],
+            partner: ENDPOINT_PARTNERS[endpoint as usize],
             on: !self.draining.contains(&endpoint),
         });
     }
 
-    /// Starts a sender's process, unless one runs; it resumes what its write-ahead log holds.
+    /// Starts a sender's process unless one runs. It resumes the open messages of its write-ahead log.
     pub fn start(&mut self, number: usize) {
         if self.senders[number].policy.is_some() {
             return;
         }
         for endpoint in 0..ENDPOINTS {
-            self.listed(number, endpoint);
+            self.record_listed_endpoint(number, endpoint);
         }
         let sender = number as u32;
-        self.fact(What::Ready { sender });
+        self.record(What::Ready { sender });
         let entries = (0..ENDPOINTS).map(|endpoint| self.entry(endpoint));
         let mut events = vec![Event::EndpointList(entries.collect())];
         let started = &mut self.senders[number];
-        let (wal, past) = WriteAheadLog::open(&started.folder, WAL_SIZE);
+        let (wal, contents) = WriteAheadLog::open(&started.folder, WAL_SIZE);
         started.wal = Some(wal);
         started.held.clear();
-        for (id, record) in past.open_messages {
-            self.seen.resumed += 1;
-            assert_eq!(record.final_status, None, "ends are confirmed at once here");
-            events.push(resumed(id, &record));
+        for (id, record) in contents.open_messages {
+            self.coverage.resumed += 1;
+            assert_eq!(
+                record.final_status, None,
+                "the platform confirms final statuses at once"
+            );
+            events.push(message_resumed(id, &record));
             started.held.insert(id, HeldMessage { record, open: true });
         }
         started.incarnation += 1;
         let seed = started.incarnation * 2 + number as u64;
         started.policy = Some(Policy::new(settings(), seed).unwrap());
-        self.turn(number, events);
+        self.run_turns(number, events);
     }
 
-    /// Kills a sender's process; its calls die with it.
+    /// Kills a sender's process, and ends its calls.
     pub fn kill(&mut self, number: usize) {
         if self.senders[number].policy.is_none() {
             return;
         }
         let calls = self.calls.iter();
-        let died: Vec<u64> = calls
+        let lost_calls: Vec<u64> = calls
             .filter(|(_, call)| call.sender == number)
             .map(|(call, _)| *call)
             .collect();
-        for call in died {
+        for call in lost_calls {
             self.calls.remove(&call);
             let how = Silence::Died;
-            self.fact(What::Ended { call, how });
+            self.record(What::Ended { call, how });
         }
         let sender = number as u32;
-        self.fact(What::Gone { sender });
+        self.record(What::Gone { sender });
         let killed = &mut self.senders[number];
         killed.policy = None;
         killed.wal = None;
         killed.wake_at = None;
     }
 
-    /// A client hands a message in; it leaves before its 202 unless it `stays`.
-    pub fn hand_in(&mut self, sender: usize, class: u32, partner: u32, stays: bool) {
+    /// Submits a client's message. The client leaves before its 202 unless it `waits_for_answer`.
+    pub fn submit(&mut self, sender: usize, class: u32, partner: u32, waits_for_answer: bool) {
         if self.senders[sender].policy.is_none() {
             return;
         }
@@ -292,7 +298,7 @@
         self.next_id += 1;
         let deadline = self.now + DEADLINE;
         let key = (class == ORDERED).then_some(1);
-        self.fact(What::Submitted {
+        self.record(What::Submitted {
             origin: id,
             id,
             sender: sender as u32,
@@ -306,15 +312,15 @@
         let accepting = &mut self.senders[sender];
         let wal = accepting.wal.as_mut().unwrap();
         assert!(wal.append_message(&record));
-        if !stays {
+        if !waits_for_answer {
             wal.append_closed(id, &record.id);
-            self.seen.left += 1;
-            return self.fact(What::Answered { id, status: 0 });
+            self.coverage.clients_left += 1;
+            return self.record(What::Answered { id, status: 0 });
         }
         accepting
             .held
             .insert(id, HeldMessage { record, open: true });
-        self.fact(What::Answered { id, status: 202 });
+        self.record(What::Answered { id, status: 202 });
         let accepted = Event::MessageAccepted {
             id: MessageId(id),
             destination: DestinationId(partner.into()),
@@ -322,7 +328,7 @@
             deadline: nanos(deadline),
             key: key.map(KeyId),
         };
-        self.turn(sender, vec![accepted]);
+        self.run_turns(sender, vec![accepted]);
     }
 }
 
@@ -341,15 +347,15 @@
     }
 }
 
-/// The event that tells a new process of a message that its write-ahead log holds.
-fn resumed(id: u64, record: &MessageRecord) -> Event {
-    let ran = record.attempts.iter().find(|attempt| !attempt.never_ran);
+/// The event that passes a message of the write-ahead log to the decision module of a new process.
+fn message_resumed(id: u64, record: &MessageRecord) -> Event {
+    let may_have_run = record.attempts.iter().find(|attempt| !attempt.never_ran);
     Event::MessageResumed {
         id: MessageId(id),
         destination: DestinationId(record.destination),
         class: ClassId(record.class.parse().unwrap()),
         deadline: nanos(record.deadline),
         attempts: record.attempts.len() as u32,
-        ran: ran.map(|attempt| nanos(attempt.sent_at)),
+        ran: may_have_run.map(|attempt| nanos(attempt.sent_at)),
     }
 }
--- a/crates/lab/tests/orders/steps.rs
+++ b/crates/lab/tests/orders/steps.rs
@@ -1,4 +1,4 @@
-//! The steps of an order, and how the fleet takes them.
+//! The steps of an order, and how the fleet performs them.
 
 use martenlatch_clock::{Millis, nanos};
 use martenlatch_lab::event_log::{Silence, What};
@@ -8,123 +8,143 @@
 
 use crate::fleet::{Fleet, KEYED, SENDERS};
 
-/// Between two steps of an order.
+/// Time between two steps of an order.
 const STEP_INTERVAL: Millis = 10.0;
-/// After the last step, nobody answers any more for so many intervals of so long.
-const LAST_INTERVALS: usize = 20;
-const LAST_INTERVAL: Millis = 500.0;
+/// Number of intervals without answers after the last step.
+const FINAL_INTERVALS: usize = 20;
+/// Length of such an interval.
+const FINAL_INTERVAL: Millis = 500.0;
 
-/// Which of the calls in flight a step is for.
+/// Selects the call in flight that a step affects.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Pick {
+pub enum CallSelector {
     Oldest,
     Newest,
 }
 
+/// A step of an order.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Step {
-    /// A client hands a message in: sender, class, partner.
-    HandIn(usize, u32, u32),
-    /// A client hands a message in to a sender, and has left before its 202.
-    Leave(usize),
-    Served(Pick),
-    Failed(Pick),
-    /// With a Retry-After.
-    Overloaded(Pick, Millis),
-    Reset(Pick),
-    /// 410.
-    Withdrawn(Pick),
+    /// A client submits a message. Fields: sender, class, partner.
+    Submit(usize, u32, u32),
+    /// A client submits a message to a sender, and leaves before its 202.
+    SubmitAndLeave(usize),
+    /// The partner answers the call with success.
+    Succeed(CallSelector),
+    /// The partner answers the call with an error.
+    Fail(CallSelector),
+    /// The partner rejects the call as overloaded, with a Retry-After.
+    Reject(CallSelector, Millis),
+    /// The connection of the call is reset.
+    Reset(CallSelector),
+    /// The endpoint answers the call with 410: the message is withdrawn.
+    Withdraw(CallSelector),
+    /// Time passes.
     Wait(Millis),
     /// All senders are notified that an endpoint drains.
     Drain(u32),
-    /// A partner's outage.
-    OutageBegins(u32),
-    OutageEnds(u32),
+    /// The outage of a partner begins.
+    BeginOutage(u32),
+    /// The outage of a partner ends.
+    EndOutage(u32),
+    /// The process of a sender is killed.
     Kill(usize),
+    /// The process of a sender is started.
     Start(usize),
 }
 
-/// A call whose time is up at an instant.
+/// A call that times out at an instant.
 #[derive(Clone, Copy)]
-struct DueCall {
+struct CallTimeout {
     at: Millis,
     call: u64,
 }
 
-/// A sender that wants to be woken at an instant.
+/// A sender whose decision module is woken at an instant.
 #[derive(Clone, Copy)]
-struct DueWake {
+struct SenderWake {
     at: Millis,
     sender: usize,
 }
 
 impl Fleet {
-    /// Time goes by: wakes and time-outs come in their order; of two at the same instant, the time-out.
-    pub fn pass(&mut self, span: Millis) {
-        let until = self.now + span;
+    /// Advances the time by `duration`. Timeouts and wakes happen in the order of time, a timeout before a wake at the
+    /// same instant.
+    pub fn advance_time(&mut self, duration: Millis) {
+        let until = self.now + duration;
         loop {
-            let call = self.next_timeout();
+            let timeout = self.next_timeout();
             let wake = self.next_wake();
-            let call_at = call.map_or(f64::INFINITY, |call| call.at);
+            let timeout_at = timeout.map_or(f64::INFINITY, |timeout| timeout.at);
             let wake_at = wake.map_or(f64::INFINITY, |wake| wake.at);
-            let at = call_at.min(wake_at);
+            let at = timeout_at.min(wake_at);
             if at > until {
                 break;
             }
             self.now = self.now.max(at);
-            match (call, wake) {
-                (Some(due), _) if due.at <= at => {
-                    self.lose(due.call, Silence::TimedOut, Outcome::TimedOut);
+            match (timeout, wake) {
+                (Some(timeout), _) if timeout.at <= at => {
+                    self.lose_call(timeout.call, Silence::TimedOut, Outcome::TimedOut);
                 }
-                (_, Some(due)) => {
-                    self.senders[due.sender].wake_at = None;
-                    self.turn(due.sender, vec![Event::Wake]);
+                (_, Some(wake)) => {
+                    self.senders[wake.sender].wake_at = None;
+                    self.run_turns(wake.sender, vec![Event::Wake]);
                 }
-                _ => unreachable!("one of them is due"),
+                _ => unreachable!("a timeout or a wake is due"),
             }
         }
         self.now = until;
     }
 
-    fn next_timeout(&self) -> Option<DueCall> {
-        let due = self.calls.iter().map(|(call, state)| DueCall {
-            at: state.due,
+    fn next_timeout(&self) -> Option<CallTimeout> {
+        let timeouts = self.calls.iter().map(|(call, state)| CallTimeout {
+            at: state.times_out_at,
             call: *call,
         });
-        due.min_by(|left, right| left.at.total_cmp(&right.at))
+        timeouts.min_by(|left, right| left.at.total_cmp(&right.at))
     }
 
-    fn next_wake(&self) -> Option<DueWake> {
+    fn next_wake(&self) -> Option<SenderWake> {
         let senders = self.senders.iter().enumerate();
-        let due = senders.filter_map(|(sender, state)| {
+        let wakes = senders.filter_map(|(sender, state)| {
             let at = state.wake_at?;
-            Some(DueWake { at, sender })
+            Some(SenderWake { at, sender })
         });
-        due.min_by(|left, right| left.at.total_cmp(&right.at))
+        wakes.min_by(|left, right| left.at.total_cmp(&right.at))
     }
 
-    /// Takes a step.
-    pub fn take(&mut self, step: Step) {
+    /// Performs a step.
+    pub fn perform(&mut self, step: Step) {
         match step {
-            Step::HandIn(sender, class, partner) => self.hand_in(sender, class, partner, true),
-            Step::Leave(sender) => self.hand_in(sender, KEYED, 0, false),
-            Step::Served(pick) => self.answer(pick, Reply::Served, Outcome::Success),
-            Step::Failed(pick) => self.answer(pick, Reply::Failed, Outcome::Failure),
-            Step::Overloaded(pick, wait) => {
-                let retry_after = nanos(wait);
-                let overloaded = Outcome::Overloaded { retry_after };
-                self.answer(pick, Reply::Rejected(Some(wait)), overloaded);
+            Step::Submit(sender, class, partner) => self.submit(sender, class, partner, true),
+            Step::SubmitAndLeave(sender) => self.submit(sender, KEYED, 0, false),
+            Step::Succeed(selector) => {
+                self.answer_selected_call(selector, Reply::Served, Outcome::Success)
             }
-            Step::Reset(pick) => self.lose_picked(pick, Silence::Reset, Outcome::ConnectionLost),
-            Step::Withdrawn(pick) => self.lose_picked(pick, Silence::NeverSent, Outcome::NotSent),
-            Step::Wait(span) => self.pass(span),
+            Step::Fail(selector) => {
+                self.answer_selected_call(selector, Reply::Failed, Outcome::Failure)
+            }
+            Step::Reject(selector, retry_after) => {
+                let overloaded = Outcome::Overloaded {
+                    retry_after: nanos(retry_after),
+                };
+                let reply = Reply::Rejected(Some(retry_after));
+                self.answer_selected_call(selector, reply, overloaded);
+            }
+            Step::Reset(selector) => {
+                self.lose_selected_call(selector, Silence::Reset, Outcome::ConnectionLost)
+            }
+            Step::Withdraw(selector) => {
+                self.lose_selected_call(selector, Silence::NeverSent, Outcome::NotSent)
+            }
+            Step::Wait(duration) => self.advance_time(duration),
             Step::Drain(endpoint) => self.drain(endpoint),
-            Step::OutageBegins(partner) => {
-                self.out.insert(partner);
+            Step::BeginOutage(partner) => {
+                self.in_outage.insert(partner);
                 self.recovered_at.remove(&partner);
-                self.fact(What::Out { partner, out: true });
+                self.record(What::Out { partner, out: true });
             }
-            Step::OutageEnds(partner) => self.end_outage(partner),
+            Step::EndOutage(partner) => self.end_outage(partner),
             Step::Kill(sender) => self.kill(sender),
             Step::Start(sender) => self.start(sender),
         }
@@ -132,56 +152,60 @@
 
     fn drain(&mut self, endpoint: u32) {
         self.draining.insert(endpoint);
-        self.seen.drains += 1;
+        self.coverage.drains += 1;
         for sender in 0..SENDERS {
             if self.senders[sender].policy.is_some() {
-                self.listed(sender, endpoint);
+                self.record_listed_endpoint(sender, endpoint);
                 let change = Event::EndpointChanges(vec![self.entry(endpoint)]);
-                self.turn(sender, vec![change]);
+                self.run_turns(sender, vec![change]);
             }
         }
     }
 
     fn end_outage(&mut self, partner: u32) {
-        if self.out.remove(&partner) {
+        if self.in_outage.remove(&partner) {
             self.recovered_at.insert(partner, self.now);
             let out = false;
-            self.fact(What::Out { partner, out });
+            self.record(What::Out { partner, out });
         }
     }
 
-    /// What is broken so far; the judge is told the time, as nothing else may happen any more.
-    pub fn broken(&mut self) -> Vec<Rule> {
-        self.fact(What::Joins { sender: 0 });
+    /// The rules that are broken so far. Records an event first, so that the judge knows the time even if nothing else
+    /// happens.
+    pub fn broken_rules(&mut self) -> Vec<Rule> {
+        self.record(What::Joins { sender: 0 });
         self.judge.counts.keys().copied().collect()
     }
 
-    /// Takes the steps of an order to its end; the rules are looked at after each.
-    pub fn play(&mut self, order: &[Step]) {
-        for (at, step) in order.iter().enumerate() {
-            self.take(*step);
-            self.pass(STEP_INTERVAL);
-            let broken = self.broken();
+    /// Runs an order to its end, and checks the rules after each step.
+    pub fn run_order(&mut self, order: &[Step]) {
+        for (index, step) in order.iter().enumerate() {
+            self.perform(*step);
+            self.advance_time(STEP_INTERVAL);
+            let broken_rules = self.broken_rules();
             assert!(
-                broken.is_empty(),
-                "{broken:?} after event {at} of {order:?}"
+                broken_rules.is_empty(),
+                "{broken_rules:?} broken after step {index} of {order:?}"
             );
         }
         for sender in 0..SENDERS {
             self.start(sender);
         }
-        // Nobody answers any more: all must end by itself.
-        for _ in 0..LAST_INTERVALS {
-            self.pass(LAST_INTERVAL);
-            let broken = self.broken();
-            assert!(broken.is_empty(), "{broken:?} at the end of {order:?}");
+        // No more answers come: all messages and calls must end without them.
+        for _ in 0..FINAL_INTERVALS {
+            self.advance_time(FINAL_INTERVAL);
+            let broken_rules = self.broken_rules();
+            assert!(
+                broken_rules.is_empty(),
+                "{broken_rules:?} broken at the end of {order:?}"
+            );
         }
         let held = self.senders.iter().flat_map(|sender| sender.held.values());
-        let open = held.filter(|message| message.open).count();
+        let open_messages = held.filter(|message| message.open).count();
         assert_eq!(
-            (open, self.calls.len()),
+            (open_messages, self.calls.len()),
             (0, 0),
-            "left over after {order:?}"
+            "open messages and calls after {order:?}"
         );
     }
 }
