--- a/crates/lab/src/model/environment.rs
+++ b/crates/lab/src/model/environment.rs
@@ -167,7 +167,7 @@
         changes
     }
 
-    /// The partner of which a failure replaces an endpoint at its repetition number `repetition`, from zero. The
+    /// The partner whose endpoint a failure replaces in its repetition number `repetition`, counted from zero. The
     /// affected partners take turns. `None` if there is no such failure or it affects no partner.
     pub fn next_partner_to_replace(&self, failure: usize, repetition: usize) -> Option<u32> {
         let affected = self.faults.partners_affected_by(failure)?;
--- a/crates/lab/src/model/fault_schedule.rs
+++ b/crates/lab/src/model/fault_schedule.rs
@@ -1,5 +1,5 @@
 //! Which faults affect which partner and when: an experiment's failures, combined for one partner at one instant. The
-//! schedule keeps no state that changes, so the same instant always has the same faults.
+//! schedule is immutable, so the same instant always has the same faults.
 
 use martenlatch_clock::Millis;
 
@@ -15,12 +15,12 @@
     pub factor: f64,
 }
 
-/// The shares of calls whose connection is reset.
+/// The shares of calls whose connections are reset.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionResets {
-    /// Reset before the call's last byte.
+    /// The share that is reset before the call's last byte.
     pub before_last_byte: f64,
-    /// Reset after the call's last byte.
+    /// The share that is reset after the call's last byte.
     pub after_last_byte: f64,
 }
 
@@ -227,8 +227,8 @@
     /// The partners that a failure affects, in ascending order. `None` if there is no such failure.
     pub fn partners_affected_by(&self, failure: usize) -> Option<Vec<usize>> {
         let targeted = self.failures.get(failure)?;
-        let affected = targeted.affected.iter().enumerate();
-        let affected = affected.filter(|(_, affected)| **affected);
+        let partners = targeted.affected.iter().enumerate();
+        let affected = partners.filter(|(_, affected)| **affected);
         Some(affected.map(|(partner, _)| partner).collect())
     }
 }
--- a/crates/lab/src/model/partner.rs
+++ b/crates/lab/src/model/partner.rs
@@ -17,7 +17,7 @@
 
 /// A partner that is warming up collapses when its load exceeds its current capacity by this factor ...
 pub const COLLAPSE_FACTOR: f64 = 2.0;
-/// ... over a window of this many milliseconds.
+/// ... sustained over this many milliseconds.
 pub const COLLAPSE_WINDOW: Millis = 3_000.0;
 
 /// Coefficient of variation of a call's service time around the work of its message.
@@ -335,9 +335,9 @@
     /// Completes the calls that are done by `now`, and starts queued calls in their place.
     pub fn advance(&mut self, faults: &ActiveFaults, now: Millis) -> Progress {
         let mut progress = Progress::default();
-        let names: Vec<u32> = self.endpoints.keys().copied().collect();
-        for name in names {
-            self.advance_endpoint(name, faults, now, &mut progress);
+        let numbers: Vec<u32> = self.endpoints.keys().copied().collect();
+        for number in numbers {
+            self.advance_endpoint(number, faults, now, &mut progress);
         }
         self.endpoints.retain(|_, endpoint| !endpoint.is_drained());
         progress
@@ -345,12 +345,12 @@
 
     fn advance_endpoint(
         &mut self,
-        name: u32,
+        number: u32,
         faults: &ActiveFaults,
         now: Millis,
         progress: &mut Progress,
     ) {
-        while let Some(endpoint) = self.endpoints.get_mut(&name) {
+        while let Some(endpoint) = self.endpoints.get_mut(&number) {
             let Some(call) = endpoint.take_completed(now) else {
                 return;
             };
@@ -366,7 +366,7 @@
             });
             if let Some(next) = next {
                 progress.started.push(next.number);
-                self.start(name, next, faults, now);
+                self.start(number, next, faults, now);
             }
         }
     }
--- a/crates/lab/src/model/site.rs
+++ b/crates/lab/src/model/site.rs
@@ -11,12 +11,12 @@
 const TRAFFIC_LEAN_WEIGHT: f64 = 0.3;
 /// Maximum number of endpoints of a partner.
 const MAX_ENDPOINTS: f64 = 4.0;
-/// A partner has cores for at least this many times its rate limit ...
+/// The cores of a partner can serve at least this many times its rate limit ...
 const MIN_CORE_HEADROOM: f64 = 1.2;
-/// ... and for up to this much more.
+/// ... and up to this much more.
 const CORE_HEADROOM_RANGE: f64 = 0.3;
 /// The advertised weight is off by a power of two whose exponent is uniform in a range of this width around zero.
-const WEIGHT_ERROR_EXPONENT: f64 = 1.17;
+const WEIGHT_ERROR_EXPONENT_RANGE: f64 = 1.17;
 
 /// Indices that keep the draws for a site apart.
 mod draw_index {
@@ -72,7 +72,7 @@
         let draft = SiteDraft::new(world, seed);
         Site {
             partners: (0..draft.kinds.len())
-                .map(|number| draft.partner(number, seed))
+                .map(|number| draft.draw_partner(number, seed))
                 .collect(),
             mean_work: draft.mean_work,
         }
@@ -120,7 +120,7 @@
     }
 
     /// Draws a partner. The order of the draws determines the partner that a seed gives.
-    fn partner(&self, number: usize, seed: u64) -> PartnerProfile {
+    fn draw_partner(&self, number: usize, seed: u64) -> PartnerProfile {
         let kind: &Kind = &self.world.kinds[self.kinds[number]];
         let mut rng = rng_for(seed, Stream::World, draw_index::PARTNER, number as u64);
         let traffic_share = self.traffic[number] / self.total_traffic;
@@ -135,7 +135,7 @@
         let cores = (all_cores / f64::from(endpoint_count)).ceil().max(1.0) as u32;
         let queue_capacity =
             (uniform(&mut rng, kind.queue_per_core) * f64::from(cores)).round() as u32;
-        let weight_error = 2f64.powf(WEIGHT_ERROR_EXPONENT * (rng.random::<f64>() - 0.5));
+        let weight_error = 2f64.powf(WEIGHT_ERROR_EXPONENT_RANGE * (rng.random::<f64>() - 0.5));
         let mut profile = PartnerProfile {
             kind_index: self.kinds[number],
             traffic_share,
--- a/crates/lab/src/sim/calls.rs
+++ b/crates/lab/src/sim/calls.rs
@@ -28,7 +28,7 @@
     pub endpoint: u32,
     pub sent_at: Millis,
     /// Whether its connection is reset after its last byte.
-    pub reset_after: bool,
+    pub reset_after_last_byte: bool,
 }
 
 impl Simulation<'_> {
@@ -66,7 +66,7 @@
             partner,
             endpoint,
             sent_at: self.now,
-            reset_after: resets.after_last_byte,
+            reset_after_last_byte: resets.after_last_byte,
         });
         self.record(What::Call {
             call,
--- a/crates/lab/src/sim/partners.rs
+++ b/crates/lab/src/sim/partners.rs
@@ -14,7 +14,7 @@
         };
         let endpoint = call.endpoint;
         let partner = call.partner;
-        let reset_after = call.reset_after;
+        let reset_after_last_byte = call.reset_after_last_byte;
         let class = self.clients.message(call.origin).planned.class;
         let delivered_call = partner::Call {
             number,
@@ -37,7 +37,7 @@
             Admission::Answered(reply) => self.reply(number, reply),
             Admission::Running => {
                 self.record(What::Ran { call: number });
-                if reset_after {
+                if reset_after_last_byte {
                     self.reset_call(number);
                 }
                 self.schedule_completion(partner);
@@ -57,7 +57,10 @@
     pub(super) fn complete_calls(&mut self, partner: u32) {
         let progress = self.environment.advance(partner, self.now);
         for Answer { call, reply } in progress.answers {
-            let is_reset = self.calls.get(&call).is_some_and(|call| call.reset_after);
+            let is_reset = self
+                .calls
+                .get(&call)
+                .is_some_and(|call| call.reset_after_last_byte);
             if !is_reset {
                 self.reply(call, reply);
             }
--- a/crates/lab/src/sim/sender.rs
+++ b/crates/lab/src/sim/sender.rs
@@ -80,7 +80,7 @@
 /// The connection on which a call is sent.
 #[derive(Clone, Copy)]
 pub(super) struct Connection {
-    /// Since when it was idle. `None` for a new connection.
+    /// When it became idle. `None` for a new connection.
     pub idle_since: Option<Millis>,
     /// Number of idle connections that were closed during the search because they had been idle for too long.
     pub expired: usize,
@@ -112,7 +112,7 @@
     /// Held messages that have not ended.
     pub open_messages: usize,
     pub calls_in_flight: usize,
-    /// For each endpoint, the instants since which its connections are idle, most recently used last.
+    /// For each endpoint, when each idle connection became idle, most recently used last.
     pub idle_connections: HashMap<u32, Vec<Millis>>,
     pub known_endpoints: BTreeMap<u32, EndpointEntry>,
     /// Gossip that was collected in advance for its start.
--- a/crates/lab/src/sim/turn.rs
+++ b/crates/lab/src/sim/turn.rs
@@ -56,12 +56,12 @@
                 self.give_up(sender, id.0, true, retry_after.map(millis))
             }
             Action::Fail { id } => self.give_up(sender, id.0, false, None),
-            Action::WakeAfter(span) => {
+            Action::WakeAfter(delay) => {
                 let wake = SimEvent::Wake {
                     sender,
                     incarnation,
                 };
-                self.schedule(self.now + millis(span), wake)
+                self.schedule(self.now + millis(delay), wake)
             }
             Action::CloseIdle(endpoint) => self.close_idle_connections(sender, endpoint),
         }
--- a/crates/lab/src/sim/variant_settings.rs
+++ b/crates/lab/src/sim/variant_settings.rs
@@ -27,7 +27,7 @@
 /// The longest Retry-After that a client is given.
 const MAX_RETRY_AFTER: Millis = 3_000.0;
 
-/// The settings of a variant's senders in a world, without checks.
+/// The unchecked settings of a variant's senders in a world.
 pub fn settings(experiment: &Experiment, variant: &Variant, site: &Site) -> Settings {
     let world = &experiment.world;
     let rate_per_sender = world.full_rate / f64::from(world.senders);
--- a/crates/lab/src/turn_cost.rs
+++ b/crates/lab/src/turn_cost.rs
@@ -48,10 +48,10 @@
 /// If the decision module rejects the settings.
 pub fn measure(held: usize, turns: usize) -> Result<TurnCost, LabError> {
     let destinations = (held / 4).max(1);
-    let mut bench = Bench::new(held, destinations)?;
+    let mut benchmark = TurnBenchmark::new(held, destinations)?;
     // The first turn submits `held` messages. Each later one replaces the messages that have ended.
-    bench.turn(false);
-    let mut durations: Vec<f64> = (0..turns).map(|_| bench.turn(true)).collect();
+    benchmark.run_turn(false);
+    let mut durations: Vec<f64> = (0..turns).map(|_| benchmark.run_turn(true)).collect();
     durations.sort_by(f64::total_cmp);
     let quantile = |share: f64| durations[((durations.len() - 1) as f64 * share) as usize];
     Ok(TurnCost {
@@ -71,7 +71,7 @@
 }
 
 /// A decision module that holds many messages.
-struct Bench {
+struct TurnBenchmark {
     policy: Policy,
     held: usize,
     destinations: usize,
@@ -85,8 +85,8 @@
     actions: Vec<Action>,
 }
 
-impl Bench {
-    fn new(held: usize, destinations: usize) -> Result<Bench, LabError> {
+impl TurnBenchmark {
+    fn new(held: usize, destinations: usize) -> Result<TurnBenchmark, LabError> {
         let experiment = one_sender_experiment(held, destinations)?;
         let site = Site::new(&experiment.world, 1);
         let settings = sim::settings(&experiment, &experiment.variants[0], &site);
@@ -95,7 +95,7 @@
         let list = Event::EndpointList((0..endpoints).map(endpoint_entry).collect());
         let mut actions = Vec::new();
         policy.turn(CLOCK_ORIGIN, &[list], &mut actions);
-        Ok(Bench {
+        Ok(TurnBenchmark {
             policy,
             held,
             destinations,
@@ -108,7 +108,7 @@
     }
 
     /// Runs one turn and returns its duration in microseconds. With `end_attempt`, the oldest attempt ends in it.
-    fn turn(&mut self, end_attempt: bool) -> f64 {
+    fn run_turn(&mut self, end_attempt: bool) -> f64 {
         self.now += TURN_INTERVAL;
         let mut events = Vec::new();
         while self.open_messages < self.held {
--- a/crates/lab/tests/model.rs
+++ b/crates/lab/tests/model.rs
@@ -15,7 +15,7 @@
     FaultSchedule::new(experiment, site).active_at(0, 0.0)
 }
 
-/// A single partner of a kind, with one endpoint numbered 0.
+/// An experiment with a single partner of the given kind, whose endpoint has the number 0.
 fn lone_partner(kind: &str) -> (Experiment, Site, Partner) {
     let experiment = read_experiment(&format!(
         "world {{ partners: 1 endpoints: 1 full_rate: 10 kind {{ name: \"k\" share: 1 {kind} }}
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_fixed_window_admits_its_limit_and_gives_a_retry_after_to_its_end() {
+fn a_fixed_window_admits_its_limit_and_rejects_with_a_retry_after_until_its_end() {
     let kind = "limit: WINDOW window_ms: 2000 headroom { least: 1 most: 1 } least_rate { } tells_wait: 1 \
                 queue { least: 99 most: 99 }";
     let (experiment, site, mut partner) = lone_partner(kind);
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn a_load_keeps_its_level_follows_bursts_and_the_traffic_shares() {
+fn a_load_keeps_its_level_and_follows_bursts_and_traffic_shares() {
     let experiment = read_experiment(
         "world { partners: 20 full_rate: 100 } failure { what: BURST start_s: 30 length_s: 10 size: 3 }",
     );
--- a/crates/lab/tests/orders/fleet.rs
+++ b/crates/lab/tests/orders/fleet.rs
@@ -210,7 +210,7 @@
         self.judge.hear(&LoggedEvent { at: self.now, what });
     }
 
-    pub fn entry(&self, endpoint: u32) -> EndpointEntry {
+    pub fn endpoint_entry(&self, endpoint: u32) -> EndpointEntry {
         EndpointEntry {
             endpoint: EndpointId(endpoint),
             zone: ZoneId(0),
@@ -245,7 +245,7 @@
         }
         let sender = number as u32;
         self.record(What::Ready { sender });
-        let entries = (0..ENDPOINTS).map(|endpoint| self.entry(endpoint));
+        let entries = (0..ENDPOINTS).map(|endpoint| self.endpoint_entry(endpoint));
         let mut events = vec![Event::EndpointList(entries.collect())];
         let started = &mut self.senders[number];
         let (wal, contents) = WriteAheadLog::open(&started.folder, WAL_SIZE);
--- a/crates/lab/tests/orders/main.rs
+++ b/crates/lab/tests/orders/main.rs
@@ -157,7 +157,7 @@
     break_rule(&mut fleet);
     assert!(
         fleet.broken_rules().contains(&rule),
-        "{:?}",
+        "the judge reports {:?}",
         fleet.broken_rules()
     );
 }
--- a/crates/lab/tests/orders/steps.rs
+++ b/crates/lab/tests/orders/steps.rs
@@ -156,7 +156,7 @@
         for sender in 0..SENDERS {
             if self.senders[sender].policy.is_some() {
                 self.record_listed_endpoint(sender, endpoint);
-                let change = Event::EndpointChanges(vec![self.entry(endpoint)]);
+                let change = Event::EndpointChanges(vec![self.endpoint_entry(endpoint)]);
                 self.run_turns(sender, vec![change]);
             }
         }
