--- a/crates/lab/tests/hostile.rs
+++ b/crates/lab/tests/hostile.rs
@@ -56,12 +56,12 @@
                 let (origin, at) = origins[id];
                 first.get_mut(&origin).unwrap().get_or_insert(fact.at - at);
             }
-            (Some(_), Reply::Refused(_)) => sum.refused += 1.0,
+            (Some(_), Reply::Rejected(_)) => sum.refused += 1.0,
             _ => {}
         },
         _ => {}
     };
-    let played = sim::play(&x, &x.variants[0], seed, Some(Box::new(sink))).unwrap();
+    let played = sim::run(&x, &x.variants[0], seed, Some(Box::new(sink))).unwrap();
     assert!(
         played.verdict.clean(),
         "seed {seed}: {:?}",
