--- a/crates/sender/src/discovery/mod.rs
+++ b/crates/sender/src/discovery/mod.rs
@@ -31,7 +31,7 @@
 pub use snapshot::EndpointDirectorySnapshot;
 
 use crate::cordons::{CordonError, Cordons};
-use crate::event_source::Handle;
+use crate::event_source::EventLoopHandle;
 use crate::jitter::Jitter;
 use endpoint_list::EndpointList;
 use list_update::{ListUpdate, ZoneAndKindNames};
@@ -195,7 +195,7 @@
     }
 
     /// Closes a watch that has been silent for too long, and opens the next one when it is due.
-    pub fn run_due(&mut self, now: Millis, handle: &Handle, buffers: &BufferPool) {
+    pub fn run_due(&mut self, now: Millis, handle: &EventLoopHandle, buffers: &BufferPool) {
         if self
             .silence_deadline()
             .is_some_and(|deadline| now > deadline)
@@ -207,7 +207,7 @@
         }
     }
 
-    fn open_watch(&mut self, now: Millis, handle: &Handle, buffers: &BufferPool) {
+    fn open_watch(&mut self, now: Millis, handle: &EventLoopHandle, buffers: &BufferPool) {
         self.last_received = now;
         self.has_unreadable_update = false;
         match Watch::open(self.discovery_address, self.version, handle, buffers) {
--- a/crates/sender/src/discovery/tests/updates.rs
+++ b/crates/sender/src/discovery/tests/updates.rs
@@ -10,7 +10,7 @@
 /// A directory with one endpoint at version 5, and discovery's side of its watch connection.
 fn directory_with_watch() -> (EndpointDirectory, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let events = calloop::EventLoop::<crate::event_source::Ready>::try_new().unwrap();
+    let events = calloop::EventLoop::<crate::event_source::ReadyEvents>::try_new().unwrap();
     let mut directory = EndpointDirectory::new(
         listener.local_addr().unwrap(),
         &platform_settings(Settings::default(), false),
--- a/crates/sender/src/discovery/tests/watch_schedule.rs
+++ b/crates/sender/src/discovery/tests/watch_schedule.rs
@@ -13,7 +13,7 @@
     #[case] min_reopened: usize,
 ) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let events = calloop::EventLoop::<crate::event_source::Ready>::try_new().unwrap();
+    let events = calloop::EventLoop::<crate::event_source::ReadyEvents>::try_new().unwrap();
     let (handle, pool) = (events.handle(), BufferPool::new(8));
     let platform_settings = platform_settings(Settings::default(), polls_endpoint_list);
     let mut directory = EndpointDirectory::new(
@@ -53,7 +53,7 @@
 #[test]
 fn watches_that_fall_silent_together_are_reopened_at_different_times() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let events = calloop::EventLoop::<crate::event_source::Ready>::try_new().unwrap();
+    let events = calloop::EventLoop::<crate::event_source::ReadyEvents>::try_new().unwrap();
     let platform_settings = platform_settings(Settings::default(), true);
     let reopened_after = |seed: u64| {
         let (handle, pool) = (events.handle(), BufferPool::new(8));
--- a/crates/sender/src/discovery/watch.rs
+++ b/crates/sender/src/discovery/watch.rs
@@ -7,7 +7,7 @@
 use thiserror::Error;
 
 use super::object_framer::JsonObjectFramer;
-use crate::event_source::{Connection, EventSource, Handle};
+use crate::event_source::{Connection, EventLoopHandle, EventSource};
 
 /// The limit on the size of an object in a watch, in bytes, so that memory use is bounded.
 const MAX_OBJECT_BYTES: usize = 4 << 20;
@@ -66,7 +66,7 @@
     pub fn open(
         discovery_address: SocketAddr,
         version: u64,
-        handle: &Handle,
+        handle: &EventLoopHandle,
         buffers: &BufferPool,
     ) -> std::io::Result<Watch> {
         let mut connection =
--- a/crates/sender/src/egress/connection_pool.rs
+++ b/crates/sender/src/egress/connection_pool.rs
@@ -10,12 +10,12 @@
 use slab::Slab;
 
 use super::endpoint_connection::EndpointConnection;
-use crate::event_source::{Connection, EventSource, Handle};
+use crate::event_source::{Connection, EventLoopHandle, EventSource};
 
 /// All connections to endpoints, each in a slot whose number identifies it in the event loop.
 pub(super) struct ConnectionPool {
     /// The event loop in which the connections are registered.
-    pub handle: Handle,
+    pub handle: EventLoopHandle,
     /// The buffers of the connections.
     pub buffers: BufferPool,
     /// The limit on connections, idle ones included. At the limit, a new connection replaces the one that has been idle
@@ -29,7 +29,11 @@
 
 impl ConnectionPool {
     /// Creates an empty pool.
-    pub fn new(handle: &Handle, buffers: &BufferPool, max_connections: usize) -> ConnectionPool {
+    pub fn new(
+        handle: &EventLoopHandle,
+        buffers: &BufferPool,
+        max_connections: usize,
+    ) -> ConnectionPool {
         ConnectionPool {
             handle: handle.clone(),
             buffers: buffers.clone(),
--- a/crates/sender/src/egress/mod.rs
+++ b/crates/sender/src/egress/mod.rs
@@ -37,7 +37,7 @@
 pub use attempt::{AttemptRequest, AttemptResult};
 pub use snapshot::EgressSnapshot;
 
-use crate::event_source::Handle;
+use crate::event_source::EventLoopHandle;
 use attempt::ActiveAttempt;
 use attempt_end::EndCause;
 use connection_faults::{ResetDetector, StaleConnectionDetector};
@@ -95,7 +95,7 @@
     /// Creates an egress without connections. `max_connections` includes idle ones. `connect_timeout` and
     /// `idle_limit`, the time after which endpoints close idle connections, are in milliseconds.
     pub fn new(
-        handle: &Handle,
+        handle: &EventLoopHandle,
         buffers: &BufferPool,
         max_connections: usize,
         connect_timeout: Millis,
--- a/crates/sender/src/egress/tests/mod.rs
+++ b/crates/sender/src/egress/tests/mod.rs
@@ -15,7 +15,7 @@
 
 use super::connection_faults::RESET_EXPECTED_THRESHOLD;
 use super::*;
-use crate::event_source::Ready;
+use crate::event_source::ReadyEvents;
 
 /// A request of two bytes to an endpoint.
 fn two_byte_request(must_not_be_lost: bool) -> AttemptRequest<'static> {
@@ -50,7 +50,7 @@
 struct Fixture {
     egress: Egress,
     buffers: BufferPool,
-    events: EventLoop<'static, Ready>,
+    events: EventLoop<'static, ReadyEvents>,
     listener: TcpListener,
 }
 
@@ -96,7 +96,7 @@
 
     /// Discards the events that the event loop has reported so far.
     fn clear_events(&mut self) {
-        let mut ready = Ready::default();
+        let mut ready = ReadyEvents::default();
         self.events
             .dispatch(Some(Duration::ZERO), &mut ready)
             .unwrap();
@@ -104,7 +104,7 @@
 
     /// Waits until the event loop reports a ready socket.
     fn wait_for_event(&mut self) {
-        let mut ready = Ready::default();
+        let mut ready = ReadyEvents::default();
         while ready.keys.is_empty() {
             self.events.dispatch(None, &mut ready).unwrap();
         }
--- a/crates/sender/src/event_source.rs
+++ b/crates/sender/src/event_source.rs
@@ -67,8 +67,8 @@
 }
 
 /// A handle to the sender's event loop.
-pub type Handle = martenlatch_http::EventLoopHandle<EventSource>;
+pub type EventLoopHandle = martenlatch_http::EventLoopHandle<EventSource>;
 /// A connection in the sender's event loop.
 pub type Connection = martenlatch_http::Connection<EventSource>;
 /// The signals and ready sockets that the sender's event loop collects between two rounds.
-pub type Ready = martenlatch_http::ReadyEvents<EventSource>;
+pub type ReadyEvents = martenlatch_http::ReadyEvents<EventSource>;
--- a/crates/sender/src/operator.rs
+++ b/crates/sender/src/operator.rs
@@ -20,7 +20,7 @@
 
 pub use command::{CommandError, OperatorCommand, format_answer};
 
-use crate::event_source::{Connection, EventSource, Handle};
+use crate::event_source::{Connection, EventLoopHandle, EventSource};
 
 /// Maximum number of connections of operators. A descriptor and two buffers are reserved for each of them.
 pub const MAX_OPERATOR_CONNECTIONS: usize = 12;
@@ -84,7 +84,7 @@
 pub struct OperatorService {
     listener: Rc<std::net::TcpListener>,
     token: RegistrationToken,
-    handle: Handle,
+    handle: EventLoopHandle,
     pool: BufferPool,
     connections: Slab<OperatorConnection>,
     /// When to accept connections again, if accepting is paused or not finished.
@@ -96,7 +96,10 @@
     ///
     /// # Errors
     /// If the address cannot be bound or its socket cannot be watched.
-    pub fn open(address: SocketAddr, handle: &Handle) -> Result<OperatorService, OperatorError> {
+    pub fn open(
+        address: SocketAddr,
+        handle: &EventLoopHandle,
+    ) -> Result<OperatorService, OperatorError> {
         let listener =
             crate::listen(address).map_err(|source| OperatorError::Bind { address, source })?;
         let listener = Rc::new(listener);
--- a/crates/sender/src/peer_service/mod.rs
+++ b/crates/sender/src/peer_service/mod.rs
@@ -26,7 +26,7 @@
 use martenlatch_settings::program;
 use tracing::info;
 
-use crate::event_source::{EventSource, Handle};
+use crate::event_source::{EventLoopHandle, EventSource};
 pub use error::PeerServiceError;
 use gossip::{EndpointNames, OwnObservations};
 use page_server::PageServer;
@@ -75,7 +75,7 @@
         folder: &Path,
         limits_per_endpoint: Vec<bool>,
         rng_seed: u64,
-        handle: &Handle,
+        handle: &EventLoopHandle,
         now: Millis,
     ) -> Result<PeerService, PeerServiceError> {
         let secret = read_shared_secret(&settings.secret_file)?;
--- a/crates/sender/src/peer_service/page_server.rs
+++ b/crates/sender/src/peer_service/page_server.rs
@@ -12,7 +12,7 @@
 
 use super::gossip::{ObservationCursor, OwnObservations};
 use super::rejections::Rejections;
-use crate::event_source::{Connection, EventSource, Handle};
+use crate::event_source::{Connection, EventLoopHandle, EventSource};
 
 /// Maximum number of connections that are served at a time, and of those accepted in one round.
 pub(super) const MAX_CONNECTIONS: usize = 4;
@@ -161,13 +161,13 @@
 /// The connections that are served.
 pub(super) struct PageServer {
     connections: Slab<ServedConnection>,
-    handle: Handle,
+    handle: EventLoopHandle,
     pool: BufferPool,
     digests_sent: u64,
 }
 
 impl PageServer {
-    pub(super) fn new(handle: &Handle, pool: &BufferPool) -> PageServer {
+    pub(super) fn new(handle: &EventLoopHandle, pool: &BufferPool) -> PageServer {
         PageServer {
             connections: Slab::new(),
             handle: handle.clone(),
--- a/crates/sender/src/peer_service/seed_queries.rs
+++ b/crates/sender/src/peer_service/seed_queries.rs
@@ -11,7 +11,7 @@
 use martenlatch_settings::program;
 use tracing::{info, warn};
 
-use crate::event_source::{Connection, EventSource, Handle};
+use crate::event_source::{Connection, EventLoopHandle, EventSource};
 
 /// Maximum number of queries that run at a time.
 pub(super) const MAX_QUERIES: usize = 3;
@@ -69,7 +69,7 @@
     running: [Option<Query>; MAX_QUERIES],
     unqueried: VecDeque<SocketAddr>,
     local_name: String,
-    handle: Handle,
+    handle: EventLoopHandle,
     pool: BufferPool,
     last_request_id: u64,
     digests_received: u64,
@@ -82,7 +82,7 @@
         settings: &program::PeerSettings,
         local_name: String,
         rng_seed: u64,
-        handle: &Handle,
+        handle: &EventLoopHandle,
         pool: &BufferPool,
     ) -> SeedQueries {
         let seeds = settings.seeds.iter().copied();
--- a/crates/sender/src/peer_service/sockets.rs
+++ b/crates/sender/src/peer_service/sockets.rs
@@ -7,7 +7,7 @@
 use martenlatch_http::register;
 
 use super::PeerServiceError;
-use crate::event_source::{EventSource, Handle};
+use crate::event_source::{EventLoopHandle, EventSource};
 
 /// The two sockets, which are registered with the event loop.
 pub(super) struct Sockets {
@@ -17,12 +17,15 @@
 
 impl Sockets {
     /// Binds both sockets to the address.
-    pub(super) fn bind(address: SocketAddr, handle: &Handle) -> Result<Sockets, PeerServiceError> {
+    pub(super) fn bind(
+        address: SocketAddr,
+        handle: &EventLoopHandle,
+    ) -> Result<Sockets, PeerServiceError> {
         Sockets::try_bind(address, handle)
             .map_err(|source| PeerServiceError::Bind { address, source })
     }
 
-    fn try_bind(address: SocketAddr, handle: &Handle) -> io::Result<Sockets> {
+    fn try_bind(address: SocketAddr, handle: &EventLoopHandle) -> io::Result<Sockets> {
         let udp = Rc::new(UdpSocket::bind(address)?);
         let listener = Rc::new(TcpListener::bind(address)?);
         udp.set_nonblocking(true)?;
--- a/crates/sender/src/pipeline/builder.rs
+++ b/crates/sender/src/pipeline/builder.rs
@@ -28,7 +28,7 @@
 use crate::discovery::EndpointDirectory;
 use crate::egress::Egress;
 use crate::error::SenderError;
-use crate::event_source::{Handle, InheritedDescriptors};
+use crate::event_source::{EventLoopHandle, InheritedDescriptors};
 use crate::jitter::Jitter;
 use crate::log_recovery;
 use crate::operator;
@@ -207,7 +207,7 @@
         config: Config,
         start: StartMode,
         peers: Option<PeerService>,
-        handle: &Handle,
+        handle: &EventLoopHandle,
         clock: Clock,
     ) -> Result<Driver, SenderError> {
         let process_started = match &start {
@@ -240,7 +240,7 @@
         config: &Config,
         parts: DriverParts,
         peers: Option<PeerService>,
-        handle: &Handle,
+        handle: &EventLoopHandle,
         clock: Clock,
     ) -> Result<Driver, SenderError> {
         let settings = &parts.settings;
@@ -350,7 +350,7 @@
 
 fn build_status_reporter(
     config: &Config,
-    handle: &Handle,
+    handle: &EventLoopHandle,
     buffers: &BufferPool,
     jitter: &Jitter,
     started: Millis,
@@ -372,7 +372,11 @@
     }
 }
 
-fn build_egress(settings: &Settings, capacity: &ConnectionCapacity, handle: &Handle) -> Egress {
+fn build_egress(
+    settings: &Settings,
+    capacity: &ConnectionCapacity,
+    handle: &EventLoopHandle,
+) -> Egress {
     Egress::new(
         handle,
         &BufferPool::new(capacity.endpoint_buffers),
--- a/crates/sender/src/pipeline/driver.rs
+++ b/crates/sender/src/pipeline/driver.rs
@@ -20,7 +20,7 @@
 use super::status_reports::StatusReporter;
 use crate::discovery::EndpointDirectory;
 use crate::egress::{AttemptResult, Egress};
-use crate::event_source::{EventSource, Handle};
+use crate::event_source::{EventLoopHandle, EventSource};
 use crate::operator::OperatorService;
 use crate::peer_service::PeerService;
 use crate::safety::ViolationCounter;
@@ -51,7 +51,7 @@
     pub(super) retry_after_table: RetryAfterTable,
     /// Counts the steps that would have broken a safety rule.
     pub(super) violations: ViolationCounter,
-    pub(super) handle: Handle,
+    pub(super) handle: EventLoopHandle,
     /// Buffers for the watch and the status reports. They have their own pool, so that attempts cannot exhaust it.
     pub(super) control_buffers: BufferPool,
     pub(super) ingress: Ingress,
--- a/crates/sender/src/pipeline/ingress/mod.rs
+++ b/crates/sender/src/pipeline/ingress/mod.rs
@@ -22,7 +22,7 @@
 use slab::Slab;
 
 use crate::error::SenderError;
-use crate::event_source::{EventSource, Handle};
+use crate::event_source::{EventLoopHandle, EventSource};
 use crate::jitter::Jitter;
 use crate::safety::ViolationCounter;
 
@@ -57,7 +57,7 @@
     /// `None` once no more connections are accepted.
     pub(super) listener: Option<Rc<TcpListener>>,
     registration: Option<calloop::RegistrationToken>,
-    pub(super) handle: Handle,
+    pub(super) handle: EventLoopHandle,
     pub(super) pool: BufferPool,
     pub(super) clients: Slab<Client>,
     pub(super) limits: ClientLimits,
@@ -97,7 +97,7 @@
     /// Returns an error if the listener cannot be registered.
     pub(super) fn open(
         listener: TcpListener,
-        handle: &Handle,
+        handle: &EventLoopHandle,
         limits: ClientLimits,
         classes: Vec<IngressClass>,
         jitter: Jitter,
--- a/crates/sender/src/pipeline/status_reports/mod.rs
+++ b/crates/sender/src/pipeline/status_reports/mod.rs
@@ -16,7 +16,7 @@
 use tracing::warn;
 
 use super::message_store::MessageStore;
-use crate::event_source::{Connection, EventSource, Handle};
+use crate::event_source::{Connection, EventLoopHandle, EventSource};
 use crate::jitter::Jitter;
 use report_connection::{BatchProgress, ReportConnection};
 use timing::{CONFIRMATION_TIMEOUT, FailureStreak, ReportTiming};
@@ -33,7 +33,7 @@
 /// Sends status reports. Messages are identified by their numbers.
 pub struct StatusReporter {
     pub(super) platform: SocketAddr,
-    handle: Handle,
+    handle: EventLoopHandle,
     pool: BufferPool,
     process_started: Millis,
     /// The reports that the platform has not confirmed, by message number.
@@ -50,7 +50,7 @@
     /// A reporter without reports.
     pub(super) fn new(
         platform: SocketAddr,
-        handle: Handle,
+        handle: EventLoopHandle,
         pool: BufferPool,
         jitter: Jitter,
         process_started: Millis,
--- a/crates/sender/src/pipeline/test_support.rs
+++ b/crates/sender/src/pipeline/test_support.rs
@@ -10,14 +10,14 @@
 
 use super::{Driver, StartMode};
 use crate::Config;
-use crate::event_source::Ready;
+use crate::event_source::ReadyEvents;
 
 /// The start time of the test clocks, in milliseconds of Unix time.
 pub(super) const START: Millis = 1_796_121_600_000.0;
 /// The limit on the disk space of the state folder, in bytes.
 pub(super) const DISK_LIMIT: u64 = 3_000_000;
 
-pub(super) type TestLoop = calloop::EventLoop<'static, Ready>;
+pub(super) type TestLoop = calloop::EventLoop<'static, ReadyEvents>;
 
 /// Creates an empty folder for this test process.
 pub(super) fn empty_folder(name: &str) -> PathBuf {
--- a/crates/sender/src/process_replacement/candidate.rs
+++ b/crates/sender/src/process_replacement/candidate.rs
@@ -11,7 +11,7 @@
 
 use super::socket_path;
 use crate::Config;
-use crate::event_source::{EventSource, Handle};
+use crate::event_source::{EventLoopHandle, EventSource};
 
 /// Milliseconds between two tries to acquire the lock.
 pub const POLL_INTERVAL: Millis = 20.0;
@@ -47,7 +47,7 @@
 
 /// A process that waits to replace the one that serves.
 pub struct ReplacementCandidate {
-    handle: Handle,
+    handle: EventLoopHandle,
     state_folder: PathBuf,
     request: TakeoverRequest,
     /// Held while this process waits, so that there is only one candidate. `None` if the folder accepts no file.
@@ -63,7 +63,10 @@
     ///
     /// # Errors
     /// If another process is already the candidate.
-    pub fn open(config: &Config, handle: &Handle) -> Result<ReplacementCandidate, CandidateError> {
+    pub fn open(
+        config: &Config,
+        handle: &EventLoopHandle,
+    ) -> Result<ReplacementCandidate, CandidateError> {
         let successor_lock = match Lock::try_acquire(&config.state_folder, SUCCESSOR_LOCK) {
             Ok(None) => return Err(CandidateError::AnotherCandidate),
             Ok(Some(lock)) => Some(lock),
--- a/crates/sender/src/process_replacement/listener.rs
+++ b/crates/sender/src/process_replacement/listener.rs
@@ -15,7 +15,7 @@
 
 use super::socket_path;
 use crate::error::SenderError;
-use crate::event_source::{EventSource, Handle};
+use crate::event_source::{EventLoopHandle, EventSource};
 use crate::pipeline::Driver;
 
 /// Maximum time in milliseconds for which a transfer pauses this process.
@@ -40,7 +40,7 @@
 
 /// Accepts the requests of successors to take over from this process.
 pub struct ReplacementListener {
-    handle: Handle,
+    handle: EventLoopHandle,
     lock: Option<Lock>,
     listener: Option<Rc<TakeoverListener>>,
     successor: Option<(SuccessorConnection, RegistrationToken)>,
@@ -51,7 +51,11 @@
 impl ReplacementListener {
     /// Keeps the lock, and listens for a successor. Without a lock or a socket, this process cannot be replaced while
     /// it serves.
-    pub fn open(lock: Option<Lock>, state_folder: &Path, handle: &Handle) -> ReplacementListener {
+    pub fn open(
+        lock: Option<Lock>,
+        state_folder: &Path,
+        handle: &EventLoopHandle,
+    ) -> ReplacementListener {
         let mut listener = None;
         if lock.is_some() {
             match listen(state_folder, handle) {
@@ -166,7 +170,7 @@
     }
 }
 
-fn listen(state_folder: &Path, handle: &Handle) -> std::io::Result<Rc<TakeoverListener>> {
+fn listen(state_folder: &Path, handle: &EventLoopHandle) -> std::io::Result<Rc<TakeoverListener>> {
     let path = socket_path(state_folder)?;
     let listener = Rc::new(TakeoverListener::open(&path)?);
     martenlatch_http::register(handle, listener.clone(), EventSource::SuccessorListener)?;
--- a/crates/sender/src/serve.rs
+++ b/crates/sender/src/serve.rs
@@ -9,7 +9,7 @@
 
 use crate::Config;
 use crate::error::SenderError;
-use crate::event_source::{Handle, Ready};
+use crate::event_source::{EventLoopHandle, ReadyEvents};
 use crate::operator::OperatorService;
 use crate::pipeline::Driver;
 use crate::process_replacement::ReplacementListener;
@@ -22,7 +22,7 @@
 /// # Errors
 /// If the process cannot start, or its event loop fails.
 pub fn run(config: Config) -> Result<(), SenderError> {
-    let mut events = EventLoop::<Ready>::try_new().map_err(SenderError::CreateEventLoop)?;
+    let mut events = EventLoop::<ReadyEvents>::try_new().map_err(SenderError::CreateEventLoop)?;
     let handle = events.handle();
     watch_signals(&handle)?;
     let operators = open_operators(&config, &handle)?;
@@ -38,7 +38,7 @@
 }
 
 /// Registers the signals that the sender handles, so that the event loop collects them.
-fn watch_signals(handle: &Handle) -> Result<(), SenderError> {
+fn watch_signals(handle: &EventLoopHandle) -> Result<(), SenderError> {
     let watched = [
         Signal::SIGTERM,
         Signal::SIGINT,
@@ -48,7 +48,7 @@
     let signals =
         Signals::new(&watched).map_err(|error| SenderError::WatchSignals(error.to_string()))?;
     handle
-        .insert_source(signals, |event, _, ready: &mut Ready| {
+        .insert_source(signals, |event, _, ready: &mut ReadyEvents| {
             ready.signals.push(event.signal());
         })
         .map_err(|error| SenderError::WatchSignals(error.to_string()))?;
@@ -58,7 +58,7 @@
 /// Listens for operators, if the configuration contains an address for them.
 fn open_operators(
     config: &Config,
-    handle: &Handle,
+    handle: &EventLoopHandle,
 ) -> Result<Option<OperatorService>, SenderError> {
     config
         .operator
@@ -72,8 +72,8 @@
     started: StartedProcess,
     operators: Option<OperatorService>,
     state_folder: &Path,
-    events: &mut EventLoop<'static, Ready>,
-    ready: &mut Ready,
+    events: &mut EventLoop<'static, ReadyEvents>,
+    ready: &mut ReadyEvents,
 ) -> Result<Driver, SenderError> {
     let mut driver = started.driver;
     driver.set_operators(operators);
@@ -105,8 +105,8 @@
 
 /// Waits until a socket is ready or a signal arrives, for at most `timeout`.
 pub(crate) fn wait_for_events(
-    events: &mut EventLoop<'static, Ready>,
-    ready: &mut Ready,
+    events: &mut EventLoop<'static, ReadyEvents>,
+    ready: &mut ReadyEvents,
     timeout: Millis,
 ) -> Result<(), SenderError> {
     let timeout = Duration::from_secs_f64(timeout / MILLISECONDS_PER_SECOND);
--- a/crates/sender/src/startup.rs
+++ b/crates/sender/src/startup.rs
@@ -16,7 +16,7 @@
 
 use crate::Config;
 use crate::error::SenderError;
-use crate::event_source::{EventSource, Handle, InheritedDescriptors, Ready};
+use crate::event_source::{EventLoopHandle, EventSource, InheritedDescriptors, ReadyEvents};
 use crate::log_recovery;
 use crate::operator::OperatorService;
 use crate::peer_service::PeerService;
@@ -63,8 +63,8 @@
     started_at: Instant,
     config: Config,
     clock: Clock,
-    events: &'a mut EventLoop<'static, Ready>,
-    ready: Ready,
+    events: &'a mut EventLoop<'static, ReadyEvents>,
+    ready: ReadyEvents,
     operators: Option<OperatorService>,
 }
 
@@ -80,7 +80,7 @@
     /// Creates a process with this configuration, and continues the clock of earlier processes.
     pub(crate) fn new(
         config: Config,
-        events: &'a mut EventLoop<'static, Ready>,
+        events: &'a mut EventLoop<'static, ReadyEvents>,
         operators: Option<OperatorService>,
     ) -> StartingProcess<'a> {
         let started_at = Instant::now();
@@ -90,13 +90,13 @@
             config,
             clock,
             events,
-            ready: Ready::default(),
+            ready: ReadyEvents::default(),
             operators,
         }
     }
 
     /// Returns the sockets and signals that were not handled during the start, and the operators' connections.
-    pub(crate) fn into_parts(self) -> (Ready, Option<OperatorService>) {
+    pub(crate) fn into_parts(self) -> (ReadyEvents, Option<OperatorService>) {
         (self.ready, self.operators)
     }
 
@@ -333,7 +333,7 @@
 fn restore(
     config: &Config,
     received: &mut ReceivedState,
-    handle: &Handle,
+    handle: &EventLoopHandle,
     clock: &Clock,
 ) -> Result<StartedProcess, SenderError> {
     let mut descriptors = InheritedDescriptors::new(std::mem::take(&mut received.descriptors));
