--- a/crates/sender/src/pipeline/mod.rs
+++ b/crates/sender/src/pipeline/mod.rs
@@ -20,7 +20,7 @@
 mod known_list;
 mod message_store;
 mod metrics;
-mod operator_calls;
+mod operator_commands;
 mod poll_history;
 mod process_state;
 mod send_gate;
--- a/crates/sender/src/pipeline/operator_calls.rs
+++ b/crates/sender/src/pipeline/operator_commands.rs
@@ -1,4 +1,4 @@
-//! Operators' calls, and the reload of the configuration.
+//! Performs operators' commands and reloads the configuration.
 
 use martenlatch_clock::Millis;
 use tracing::{info, warn};
@@ -9,28 +9,28 @@
 use crate::cordons::CordonError;
 use crate::operator::{self, OperatorCommand};
 
-/// Why a call is refused. Its `Display` text is sent to the operator as the reason.
+/// Why a command is refused. The operator receives the `Display` text.
 #[derive(Debug, thiserror::Error)]
-enum CallError {
-    /// A health check failed because the process accepts no more clients.
+enum CommandRefusal {
+    /// The health command was sent to a process that accepts no more clients.
     #[error("ending: no more clients are taken")]
     ShuttingDown,
-    /// A cordon could not be set or lifted.
+    /// An endpoint could not be cordoned or uncordoned.
     #[error(transparent)]
     Cordon(#[from] CordonError),
 }
 
 impl Driver {
-    /// Reads an operator's call and answers it once it is complete.
+    /// Reads an operator's command and answers it once it is complete.
     pub(super) fn answer_operator(&mut self, index: usize, now: Millis) {
         let Some(operators) = &mut self.operators else {
             return;
         };
-        let Some(call) = operators.read_command(index) else {
+        let Some(command) = operators.read_command(index) else {
             return;
         };
-        let answer = match call {
-            Ok(call) => operator::format_answer(self.perform_call(call)),
+        let answer = match command {
+            Ok(command) => operator::format_answer(self.perform_command(command)),
             Err(error) => operator::format_answer(Err(error)),
         };
         if let Some(operators) = &mut self.operators {
@@ -38,9 +38,9 @@
         }
     }
 
-    /// Performs a call and returns the lines of its answer.
-    fn perform_call(&mut self, call: OperatorCommand) -> Result<String, CallError> {
-        match call {
+    /// Performs a command. Returns the lines of the answer to it.
+    fn perform_command(&mut self, command: OperatorCommand) -> Result<String, CommandRefusal> {
+        match command {
             OperatorCommand::Health => self.health(),
             OperatorCommand::Counters => {
                 let gauges = self.gauges();
@@ -52,16 +52,16 @@
         }
     }
 
-    fn health(&self) -> Result<String, CallError> {
+    fn health(&self) -> Result<String, CommandRefusal> {
         if self.ingress.listener.is_none() || self.shutdown_started.is_some() {
-            return Err(CallError::ShuttingDown);
+            return Err(CommandRefusal::ShuttingDown);
         }
         Ok("serving\n".into())
     }
 
-    /// Cordons an endpoint or lifts its cordon. The change is on disk and in the decision module's events before the
-    /// call is answered.
-    fn set_cordon(&mut self, endpoint: &str, cordoned: bool) -> Result<String, CallError> {
+    /// Cordons or uncordons an endpoint. The change is on disk and in the decision module's events before the command is
+    /// answered.
+    fn set_cordon(&mut self, endpoint: &str, cordoned: bool) -> Result<String, CommandRefusal> {
         let change = self.directory.set_cordon(endpoint, cordoned)?;
         let changed = change.is_some();
         if let Some(change) = change {
