--- a/crates/sender/src/pipeline/admission.rs
+++ b/crates/sender/src/pipeline/admission.rs
@@ -24,7 +24,7 @@
     /// It was accepted before and has ended undelivered. The client may learn only now that it was accepted, so its
     /// report is sent again after the answer: the platform may have ignored the first report.
     EndedDuplicate(EndedMessage),
-    /// It was accepted before and has ended undelivered, but the log cannot record that another report is due.
+    /// It was accepted before and was reported undeliverable, but the log cannot record that another report is due.
     Undeliverable,
     /// It cannot be accepted now; the client may send it again later.
     Rejected,
@@ -34,9 +34,9 @@
 
 /// A message that has ended undelivered and that its client has sent again.
 pub(super) enum EndedMessage {
-    /// Its report is not confirmed yet. This is its number.
+    /// Its report is not confirmed yet. Contains the message's number.
     Reporting(u64),
-    /// Its report was confirmed. This is the new record of it.
+    /// Its report was confirmed. Contains a new record of the message.
     Reported(MessageRecord),
 }
 
@@ -101,7 +101,7 @@
             store.next_number += 1;
             return AdmissionDecision::EndedDuplicate(EndedMessage::Reported(record));
         }
-        // Without a record no further report can be guaranteed. The answer has the status of the earlier report.
+        // Without a record no further report can be guaranteed, so the answer states what the earlier report stated.
         match status {
             FinalStatus::Deferred(_) => self.reject(class, store),
             FinalStatus::Undeliverable => AdmissionDecision::Undeliverable,
@@ -155,8 +155,8 @@
         AdmissionDecision::Rejected
     }
 
-    /// Adds a message that an earlier process accepted and did not close to the store. Returns the event for the
-    /// decision module, unless the message has ended and only its status report is due.
+    /// Adds to the store a message that an earlier process accepted and did not close. Returns the event for the
+    /// decision module, unless only the message's status report is due.
     pub(super) fn resume(
         &self,
         record: MessageRecord,
@@ -166,7 +166,7 @@
         store.counters.resumed += 1;
         let number = record.number;
         let event = self.resumed_event(&record);
-        // It ended in an earlier process, or the rules of its class are unknown.
+        // The message ended in an earlier process, or its class is unknown.
         let settled = record.final_status.is_some() || event.is_none();
         let unattempted = record.attempts.is_empty() && !settled;
         debug!(
@@ -194,7 +194,7 @@
         event.filter(|_| !settled)
     }
 
-    /// The event that tells the decision module of a resumed message, or `None` if its class is unknown.
+    /// The event for the decision module about a resumed message. `None` if the message's class is unknown.
     fn resumed_event(&self, record: &MessageRecord) -> Option<Event> {
         let class = self
             .class_rules
--- a/crates/sender/src/pipeline/builder.rs
+++ b/crates/sender/src/pipeline/builder.rs
@@ -55,7 +55,7 @@
 pub enum StartMode {
     /// A start from the write-ahead log, which has the messages that earlier processes left open.
     Fresh {
-        /// The listener for clients, opened by this process.
+        /// The listener for clients, which this process has opened.
         listener: TcpListener,
         /// When the process started.
         process_started: Instant,
@@ -156,7 +156,7 @@
         })
     }
 
-    /// The parts of a takeover. The predecessor may still continue until this process has committed to take over.
+    /// The parts of a takeover. Until this process has committed the takeover, the predecessor may continue to serve.
     fn takeover(
         config: &Config,
         state: ProcessState<Policy>,
@@ -296,7 +296,7 @@
         })
     }
 
-    /// Adds the messages that the log has of earlier processes to the store. Returns the events for the decision
+    /// Adds to the store the messages that earlier processes left in the log. Returns the events for the decision
     /// module.
     fn resume(&mut self, recovered: BTreeMap<u64, MessageRecord>) -> Vec<Event> {
         let mut events = Vec::new();
--- a/crates/sender/src/pipeline/completion.rs
+++ b/crates/sender/src/pipeline/completion.rs
@@ -1,4 +1,4 @@
-//! Ends of attempts and messages: records and counts them, and creates the events for the decision module.
+//! Records and counts the ends of attempts and messages, and creates the events for the decision module.
 
 use martenlatch_clock::{Millis, nanos};
 use martenlatch_policy::interface::{Event, MessageId, Outcome};
@@ -10,8 +10,9 @@
 use crate::counters::Counters;
 use crate::egress::AttemptResult;
 
-/// How long before the deadline a success must have been read to count as the delivery of its message. The client's
-/// time for the message started slightly earlier than ours, and the platform counts no success after that time.
+/// How long before the deadline a success must have been read to count as the delivery of its message. The client began
+/// to measure the message's time slightly earlier than the sender, so this time also ends earlier for the client, and
+/// the platform counts no success after its end.
 pub(super) const LATE_SUCCESS_GUARD: Millis = 50.0;
 
 /// Processes the result of an attempt that has ended; it was read before `read_by`. Returns the event for the decision
@@ -42,7 +43,7 @@
     if succeeded && !in_time {
         end_by_late_success(result.id, store, status_reporter);
     } else if (succeeded || result.message_finished)
-        && can_still_close(message, result.outcome, status_reporter)
+        && prepare_to_close(message, result.outcome, status_reporter)
     {
         close_message(number, result.message_finished, store);
     } else {
@@ -83,9 +84,9 @@
     }
 }
 
-/// Whether an answer can still close the message. A success also closes a message that was given up in the same round,
-/// if its status report has not been sent yet: the report is withdrawn here.
-fn can_still_close(
+/// Returns whether an endpoint's answer can still close the message. A success also closes a message that was given up
+/// in the same round, if its status report has not been sent yet: this withdraws the report.
+fn prepare_to_close(
     message: &StoredMessage,
     outcome: Outcome,
     status_reporter: &mut StatusReporter,
--- a/crates/sender/src/pipeline/dispatch.rs
+++ b/crates/sender/src/pipeline/dispatch.rs
@@ -26,7 +26,7 @@
     pub(super) address: Option<SocketAddr>,
     /// How long the endpoint may take to answer.
     pub(super) timeout: Millis,
-    /// The last instant at which the request may be sent.
+    /// The last instant at which the first byte of the request may be written.
     pub(super) latest_start: Millis,
 }
 
@@ -75,7 +75,8 @@
     egress.start(&request, address, now);
 }
 
-/// Adds an attempt to a message and returns its number. Until its request is sent, it counts as one that never ran.
+/// Adds an attempt to a message and returns its number. Until it is recorded in the log, it counts as one that never
+/// ran.
 fn add_attempt(message: &mut StoredMessage, now: Millis) -> u32 {
     let number = message.record.attempts.len() as u32;
     message.record.attempts.push(AttemptRecord {
--- a/crates/sender/src/pipeline/driver.rs
+++ b/crates/sender/src/pipeline/driver.rs
@@ -49,7 +49,7 @@
     pub(super) deferred_list: Option<DeferredList>,
     /// The Retry-After times that endpoints have requested.
     pub(super) retry_after_table: RetryAfterTable,
-    /// Counts the steps that would have broken a safety rule.
+    /// Counts the violations of the safety rules.
     pub(super) violations: ViolationCounter,
     pub(super) handle: EventLoopHandle,
     /// Buffers for the watch and the status reports. They have their own pool, so that attempts cannot exhaust it.
@@ -72,7 +72,7 @@
 }
 
 impl Driver {
-    /// Sets the connections on which operators are answered.
+    /// Sets the service for operators' connections. `None` if the configuration has no address for them.
     pub fn set_operators(&mut self, operators: Option<OperatorService>) {
         self.operators = operators;
     }
@@ -187,7 +187,7 @@
     }
 
     /// Decides on the messages of this round, latest deadline first: a flood of messages with no time left, which the
-    /// decision module ends in the same round, must not displace messages with the usual time.
+    /// decision module ends in the same round, must not displace messages with the usual time left.
     fn admit_messages(
         &mut self,
         mut messages: Vec<IncomingMessage>,
@@ -356,7 +356,7 @@
             || self.control_buffers.is_exhausted()
     }
 
-    /// When the next stage has a timer due.
+    /// When the next timer of any stage is due.
     fn next_deadline(&self) -> Millis {
         let deadlines = [
             self.egress.next_deadline(),
--- a/crates/sender/src/pipeline/endpoint_updates.rs
+++ b/crates/sender/src/pipeline/endpoint_updates.rs
@@ -17,8 +17,8 @@
         more
     }
 
-    /// Passes a change of the endpoint list to the decision module in the same round. Attempts that have not begun are
-    /// cancelled if their endpoints no longer take requests.
+    /// Passes a change of the endpoint list to the decision module in the same round, and cancels the unsent attempts
+    /// to endpoints that no longer take requests.
     pub(super) fn apply_endpoint_change(&mut self, change: EndpointListChange) {
         let now = self.clock.now();
         self.cancel_attempts_to_removed(&change, now);
@@ -42,8 +42,8 @@
         self.decision.events.extend(gossip);
     }
 
-    /// Cancels attempts that have not begun to endpoints that are no longer active. A complete list also removes the
-    /// endpoints that it does not contain.
+    /// Cancels the unsent attempts to endpoints that are no longer active. A complete list also removes the endpoints
+    /// that it does not contain.
     fn cancel_attempts_to_removed(&mut self, change: &EndpointListChange, now: Millis) {
         let is_listed = |endpoint: EndpointId, active: bool| {
             change.entries.iter().any(|entry| {
--- a/crates/sender/src/pipeline/known_list.rs
+++ b/crates/sender/src/pipeline/known_list.rs
@@ -2,7 +2,7 @@
 //!
 //! The list describes the endpoints as of the start of the process. They may begin to drain while the start is delayed,
 //! and requests to them must stop 1 s later. After a slow start, discovery is therefore asked first, and the list is
-//! used only if discovery does not answer for long: an old list is better than none.
+//! used only if discovery does not answer within [`DISCOVERY_TIMEOUT`]: an old list is better than none.
 
 use std::time::{Duration, Instant};
 
@@ -42,7 +42,8 @@
         });
     }
 
-    /// Uses the deferred list once discovery has not answered for [`DISCOVERY_TIMEOUT`].
+    /// Drops the deferred list once discovery has answered. Uses it if discovery has not done so within
+    /// [`DISCOVERY_TIMEOUT`].
     pub(super) fn apply_deferred_list(&mut self, now: Millis) {
         if self.directory.has_discovery_responded() {
             self.deferred_list = None;
@@ -52,7 +53,7 @@
         }
     }
 
-    /// When [`Driver::apply_deferred_list`] uses the deferred list, if there is one.
+    /// When [`Driver::apply_deferred_list`] will use the deferred list, if there is one.
     pub(super) fn deferred_list_deadline(&self) -> Option<Millis> {
         self.deferred_list.as_ref().map(|deferred| deferred.use_at)
     }
--- a/crates/sender/src/pipeline/message_store.rs
+++ b/crates/sender/src/pipeline/message_store.rs
@@ -1,7 +1,8 @@
 //! The messages that this process holds, with the write-ahead log and the counters that all stages of the pipeline
 //! share.
 //!
-//! A message is held from its record in the log until it is closed and none of its attempts is in flight.
+//! A message is held from its acceptance, or from its recovery from the log, until it is closed and none of its
+//! attempts is in flight.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
--- a/crates/sender/src/pipeline/operator_commands.rs
+++ b/crates/sender/src/pipeline/operator_commands.rs
@@ -59,8 +59,8 @@
         Ok("serving\n".into())
     }
 
-    /// Cordons or uncordons an endpoint. The change is on disk and in the decision module's events before the command is
-    /// answered.
+    /// Cordons or uncordons an endpoint. The change is on disk and in the decision module's events before the command
+    /// is answered.
     fn set_cordon(&mut self, endpoint: &str, cordoned: bool) -> Result<String, CommandRefusal> {
         let change = self.directory.set_cordon(endpoint, cordoned)?;
         let changed = change.is_some();
--- a/crates/sender/src/pipeline/process_state.rs
+++ b/crates/sender/src/pipeline/process_state.rs
@@ -84,7 +84,8 @@
     /// Decodes the state of a predecessor for a process of this configuration.
     ///
     /// # Errors
-    /// Returns an error if the state cannot be decoded, or belongs to a configuration with other names.
+    /// Returns an error if the state cannot be decoded, or belongs to a configuration with other zones, kinds or
+    /// classes.
     pub fn decode(bytes: &[u8], config: &Config) -> Result<ProcessState<Policy>, SenderError> {
         let state: ProcessState<Policy> =
             postcard::from_bytes(bytes).map_err(SenderError::DecodeState)?;
@@ -133,7 +134,7 @@
     }
 }
 
-/// How much state a process has, for the log lines of a replacement.
+/// The amount of state that a process has, for the log lines of a replacement.
 pub struct ProcessLoad {
     /// Number of client connections.
     pub client_connections: usize,
@@ -286,7 +287,7 @@
         Ok(())
     }
 
-    /// How much state this process has now.
+    /// The amount of state that this process has now.
     pub fn load(&self) -> ProcessLoad {
         ProcessLoad {
             client_connections: self.ingress.clients.len(),
--- a/crates/sender/src/pipeline/send_gate.rs
+++ b/crates/sender/src/pipeline/send_gate.rs
@@ -16,10 +16,10 @@
 use crate::egress::AttemptResult;
 use crate::safety::{self, RequestFacts, ViolationCounter};
 
-/// The decision module uses whole nanoseconds, the pipeline fractional milliseconds: representations of the same
-/// instant may differ by less than this.
+/// The decision module counts time in whole nanoseconds, the pipeline in fractional milliseconds: two representations
+/// of the same instant differ by less than this.
 const ROUNDING_TOLERANCE: Millis = 1.0;
-/// Number of routes with a Retry-After from which on expired ones are removed.
+/// Expired entries are removed from the table of Retry-Afters once it has this number of routes.
 const RETRY_AFTER_PRUNE_THRESHOLD: usize = 1_024;
 
 /// The target to which a Retry-After applies.
@@ -35,21 +35,21 @@
 #[derive(Default)]
 pub(super) struct RetryAfterTable {
     /// For each kind of endpoint, whether its endpoints each have their own limits.
-    per_endpoint: Vec<bool>,
+    limits_per_endpoint: Vec<bool>,
     until_by_route: HashMap<Route, Millis>,
 }
 
 impl RetryAfterTable {
-    /// An empty table. `per_endpoint` states for each kind whether its endpoints each have their own limits.
-    pub(super) fn new(per_endpoint: Vec<bool>) -> RetryAfterTable {
+    /// An empty table. `limits_per_endpoint` states for each kind whether its endpoints each have their own limits.
+    pub(super) fn new(limits_per_endpoint: Vec<bool>) -> RetryAfterTable {
         RetryAfterTable {
-            per_endpoint,
+            limits_per_endpoint,
             until_by_route: HashMap::new(),
         }
     }
 
     fn route(&self, destination: u64, endpoint: EndpointId, kind: usize) -> Route {
-        if self.per_endpoint.get(kind).copied().unwrap_or(false) {
+        if self.limits_per_endpoint.get(kind).copied().unwrap_or(false) {
             Route::Endpoint(endpoint)
         } else {
             Route::Destination(destination)
--- a/crates/sender/src/pipeline/shutdown.rs
+++ b/crates/sender/src/pipeline/shutdown.rs
@@ -1,8 +1,8 @@
 //! Graceful shutdown.
 //!
-//! SIGKILL follows SIGTERM after 3.7 s at the earliest. Until then, the steps are, in this order: messages are still
-//! accepted; the listener and idle connections are closed; no attempt begins that cannot end in time; open messages are
-//! left to the next process; clients without an answer are rejected; the process exits.
+//! SIGKILL follows SIGTERM after 3.7 s at the earliest. Until then, in this order: messages are still accepted; the
+//! listener and idle connections are closed; no attempt begins that cannot end in time; open messages are left to the
+//! next process; clients without an answer are rejected; the process exits.
 
 use martenlatch_clock::{Millis, nanos};
 use martenlatch_policy::interface::Event;
@@ -14,7 +14,8 @@
 /// How long after SIGTERM messages are still accepted: clients learn only from their connections that this sender is
 /// shutting down.
 pub(super) const ACCEPT_UNTIL: Millis = 600.0;
-/// When all attempts must have ended, after SIGTERM. This leaves 400 ms for the steps below.
+/// When all attempts must have ended, after SIGTERM like the following instants. This leaves 400 ms for the steps
+/// below.
 pub(super) const ATTEMPTS_DEADLINE: Millis = 3_300.0;
 /// When the process stops waiting for open messages and unconfirmed reports. The results of the last attempts have been
 /// read and recorded by then.
