--- a/crates/sender/src/pipeline/ingress/accept.rs
+++ b/crates/sender/src/pipeline/ingress/accept.rs
@@ -13,7 +13,7 @@
 
 /// The largest number of connections accepted in one round, so that a burst does not stall the loop.
 const MAX_ACCEPTS_PER_ROUND: usize = 64;
-/// How long accepting pauses when the process is out of descriptors.
+/// How long accepting pauses after an error, such as a shortage of descriptors.
 const ACCEPT_PAUSE: Millis = 50.0;
 
 impl Ingress {
@@ -63,8 +63,8 @@
                     self.accepted_ready.push(source);
                 }
             }
-            // Nothing has been read from the client. It sees a reset or the end of a connection on which nothing was
-            // processed.
+            // Nothing has been read from the client. It sees a reset or the end of the connection, and knows that
+            // nothing was processed.
             Err(error) => {
                 warn!(error = ?error.kind(), "client connection not registered with the event loop")
             }
--- a/crates/sender/src/pipeline/ingress/answers.rs
+++ b/crates/sender/src/pipeline/ingress/answers.rs
@@ -12,11 +12,13 @@
 const STATUS_FAILED: u16 = 500;
 const STATUS_UNAVAILABLE: u16 = 503;
 
-/// The shortest Retry-After of a rejection. The sender cannot predict when it will accept messages again.
+/// The shortest Retry-After of a rejection: the sender cannot predict when it will accept messages again.
 const MIN_RETRY_AFTER: Millis = 1_000.0;
-/// The longest Retry-After up to which clients that were rejected together are spread.
+/// The longest Retry-After of a rejection: clients that were rejected together are spread between the shortest and the
+/// longest.
 const MAX_RETRY_AFTER: Millis = MIN_RETRY_AFTER * 1.5;
-/// If clients follow only a shorter Retry-After, the fraction of it from which on they are spread.
+/// If clients follow only shorter Retry-Afters, the shortest one of a rejection as a fraction of the longest one that
+/// they follow.
 const SHORT_RETRY_AFTER_FRACTION: f64 = 0.75;
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
 
@@ -113,7 +115,7 @@
         self.class_of(path)
     }
 
-    /// Rejects every client whose request has begun, before the process exits: the last byte of such a request may be
+    /// Rejects every client whose request is incomplete, before the process exits: the last byte of the request may be
     /// in transit, and the client must get an answer.
     pub(in crate::pipeline) fn reject_partial_requests(&mut self, now: Millis) {
         let begun: Vec<usize> = self
--- a/crates/sender/src/pipeline/ingress/client.rs
+++ b/crates/sender/src/pipeline/ingress/client.rs
@@ -19,9 +19,10 @@
     pub(in crate::pipeline) sent_continue: bool,
     /// It has sent a message or a health check on this connection.
     pub(in crate::pipeline) has_sent_request: bool,
-    /// When its current phase began: the connection, its request, the idle time after an answer, or the closing.
+    /// When its current phase began: when it connected, when its current request began, when its last request was
+    /// complete, or when an answer that asked it to close the connection was queued.
     pub(in crate::pipeline) phase_started: Millis,
-    /// Its last answer has been queued, and it may still be reading it. Nothing more is read from it.
+    /// Its last answer has been queued, and the client may still be reading it. Nothing more is read from the client.
     pub(in crate::pipeline) closing: bool,
     /// How often the sending side was shut down after the last answer: 0 or 1. It is a number because an earlier
     /// version passed a number to its successor here.
@@ -89,8 +90,8 @@
         self.awaiting_answer || !self.connection.is_flushed() || (self.has_input() && !self.closing)
     }
 
-    /// Whether no answer can reach the client any more: it has reset the connection, or has closed its sending side
-    /// without an answer pending.
+    /// Whether the client expects no answer any more: it has reset the connection, or has closed its sending side after
+    /// all its complete requests were answered.
     pub(in crate::pipeline) fn has_left(&self) -> bool {
         let answered = !self.awaiting_answer && self.connection.is_flushed();
         self.connection.broken || (self.connection.eof && answered)
@@ -99,7 +100,7 @@
     /// Writes an answer.
     ///
     /// A client that has closed its sending side may have left. In that case it resets the connection in reply to the
-    /// first byte, which is therefore written separately. A reset after the whole answer would not show whether the
+    /// first byte, which is therefore written separately: a reset after the whole answer would not show whether the
     /// client has read it.
     ///
     /// # Errors
--- a/crates/sender/src/pipeline/ingress/eviction.rs
+++ b/crates/sender/src/pipeline/ingress/eviction.rs
@@ -75,9 +75,9 @@
         order
     }
 
-    /// Closes one client's connection to make room, in the order of [`EvictionRank`]: a crowd of silent clients, which
-    /// have connected more recently than the usual ones, must not displace these. If every client has begun a request,
-    /// the one that has taken the longest is rejected.
+    /// Closes one client's connection to make room, in the order of [`EvictionRank`]: a crowd of silent clients must
+    /// not displace the usual ones, although these connected earlier. If every client has begun a request, the one that
+    /// has taken the longest is rejected.
     ///
     /// With `spare_descriptors`, clients that are reading their last answer may finish, unless there are too many of
     /// them.
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Closes the first connection without a request. One whose request has arrived but was not read is kept, as
-    /// closing it would lose a message. Returns false if no connection could be closed.
+    /// Closes the first connection without a request. One whose request has arrived but has not been read yet is kept,
+    /// as closing it would lose a message. Returns false if no connection could be closed.
     fn evict_without_request(&mut self, order: &[EvictionCandidate]) -> bool {
         for candidate in order {
             if self.close_if_idle(candidate.client, CloseReason::Evicted) {
@@ -136,8 +136,8 @@
         idle
     }
 
-    /// Closes connections without a request until at most `limit` are left. Returns the number that are left. A client
-    /// whose request is in transit meanwhile sends it again.
+    /// Closes connections without a request until at most `limit` connections are left. Returns how many are left. A
+    /// client whose request is in transit meanwhile sends it again.
     pub(in crate::pipeline) fn close_idle_connections(
         &mut self,
         limit: usize,
--- a/crates/sender/src/pipeline/ingress/mod.rs
+++ b/crates/sender/src/pipeline/ingress/mod.rs
@@ -48,7 +48,7 @@
     /// How long a client may take for a request, and how long it may be idle between two requests. For the first
     /// request, the time counts from the connection.
     pub(super) timeouts: ClientTimeouts,
-    /// The longest Retry-After that clients follow, or `None` if they follow none.
+    /// The longest Retry-After that clients follow. `None` if they follow none.
     pub(super) max_retry_after: Option<Millis>,
 }
 
@@ -63,16 +63,17 @@
     pub(super) limits: ClientLimits,
     classes: Vec<IngressClass>,
     next_sweep: Millis,
-    /// When to accept again after running out of descriptors.
+    /// When to accept again after an error, such as a shortage of descriptors.
     pub(super) accept_retry_at: Option<Millis>,
     /// The bytes and connections that the event loop has reported for this round arrived after this instant.
     pub(super) readable_since: Millis,
     /// Connections may have been waiting to be accepted since this instant. `None` if all of them were accepted.
     waiting_since: Option<Millis>,
-    /// Clients that have just been accepted and must be processed in this round, mostly because bytes have arrived.
+    /// Clients that have just been accepted and must be processed in this round: bytes have arrived from them, or they
+    /// have left.
     accepted_ready: Vec<EventSource>,
-    /// The process is shutting down: each answer asks the client to close the connection. Further requests that arrive
-    /// before it does are still answered.
+    /// The process is shutting down: each answer asks the client to close the connection. Requests that still arrive
+    /// before the client has done so are answered.
     pub(super) shutting_down: bool,
     /// The classes of the requests that were rejected before they were complete and have not been counted yet.
     pub(super) rejected_partial: Vec<usize>,
--- a/crates/sender/src/pipeline/ingress/receive.rs
+++ b/crates/sender/src/pipeline/ingress/receive.rs
@@ -144,9 +144,9 @@
         self.answer(index, error.status(), error.headers(), now);
     }
 
-    /// Converts an HTTP request. Clients send one request at a time, so further bytes after it either belong to it, and
-    /// its length is wrong, or are a flood. Accepting it would truncate its body, or process a request hidden in the
-    /// body.
+    /// Converts an HTTP request that no further bytes follow. Clients send one request at a time, so further bytes are
+    /// either the rest of a request whose stated length is wrong, or a flood. Accepting such a request would truncate
+    /// its body, or process a request hidden in the body.
     fn parse(
         &self,
         request: &http::Request,
--- a/crates/sender/src/pipeline/ingress/request.rs
+++ b/crates/sender/src/pipeline/ingress/request.rs
@@ -14,7 +14,7 @@
 /// The longest timeout that a client may give a message, in seconds.
 const MAX_TIMEOUT_SECONDS: f64 = 86_400.0;
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
-/// How long a client waits for its answer. A request that has waited longer has been abandoned by its client.
+/// How long a client waits for its answer. A request that has waited longer counts as abandoned by its client.
 const CLIENT_PATIENCE: Millis = 400.0;
 
 /// A message that a client has sent.
@@ -108,8 +108,8 @@
         }))
     }
 
-    /// The earliest instant at which the request of a client may have arrived. The message's timeout counts from there:
-    /// if it counted from the read, its status report would be too late after a delay of the process.
+    /// The earliest instant at which the request of a client may have arrived. The message's timeout counts from then:
+    /// if it counted from the read, the status report would be too late after a delay of the process.
     fn earliest_arrival(&self, client: usize, now: Millis) -> Millis {
         self.clients[client]
             .input_since
--- a/crates/sender/src/pipeline/ingress/sweep.rs
+++ b/crates/sender/src/pipeline/ingress/sweep.rs
@@ -1,4 +1,4 @@
-//! Closes the connections of clients that have exceeded their time, and those of all clients at shutdown.
+//! Closes the connections of clients that have exceeded their time and, at shutdown, those without a request.
 
 use martenlatch_clock::Millis;
 use martenlatch_settings::program::ClientTimeouts;
--- a/crates/sender/src/pipeline/status_reports/mod.rs
+++ b/crates/sender/src/pipeline/status_reports/mod.rs
@@ -27,7 +27,7 @@
 const NEW_CONNECTION_DELAY: Millis = 10.0;
 /// The largest number of reports in one batch.
 const MAX_BATCH: usize = 32;
-/// How often a report is checked whose final status has not been recorded in the log yet.
+/// The time between two checks whether a final status has been recorded in the log, while its report waits for that.
 const RECORD_CHECK_INTERVAL: Millis = 50.0;
 
 /// Sends status reports. Messages are identified by their numbers.
@@ -179,8 +179,8 @@
         Some(FreeConnection::ToBeOpened)
     }
 
-    /// Sends a batch of the reports that are due, urgent ones first. Returns false if no report is due or the batch
-    /// could not be sent.
+    /// Sends a batch of the reports that are due, urgent ones first. Returns false if no report is due, the batch could
+    /// not be sent, or it is not urgent and all connections are in use.
     fn send_batch(
         &mut self,
         connection: FreeConnection,
@@ -257,7 +257,8 @@
         }
     }
 
-    /// Opens a new connection. If there are too many, the one whose batch has waited the longest is closed.
+    /// Opens a new connection. If there are already [`MAX_REPORT_CONNECTIONS`], the one whose batch has waited the
+    /// longest is closed.
     fn open_connection(&mut self) -> Option<ReportConnection> {
         if self.connections.len() >= MAX_REPORT_CONNECTIONS {
             let oldest = (0..self.connections.len()).min_by(|a, b| {
--- a/crates/sender/src/pipeline/status_reports/timing.rs
+++ b/crates/sender/src/pipeline/status_reports/timing.rs
@@ -14,7 +14,8 @@
 
 /// How long the platform may take to confirm a report that is not urgent.
 pub(super) const CONFIRMATION_TIMEOUT: Millis = 1_000.0;
-/// How long it may take to confirm an urgent report that was sent once. Doubles with each time that it is sent again.
+/// How long the platform may take to confirm an urgent report that was sent once. Doubles each time the report is sent
+/// again.
 const URGENT_CONFIRMATION_TIMEOUT: Millis = 40.0;
 
 /// The backoff after the first failure. Doubles with each further failure in a row, up to [`MAX_BACKOFF`].
@@ -22,10 +23,10 @@
 const MAX_BACKOFF: Millis = 1_000.0;
 /// The backoff of an urgent report.
 const URGENT_BACKOFF: Millis = 20.0;
-/// The longest backoff of an urgent report from [`MANY_FAILURES`] on: the platform is down, and all senders together
-/// must not flood it.
+/// The longest backoff of an urgent report after [`MANY_FAILURES`]: the platform is down, and all senders together must
+/// not flood it.
 const LONG_URGENT_BACKOFF: Millis = 100.0;
-/// Failures in a row from which on an urgent report backs off for longer.
+/// The number of failures in a row after which an urgent report backs off for longer.
 const MANY_FAILURES: u32 = 10;
 
 /// The state of one report that determines when it is sent.
@@ -35,7 +36,7 @@
     pub(super) deadline: Millis,
     /// When it was last sent, or `None` if it is on no connection.
     pub(super) sent_at: Option<Millis>,
-    /// How often it was sent again because the send before it was not answered.
+    /// How often it was sent again because the platform had not answered the previous send.
     pub(super) unanswered_sends: u32,
     /// Whether it was ever sent.
     pub(super) was_sent: bool,
