--- a/crates/sender/src/class_rules.rs
+++ b/crates/sender/src/class_rules.rs
@@ -1,6 +1,6 @@
-//! The rules of message classes: the classes of the current settings, followed by classes of earlier settings under
-//! which a message was accepted that this sender still has. A message keeps the rules under which it was accepted, even
-//! if the current settings give a class of the same name other rules.
+//! The rules of message classes: those of the current settings, followed by those of earlier settings under which
+//! messages were accepted that are still held. A message keeps the rules under which it was accepted, even if the
+//! current settings give a class of the same name other rules.
 
 use std::rc::Rc;
 
@@ -37,7 +37,7 @@
 pub struct ClassRules(Vec<ClassEntry>);
 
 impl ClassRules {
-    /// The classes of the current settings only.
+    /// Creates the rules from the classes of the current settings.
     pub fn new(names: &[String], classes: &[MessageClass]) -> ClassRules {
         let named = names.iter().zip(classes);
         ClassRules(
@@ -62,8 +62,8 @@
         Some(predecessor)
     }
 
-    /// Adds the class of a recovered message here and to `settings`, unless these classes already contain it. A message
-    /// that was recorded without rules follows the class of its class name.
+    /// Adds the class of a recovered message here and to `settings`, unless it is already here or the settings would
+    /// become invalid. A message that was recorded without rules follows the first class of the same name.
     pub fn add_recovered(
         &mut self,
         name: &Rc<str>,
--- a/crates/sender/src/cordons.rs
+++ b/crates/sender/src/cordons.rs
@@ -20,8 +20,8 @@
 const DISK_SHARE: f64 = 0.06;
 /// While the file is replaced, its old and its new version are both on disk.
 const FILE_VERSIONS: f64 = 2.0;
-/// Maximum length in bytes of the name of an endpoint to be cordoned: an operator's line that contains it may not be
-/// much longer.
+/// Maximum length in bytes of the name of an endpoint to be cordoned: the operator's line that contains the name may
+/// not be much longer.
 pub const MAX_NAME_BYTES: usize = 256;
 
 /// Why an endpoint could not be cordoned or uncordoned. The operator receives the text.
--- a/crates/sender/src/counters.rs
+++ b/crates/sender/src/counters.rs
@@ -38,7 +38,7 @@
     duplicates,
     /// Requests answered 503.
     rejected,
-    /// Requests answered with another error status.
+    /// Requests answered with another error status: invalid ones, and those for an unknown destination.
     bad_requests,
     /// Clients that disconnected before their answer.
     clients_left,
@@ -48,7 +48,7 @@
     success,
     /// Attempts that ended with a failure reported by the endpoint.
     failure,
-    /// Attempts that ended with an overloaded response.
+    /// Attempts that the endpoint rejected because it was overloaded.
     overloaded,
     /// Attempts that timed out.
     timed_out,
@@ -64,9 +64,10 @@
     not_sent,
     /// Messages that ended because an endpoint answered 410.
     gone,
-    /// Messages that the sender had to end after their deadline.
+    /// Messages that were still open well after their deadline and had to be ended by the driver.
     ended_late,
-    /// Successes that arrived at or after the deadline of their message, so that the message was reported, too.
+    /// Successes that arrived just before the deadline of their message or after it, so that the message was reported,
+    /// too.
     late_successes,
     /// Rounds of the event loop.
     rounds,
--- a/crates/sender/src/error.rs
+++ b/crates/sender/src/error.rs
@@ -56,7 +56,7 @@
     #[error("the state from the predecessor cannot be decoded: {0}")]
     DecodeState(postcard::Error),
     /// This process's state cannot be encoded for its successor.
-    #[error("{0}")]
+    #[error("the state cannot be encoded: {0}")]
     EncodeState(postcard::Error),
     /// The predecessor's state was decoded, but its sockets or its log cannot be used.
     #[error("the state from the predecessor cannot be restored: {0}")]
--- a/crates/sender/src/operator.rs
+++ b/crates/sender/src/operator.rs
@@ -212,8 +212,8 @@
 
     /// Handles a ready socket, and rejects every valid command for the given reason. Returns whether the socket belongs
     /// to this service.
-    pub fn reject_commands(&mut self, key: EventSource, reason: &str, now: Millis) -> bool {
-        match key {
+    pub fn reject_commands(&mut self, source: EventSource, reason: &str, now: Millis) -> bool {
+        match source {
             EventSource::OperatorListener => {
                 if self.accept(now) {
                     self.accept_at = Some(now);
--- a/crates/sender/src/process_replacement/candidate.rs
+++ b/crates/sender/src/process_replacement/candidate.rs
@@ -20,9 +20,10 @@
 /// Maximum time in milliseconds to receive the state: a little longer than the serving process may take to send it.
 const RECEIVE_TIMEOUT: Millis = 900.0;
 
-/// The lock of the process that serves.
+/// The file name of the lock of the process that serves. A starting process first tries this lock in `startup`, which
+/// must use the same name.
 const SERVING_LOCK: &str = "lock";
-/// The lock of the process that will serve next.
+/// The file name of the lock of the process that will serve next.
 const SUCCESSOR_LOCK: &str = "successor";
 
 /// Why a process cannot be a candidate.
--- a/crates/sender/src/process_replacement/listener.rs
+++ b/crates/sender/src/process_replacement/listener.rs
@@ -72,9 +72,9 @@
         }
     }
 
-    /// Handles a ready socket. Returns whether the key belongs to one of this listener's sockets.
-    pub fn ready(&mut self, key: EventSource) -> bool {
-        match key {
+    /// Handles a ready socket. Returns whether it is one of this listener's sockets.
+    pub fn on_ready(&mut self, source: EventSource) -> bool {
+        match source {
             EventSource::SuccessorListener => self.accept_successors(),
             EventSource::Successor => self.read_request(),
             _ => return false,
--- a/crates/sender/src/safety.rs
+++ b/crates/sender/src/safety.rs
@@ -32,7 +32,7 @@
     /// A request to an endpoint that is draining, removed or cordoned.
     #[error("request to an endpoint that takes nothing new")]
     SentToDrainingEndpoint,
-    /// A request to a destination whose Retry-After has not passed yet.
+    /// A request on a route whose Retry-After has not passed yet.
     #[error("request before the Retry-After is over")]
     SentBeforeRetryAfter,
     /// A client's connection was closed before a request that had been read from it was answered.
@@ -45,7 +45,7 @@
 pub struct RequestFacts {
     /// The message is neither delivered nor given up.
     pub message_open: bool,
-    /// The instant at which the message is given up.
+    /// When the message is given up. It must not be sent after this instant.
     pub deadline: Millis,
     /// The message must not run twice.
     pub non_idempotent: bool,
@@ -99,7 +99,8 @@
 pub struct CloseFacts {
     /// A request has been read, completely or in part, and its answer has not been written.
     pub answer_pending: bool,
-    /// The client has reset the connection, or closed its side before its request was complete.
+    /// The client has reset the connection, or has closed its sending side after all its complete requests were
+    /// answered.
     pub client_left: bool,
 }
 
--- a/crates/sender/src/serve.rs
+++ b/crates/sender/src/serve.rs
@@ -83,7 +83,7 @@
             handle_signal(signal, &mut driver);
         }
         let mut sources = std::mem::take(&mut ready.keys);
-        sources.retain(|source| !replacement.ready(*source));
+        sources.retain(|source| !replacement.on_ready(*source));
         if !driver.round(sources) {
             replacement.close();
             return Ok(driver);
--- a/crates/sender/src/startup.rs
+++ b/crates/sender/src/startup.rs
@@ -70,7 +70,7 @@
 
 /// The result of acquiring the lock on the state folder.
 enum FolderLock {
-    /// This process may serve; without a lock if none can be created in the folder.
+    /// This process may serve. `None` if no lock can be created in the folder.
     Acquired(Option<Lock>),
     /// Another process has the lock.
     HeldByAnother,
@@ -156,7 +156,7 @@
 
     fn open_peers(&self, settings: &PeerSettings) -> Result<PeerService, SenderError> {
         let config = &self.config;
-        let per_endpoint = config
+        let limits_per_endpoint = config
             .platform_settings
             .settings
             .kinds
@@ -167,7 +167,7 @@
             settings,
             &config.name,
             &config.state_folder,
-            per_endpoint,
+            limits_per_endpoint,
             config.seed,
             &self.events.handle(),
             self.clock.now(),
