--- a/crates/sender/src/pipeline/process_state.rs
+++ b/crates/sender/src/pipeline/process_state.rs
@@ -145,7 +145,7 @@
 }
 
 impl Driver {
-    /// Whether the state can be captured now, because the decision module has processed all events and results.
+    /// Whether the state can be captured now: the decision module has processed all events and results.
     pub fn is_quiescent(&self) -> bool {
         self.decision.events.is_empty() && self.egress.results.is_empty()
     }
--- a/crates/sender/src/pipeline/shutdown.rs
+++ b/crates/sender/src/pipeline/shutdown.rs
@@ -14,8 +14,8 @@
 /// How long after SIGTERM messages are still accepted: clients learn only from their connections that this sender is
 /// shutting down.
 pub(super) const ACCEPT_UNTIL: Millis = 600.0;
-/// When all attempts must have ended, after SIGTERM like the following instants. This leaves 400 ms for the steps
-/// below.
+/// When all attempts must have ended, counted from SIGTERM like the instants below. This leaves 400 ms for the steps
+/// that follow.
 pub(super) const ATTEMPTS_DEADLINE: Millis = 3_300.0;
 /// When the process stops waiting for open messages and unconfirmed reports. The results of the last attempts have been
 /// read and recorded by then.
