--- a/crates/sender/src/pipeline/builder.rs
+++ b/crates/sender/src/pipeline/builder.rs
@@ -28,7 +28,7 @@
 use crate::discovery::EndpointDirectory;
 use crate::egress::Egress;
 use crate::error::SenderError;
-use crate::event_source::{Handle, InheritedDescriptors};
+use crate::event_source::{EventLoopHandle, InheritedDescriptors};
 use crate::jitter::Jitter;
 use crate::log_recovery;
 use crate::operator;
@@ -55,7 +55,7 @@
 pub enum StartMode {
     /// A start from the write-ahead log, which has the messages that earlier processes left open.
     Fresh {
-        /// The listener for clients, opened by this process.
+        /// The listener for clients, which this process has opened.
         listener: TcpListener,
         /// When the process started.
         process_started: Instant,
@@ -156,7 +156,7 @@
         })
     }
 
-    /// The parts of a takeover. The predecessor may still continue until this process has committed to take over.
+    /// The parts of a takeover. Until this process has committed the takeover, the predecessor may continue to serve.
     fn takeover(
         config: &Config,
         state: ProcessState<Policy>,
@@ -207,7 +207,7 @@
         config: Config,
         start: StartMode,
         peers: Option<PeerService>,
-        handle: &Handle,
+        handle: &EventLoopHandle,
         clock: Clock,
     ) -> Result<Driver, SenderError> {
         let process_started = match &start {
@@ -240,7 +240,7 @@
         config: &Config,
         parts: DriverParts,
         peers: Option<PeerService>,
-        handle: &Handle,
+        handle: &EventLoopHandle,
         clock: Clock,
     ) -> Result<Driver, SenderError> {
         let settings = &parts.settings;
@@ -296,7 +296,7 @@
         })
     }
 
-    /// Adds the messages that the log has of earlier processes to the store. Returns the events for the decision
+    /// Adds to the store the messages that earlier processes left in the log. Returns the events for the decision
     /// module.
     fn resume(&mut self, recovered: BTreeMap<u64, MessageRecord>) -> Vec<Event> {
         let mut events = Vec::new();
@@ -350,7 +350,7 @@
 
 fn build_status_reporter(
     config: &Config,
-    handle: &Handle,
+    handle: &EventLoopHandle,
     buffers: &BufferPool,
     jitter: &Jitter,
     started: Millis,
@@ -372,7 +372,11 @@
     }
 }
 
-fn build_egress(settings: &Settings, capacity: &ConnectionCapacity, handle: &Handle) -> Egress {
+fn build_egress(
+    settings: &Settings,
+    capacity: &ConnectionCapacity,
+    handle: &EventLoopHandle,
+) -> Egress {
     Egress::new(
         handle,
         &BufferPool::new(capacity.endpoint_buffers),
--- a/crates/sender/src/process_replacement/candidate.rs
+++ b/crates/sender/src/process_replacement/candidate.rs
@@ -11,7 +11,7 @@
 
 use super::socket_path;
 use crate::Config;
-use crate::event_source::{EventSource, Handle};
+use crate::event_source::{EventLoopHandle, EventSource};
 
 /// Milliseconds between two tries to acquire the lock.
 pub const POLL_INTERVAL: Millis = 20.0;
@@ -20,9 +20,10 @@
 /// Maximum time in milliseconds to receive the state: a little longer than the serving process may take to send it.
 const RECEIVE_TIMEOUT: Millis = 900.0;
 
-/// The lock of the process that serves.
+/// The file name of the lock of the process that serves. A starting process first tries this lock in `startup`, which
+/// must use the same name.
 const SERVING_LOCK: &str = "lock";
-/// The lock of the process that will serve next.
+/// The file name of the lock of the process that will serve next.
 const SUCCESSOR_LOCK: &str = "successor";
 
 /// Why a process cannot be a candidate.
@@ -47,7 +48,7 @@
 
 /// A process that waits to replace the one that serves.
 pub struct ReplacementCandidate {
-    handle: Handle,
+    handle: EventLoopHandle,
     state_folder: PathBuf,
     request: TakeoverRequest,
     /// Held while this process waits, so that there is only one candidate. `None` if the folder accepts no file.
@@ -63,7 +64,10 @@
     ///
     /// # Errors
     /// If another process is already the candidate.
-    pub fn open(config: &Config, handle: &Handle) -> Result<ReplacementCandidate, CandidateError> {
+    pub fn open(
+        config: &Config,
+        handle: &EventLoopHandle,
+    ) -> Result<ReplacementCandidate, CandidateError> {
         let successor_lock = match Lock::try_acquire(&config.state_folder, SUCCESSOR_LOCK) {
             Ok(None) => return Err(CandidateError::AnotherCandidate),
             Ok(Some(lock)) => Some(lock),
