--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -104,7 +104,7 @@
         let class = self.class_of(&self.message(origin).planned);
         if class.effect == Effect::Keyed {
             let message = &mut self.messages[origin as usize];
-            message.key_valid_until = message.key_valid_until.min(sent + class.window);
+            message.key_valid_until = message.key_valid_until.min(sent + class.idempotency_window);
         }
     }
 
--- a/crates/lab/src/experiment/failure_reader.rs
+++ b/crates/lab/src/experiment/failure_reader.rs
@@ -6,7 +6,7 @@
 
 use super::rules::{self, NumberRule, number};
 use super::section::{Section, Text};
-use super::{Failure, What, World};
+use super::{Failure, FailureKind, World};
 use crate::sampling::Span;
 
 /// Milliseconds of a second.
@@ -47,24 +47,26 @@
         }
     }
 
-    fn of(what: What) -> UsedFields {
-        match what {
-            What::Pauses => UsedFields {
+    fn of(kind: FailureKind) -> UsedFields {
+        match kind {
+            FailureKind::Pauses => UsedFields {
                 every: Some(2.3),
                 ..UsedFields::size(300.0, 1.0, 60_000.0)
             },
-            What::Burst => UsedFields::size(2.0, 0.0, 1_000.0),
-            What::HeavyTail => UsedFields {
+            FailureKind::Burst => UsedFields::size(2.0, 0.0, 1_000.0),
+            FailureKind::HeavyTail => UsedFields {
                 part: Some(0.02),
                 ..UsedFields::size(10.0, 1.0, 1_000.0)
             },
-            What::Slow => UsedFields::size(2.0, 1.0, 1_000.0),
-            What::ResetBefore | What::ResetAfter | What::Spoilt => UsedFields::part(0.1),
-            What::SilentClose => UsedFields::size(1_000.0, 1.0, 3.6e6),
-            What::DiscoveryLate => UsedFields::size(3.0, 1.0, 1_000.0),
-            What::Replace => UsedFields::every(2.0),
-            What::Sigterm | What::Sigkill => UsedFields::size(600.0, 1.0, 600_000.0),
-            What::Tight => UsedFields::size(0.5, 0.01, 100.0),
+            FailureKind::Slow => UsedFields::size(2.0, 1.0, 1_000.0),
+            FailureKind::ResetBefore | FailureKind::ResetAfter | FailureKind::Spoilt => {
+                UsedFields::part(0.1)
+            }
+            FailureKind::SilentClose => UsedFields::size(1_000.0, 1.0, 3.6e6),
+            FailureKind::DiscoveryLate => UsedFields::size(3.0, 1.0, 1_000.0),
+            FailureKind::Replace => UsedFields::every(2.0),
+            FailureKind::Sigterm | FailureKind::Sigkill => UsedFields::size(600.0, 1.0, 600_000.0),
+            FailureKind::Tight => UsedFields::size(0.5, 0.01, 100.0),
             _ => UsedFields::default(),
         }
     }
@@ -94,8 +96,8 @@
 ) -> Result<Failure, FieldError> {
     use rules::failure as rule;
     let at = Section::new(text, format!("failure[{number}]"));
-    let what = given.what();
-    let used = UsedFields::of(what);
+    let kind = given.what();
+    let used = UsedFields::of(kind);
     check_used(&at, given, &used)?;
     let start = at.checked("start_s", given.start_s, Span::new(0.0, seconds))?;
     let length = at.checked("length_s", given.length_s, rule::LENGTH_S)?;
@@ -110,33 +112,33 @@
     let share = given.part.or(used.part).unwrap_or(rule::NO_PART);
     let every = given.every_s.or(used.every).unwrap_or(rule::NO_EVERY_S);
     Ok(Failure {
-        what,
+        kind,
         start: start * SECOND,
         end: (start + length) * SECOND,
         size: at.number("size", given.size, used.size.unwrap_or(rule::NO_SIZE))?,
         share: at.checked("part", share, rules::SHARE)?,
-        every: at.checked("every_s", every, rule::EVERY_S)? * SECOND,
+        repeat_interval: at.checked("every_s", every, rule::EVERY_S)? * SECOND,
         partner_ranks: given.partner.clone(),
         traffic_share,
         sender,
-        reuse: given.reuse,
+        reuse_address: given.reuse,
     })
 }
 
 /// Checks that a failure is named, and that no field is given that it does not use.
 fn check_used(at: &Section, given: &schema::Failure, used: &UsedFields) -> Result<(), FieldError> {
-    let what = given.what();
-    if what == What::Nothing {
+    let kind = given.what();
+    if kind == FailureKind::Nothing {
         return Err(at.fault("what", "a failure is wanted"));
     }
     let check = |field: &str, is_given: bool, is_used: bool| {
         if is_given && !is_used {
-            let reason = format!("{} does not use it", what.as_str_name());
+            let reason = format!("{} does not use it", kind.as_str_name());
             return Err(at.fault(field, reason));
         }
         Ok(())
     };
-    check("reuse", given.reuse, what == What::Replace)?;
+    check("reuse", given.reuse, kind == FailureKind::Replace)?;
     check("size", given.size.is_some(), used.size.is_some())?;
     check("part", given.part.is_some(), used.part.is_some())?;
     check("every_s", given.every_s.is_some(), used.every.is_some())
--- a/crates/lab/src/experiment/mod.rs
+++ b/crates/lab/src/experiment/mod.rs
@@ -19,8 +19,8 @@
 
 pub use crate::sampling::Span;
 pub use schema::class::Effect;
-pub use schema::failure::What;
-pub use schema::kind::Limit;
+pub use schema::failure::What as FailureKind;
+pub use schema::kind::Limit as RateLimitKind;
 
 /// The name of an experiment whose file has none.
 const NAMELESS: &str = "experiment";
@@ -64,9 +64,9 @@
     /// One-way latency between two machines, in milliseconds.
     pub latency: Span,
     /// Partners close connections that have been idle for so long.
-    pub idle: Millis,
+    pub idle_timeout: Millis,
     /// Connections that an endpoint takes.
-    pub connections: u32,
+    pub connections_per_endpoint: u32,
     /// Lateness of the endpoint list, in milliseconds.
     pub list_lateness: Span,
     /// The kinds of partner.
@@ -85,13 +85,13 @@
     /// How strongly it leans to the partners with the most traffic.
     pub traffic_lean: f64,
     /// The form of its rate limit.
-    pub limit: Limit,
+    pub rate_limit: RateLimitKind,
     /// Its limit is so many times its rate at full load ...
     pub headroom: Span,
     /// ... and at least so many calls a second.
     pub least_rate: Span,
     /// Length of the window of its limit.
-    pub window: Millis,
+    pub limit_window: Millis,
     /// Rejected calls count against the limit too.
     pub rejections_count: bool,
     /// Share of the rejections that give a Retry-After.
@@ -107,7 +107,7 @@
     /// How long it takes to warm up.
     pub warm_up: Millis,
     /// Share of the calls that fail.
-    pub errors: f64,
+    pub error_share: f64,
 }
 
 /// A class of message.
@@ -124,7 +124,7 @@
     /// Whether a message may be repeated.
     pub effect: Effect,
     /// How long partners remember an idempotency key.
-    pub window: Millis,
+    pub idempotency_window: Millis,
     /// The latency objective.
     pub latency_objective: Millis,
     /// Time until a message is late for good.
@@ -168,7 +168,7 @@
 #[derive(Clone, Debug)]
 pub struct Failure {
     /// What.
-    pub what: What,
+    pub kind: FailureKind,
     /// When it begins, from the start of the run.
     pub start: Millis,
     /// When it ends, from the start of the run.
@@ -178,7 +178,7 @@
     /// The share that is hit.
     pub share: f64,
     /// Time between two repetitions.
-    pub every: Millis,
+    pub repeat_interval: Millis,
     /// The partners that are hit, by their rank by traffic.
     pub partner_ranks: Vec<u32>,
     /// The busiest partners with this share of the traffic are hit.
@@ -186,7 +186,7 @@
     /// The sender that is hit.
     pub sender: u32,
     /// A replacement takes the address of the endpoint that it replaces.
-    pub reuse: bool,
+    pub reuse_address: bool,
 }
 
 /// What is compared.
@@ -207,9 +207,9 @@
     /// The program that is run on sockets; none: the workspace's own.
     pub program: Option<PathBuf>,
     /// A settings file for that program.
-    pub settings: Option<PathBuf>,
+    pub settings_file: Option<PathBuf>,
     /// A sender that starts receives the gossip of those that run.
-    pub learns: bool,
+    pub receives_gossip: bool,
     /// How old that gossip is, in simulated time.
     pub gossip_age: Millis,
 }
@@ -255,12 +255,12 @@
     pub fn join_time(&self, sender: u32) -> Option<Millis> {
         self.failures
             .iter()
-            .find(|failure| failure.what == What::Join && failure.sender == sender)
+            .find(|failure| failure.kind == FailureKind::Join && failure.sender == sender)
             .map(|failure| failure.start)
     }
 
     /// The work of a class's messages; its mean is drawn once for a world.
-    pub fn work(&self, seed: u64, class: u32) -> WorkDistribution {
+    pub fn work_distribution(&self, seed: u64, class: u32) -> WorkDistribution {
         let drawn = &self.world.classes[class as usize];
         let mut rng = rng_for(seed, Stream::Work, u64::MAX, class.into());
         WorkDistribution {
--- a/crates/lab/src/experiment/reader.rs
+++ b/crates/lab/src/experiment/reader.rs
@@ -52,8 +52,8 @@
         zipf_exponent: at.number("zipf", given.zipf, rule::ZIPF)?,
         full_rate: at.number("full_rate", given.full_rate, rule::FULL_RATE)?,
         latency: at.span("latency_ms", given.latency_ms, rule::LATENCY_MS)?,
-        idle: at.number("idle_s", given.idle_s, rule::IDLE_S)? * SECOND,
-        connections: at.count("connections", given.connections, rule::CONNECTIONS)?,
+        idle_timeout: at.number("idle_s", given.idle_s, rule::IDLE_S)? * SECOND,
+        connections_per_endpoint: at.count("connections", given.connections, rule::CONNECTIONS)?,
         list_lateness: at.span("list_ms", given.list_ms, rule::LIST_MS)?,
         kinds: kinds(text, given.kind)?,
         classes: classes(text, given.class)?,
@@ -79,10 +79,10 @@
         name: at.name(&given.name)?,
         share: at.checked("share", given.share, rules::RELATIVE_SHARE)?,
         traffic_lean: at.checked("lean", given.lean, rule::LEAN)?,
-        limit: given.limit(),
+        rate_limit: given.limit(),
         headroom: at.span("headroom", given.headroom, rule::HEADROOM)?,
         least_rate: at.span("least_rate", given.least_rate, rule::LEAST_RATE)?,
-        window: at.number("window_ms", given.window_ms, rule::WINDOW_MS)?,
+        limit_window: at.number("window_ms", given.window_ms, rule::WINDOW_MS)?,
         rejections_count: given.refused_count,
         retry_after_share: at.number("tells_wait", given.tells_wait, rule::TELLS_WAIT)?,
         retry_after: at.span("wait_ms", given.wait_ms, rule::WAIT_MS)?,
@@ -90,7 +90,7 @@
         queue_per_core: at.span("queue", given.queue, rule::QUEUE)?,
         initial_share: at.number("cold_from", given.cold_from, rule::COLD_FROM)?,
         warm_up: at.number("cold_s", given.cold_s, rule::COLD_S)? * SECOND,
-        errors: at.number("errors", given.errors, rule::ERRORS)?,
+        error_share: at.number("errors", given.errors, rule::ERRORS)?,
     })
 }
 
@@ -122,7 +122,7 @@
         work: at.span("work_ms", given.work_ms, rule::WORK_MS)?,
         work_variation: at.number("cv", given.cv, rule::CV)?,
         effect,
-        window: at.number("window_ms", given.window_ms, rule::WINDOW_MS)?,
+        idempotency_window: at.number("window_ms", given.window_ms, rule::WINDOW_MS)?,
         latency_objective,
         deadline: at.number("deadline_ms", given.deadline_ms, deadline_rule)?,
         late_weight_share: at.number("late_worth", given.late_worth, rule::LATE_WORTH)?,
@@ -181,8 +181,8 @@
         may_hedge: given.second_copies.unwrap_or(true),
         may_cancel: given.cancel.unwrap_or(true),
         program: path(&given.program),
-        settings: path(&given.settings),
-        learns: given.learns,
+        settings_file: path(&given.settings),
+        receives_gossip: given.learns,
         gossip_age: at.number("told_age_s", given.told_age_s, rule::TOLD_AGE_S)? * SECOND,
     })
 }
--- a/crates/lab/src/judge/mod.rs
+++ b/crates/lab/src/judge/mod.rs
@@ -104,7 +104,7 @@
             .iter()
             .map(|class| ClassRule {
                 effect: class.effect,
-                window: class.window,
+                window: class.idempotency_window,
             })
             .collect();
         Judge::new(rules, variant.max_attempts)
--- a/crates/lab/src/model/fault_schedule.rs
+++ b/crates/lab/src/model/fault_schedule.rs
@@ -3,7 +3,7 @@
 
 use martenlatch_clock::Millis;
 
-use crate::experiment::{Experiment, Failure, What};
+use crate::experiment::{Experiment, Failure, FailureKind};
 use crate::model::site::Site;
 
 /// A part of the calls takes longer than the rest.
@@ -72,30 +72,38 @@
 
     /// Adds a failure that is active now.
     fn add(&mut self, failure: &Failure, now: Millis) {
-        match failure.what {
-            What::Hang => self.hung = true,
-            What::Refuse => self.rejects_until = Some(later(self.rejects_until, failure.end)),
-            What::Cut => self.partitioned = true,
-            What::Pauses => self.add_pause(failure, now),
-            What::Slow => self.slowdown *= failure.size,
-            What::HeavyTail => {
+        match failure.kind {
+            FailureKind::Hang => self.hung = true,
+            FailureKind::Refuse => {
+                self.rejects_until = Some(later(self.rejects_until, failure.end))
+            }
+            FailureKind::Cut => self.partitioned = true,
+            FailureKind::Pauses => self.add_pause(failure, now),
+            FailureKind::Slow => self.slowdown *= failure.size,
+            FailureKind::HeavyTail => {
                 self.tail = HeavyTail {
                     share: failure.share,
                     factor: failure.size,
                 }
             }
-            What::Tight => self.limit_factor *= failure.size,
-            What::ResetBefore => self.reset.before = either(self.reset.before, failure.share),
-            What::ResetAfter => self.reset.after = either(self.reset.after, failure.share),
-            What::Spoilt => self.malformed_share = either(self.malformed_share, failure.share),
-            What::SilentClose => self.idle_close_after = self.idle_close_after.min(failure.size),
+            FailureKind::Tight => self.limit_factor *= failure.size,
+            FailureKind::ResetBefore => {
+                self.reset.before = either(self.reset.before, failure.share)
+            }
+            FailureKind::ResetAfter => self.reset.after = either(self.reset.after, failure.share),
+            FailureKind::Spoilt => {
+                self.malformed_share = either(self.malformed_share, failure.share)
+            }
+            FailureKind::SilentClose => {
+                self.idle_close_after = self.idle_close_after.min(failure.size)
+            }
             _ => {}
         }
     }
 
     /// Pauses come every `every` milliseconds and last `size` each.
     fn add_pause(&mut self, failure: &Failure, now: Millis) {
-        let since = (now - failure.start) % failure.every;
+        let since = (now - failure.start) % failure.repeat_interval;
         if since < failure.size {
             let until = now - since + failure.size;
             self.paused_until = Some(later(self.paused_until, until));
@@ -158,10 +166,10 @@
             .filter(move |it| now >= it.failure.start && now < it.failure.end)
     }
 
-    fn active_of(&self, what: What, now: Millis) -> impl Iterator<Item = &Failure> {
+    fn active_of(&self, kind: FailureKind, now: Millis) -> impl Iterator<Item = &Failure> {
         self.active(now)
             .map(|targeted| &targeted.failure)
-            .filter(move |failure| failure.what == what)
+            .filter(move |failure| failure.kind == kind)
     }
 
     /// The faults of a partner at an instant.
@@ -181,7 +189,7 @@
 
     /// How many times the usual load comes at an instant.
     pub fn load_factor(&self, now: Millis) -> f64 {
-        self.active_of(What::Burst, now)
+        self.active_of(FailureKind::Burst, now)
             .map(|failure| failure.size)
             .product()
     }
@@ -189,14 +197,14 @@
     /// How the endpoint list is delivered at an instant.
     pub fn discovery(&self, now: Millis) -> Discovery {
         let down_until = self
-            .active_of(What::DiscoveryDown, now)
+            .active_of(FailureKind::DiscoveryDown, now)
             .map(|failure| failure.end)
             .reduce(f64::max);
         match down_until {
             Some(until) => Discovery::DownUntil(until),
             None => Discovery::Up {
                 lateness: self
-                    .active_of(What::DiscoveryLate, now)
+                    .active_of(FailureKind::DiscoveryLate, now)
                     .map(|failure| failure.size)
                     .product(),
             },
@@ -210,7 +218,7 @@
 
     /// Whether senders cannot record anything new.
     pub fn disk_full(&self, now: Millis) -> bool {
-        self.active_of(What::DiskFull, now).next().is_some()
+        self.active_of(FailureKind::DiskFull, now).next().is_some()
     }
 
     /// The partners that a failure is for, in ascending order; none where there is no such failure.
--- a/crates/lab/src/model/partner.rs
+++ b/crates/lab/src/model/partner.rs
@@ -359,7 +359,7 @@
         let mut rng = rng_for(self.seed, Stream::Call, call.number, draw_index::ANSWER);
         if bernoulli(&mut rng, faults.malformed_share) {
             Reply::Spoilt
-        } else if bernoulli(&mut rng, self.kind.errors) {
+        } else if bernoulli(&mut rng, self.kind.error_share) {
             Reply::Failed
         } else {
             Reply::Served
--- a/crates/lab/src/model/rate_limit.rs
+++ b/crates/lab/src/model/rate_limit.rs
@@ -5,7 +5,7 @@
 
 use martenlatch_clock::Millis;
 
-use crate::experiment::{Kind, Limit};
+use crate::experiment::{Kind, RateLimitKind};
 
 /// A token bucket holds the tokens of so many seconds.
 const BUCKET_DEPTH_SECONDS: f64 = 0.5;
@@ -38,7 +38,7 @@
 /// The state of one partner's limit.
 #[derive(Debug)]
 pub struct RateLimiter {
-    limit: Limit,
+    limit: RateLimitKind,
     window: Millis,
     rejected_count: bool,
     fixed: FixedWindow,
@@ -52,8 +52,8 @@
     /// The limiter of a kind of partner, with its whole capacity available.
     pub fn new(kind: &Kind) -> RateLimiter {
         RateLimiter {
-            limit: kind.limit,
-            window: kind.window,
+            limit: kind.rate_limit,
+            window: kind.limit_window,
             rejected_count: kind.rejections_count,
             fixed: FixedWindow::default(),
             arrivals: VecDeque::new(),
@@ -67,10 +67,10 @@
     /// Counts a call that comes at `now` against a limit of `rate` calls a second.
     pub fn admit(&mut self, rate: f64, now: Millis) -> LimitDecision {
         match self.limit {
-            Limit::None => LimitDecision::Within,
-            Limit::Window if self.rejected_count => self.admit_sliding(rate, now),
-            Limit::Window => self.admit_fixed(rate, now),
-            Limit::Rate => self.admit_bucket(rate, now),
+            RateLimitKind::None => LimitDecision::Within,
+            RateLimitKind::Window if self.rejected_count => self.admit_sliding(rate, now),
+            RateLimitKind::Window => self.admit_fixed(rate, now),
+            RateLimitKind::Rate => self.admit_bucket(rate, now),
         }
     }
 
--- a/crates/lab/src/model/site.rs
+++ b/crates/lab/src/model/site.rs
@@ -4,7 +4,7 @@
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-use crate::experiment::{Kind, Limit, World};
+use crate::experiment::{Kind, RateLimitKind, World};
 use crate::sampling::{Stream, rng_for, uniform};
 
 /// How strongly a kind's `lean` moves its partners in the ranking by traffic.
@@ -139,7 +139,7 @@
             kind: self.kinds[number],
             traffic_share,
             full_rate,
-            rate_limit: (kind.limit != Limit::None).then_some(limit),
+            rate_limit: (kind.rate_limit != RateLimitKind::None).then_some(limit),
             service_time_factor,
             endpoints,
             cores,
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -245,7 +245,7 @@
 
 fn shade(failure: &experiment::Failure) -> FailureSpan {
     FailureSpan {
-        what: failure.what.as_str_name().to_lowercase().replace('_', " "),
+        what: failure.kind.as_str_name().to_lowercase().replace('_', " "),
         start_s: failure.start / 1e3,
         end_s: failure.end.max(failure.start + LEAST_SHADE) / 1e3,
     }
--- a/crates/lab/src/sim/calls.rs
+++ b/crates/lab/src/sim/calls.rs
@@ -75,7 +75,7 @@
     }
 
     fn take_connection(&mut self, sender: u32, endpoint: u32) -> Connection {
-        let idle_limit = self.experiment.world.idle * IDLE_LIMIT_SHARE;
+        let idle_limit = self.experiment.world.idle_timeout * IDLE_LIMIT_SHARE;
         let state = &mut self.senders[sender as usize];
         let connection = state.take_connection(endpoint, idle_limit, self.now);
         let open = &mut self.connections[endpoint as usize];
--- a/crates/lab/src/sim/faults.rs
+++ b/crates/lab/src/sim/faults.rs
@@ -3,7 +3,7 @@
 use super::event::SimEvent;
 use super::simulation::Simulation;
 use crate::event_log::What;
-use crate::experiment::What as FailureKind;
+use crate::experiment::FailureKind;
 use crate::model::environment::{ListedState, OutageChange, REPLACEMENT_OVERLAP};
 
 impl Simulation<'_> {
@@ -18,7 +18,7 @@
     pub(super) fn failure_begins(&mut self, failure: usize) {
         let failure = &self.experiment.failures[failure];
         let sender = failure.sender;
-        match failure.what {
+        match failure.kind {
             FailureKind::Join => {
                 self.record(What::Joins { sender });
                 self.start_sender(sender);
@@ -50,6 +50,6 @@
             failure,
             turn: turn + 1,
         };
-        self.schedule(self.now + replacing.every, next);
+        self.schedule(self.now + replacing.repeat_interval, next);
     }
 }
--- a/crates/lab/src/sim/partners.rs
+++ b/crates/lab/src/sim/partners.rs
@@ -20,10 +20,10 @@
             number,
             origin: call.origin,
             attempt: call.attempt,
-            work: self.experiment.work(self.seed, class),
+            work: self.experiment.work_distribution(self.seed, class),
         };
         self.record(What::Arrived { call: number });
-        if self.connections[endpoint as usize] > self.experiment.world.connections {
+        if self.connections[endpoint as usize] > self.experiment.world.connections_per_endpoint {
             return self.reply(number, Reply::Refused(None));
         }
         let Delivery {
--- a/crates/lab/src/sim/simulation.rs
+++ b/crates/lab/src/sim/simulation.rs
@@ -15,7 +15,7 @@
 use crate::delay_queue::DelayQueue;
 use crate::error::LabError;
 use crate::event_log::{LoggedEvent, Silence, What};
-use crate::experiment::{Experiment, Failure, Variant, What as FailureKind};
+use crate::experiment::{Experiment, Failure, FailureKind, Variant};
 use crate::judge::Judge;
 use crate::load::{self, PlannedMessage};
 use crate::metrics::Metrics;
@@ -85,7 +85,7 @@
             environment,
             settings,
             sink,
-            learns: variant.learns,
+            learns: variant.receives_gossip,
             gossip_age: variant.gossip_age,
         })
     }
@@ -169,7 +169,7 @@
     }
 
     fn schedule_failure(&mut self, number: usize, failure: &Failure) {
-        let first = if failure.what == FailureKind::Replace {
+        let first = if failure.kind == FailureKind::Replace {
             SimEvent::ReplaceEndpoint {
                 failure: number,
                 turn: 0,
--- a/crates/lab/src/sim/variant_settings.rs
+++ b/crates/lab/src/sim/variant_settings.rs
@@ -62,7 +62,7 @@
         recovery: recovery_ramp(world),
         key_quiet_period: 0,
         connect_timeout: nanos(CONNECT_TIMEOUT),
-        idle_timeout: nanos(world.idle),
+        idle_timeout: nanos(world.idle_timeout),
         turn_interval: nanos(TURN_INTERVAL),
         cross_zone_price: 0.0,
         handshake_price: 0.0,
@@ -79,7 +79,7 @@
             Effect::Safe => Idempotency::Idempotent,
             Effect::Keyed => Idempotency::IdempotencyKey {
                 per_zone: false,
-                window: nanos(class.window),
+                window: nanos(class.idempotency_window),
             },
             Effect::Unsafe => Idempotency::NonIdempotent,
         },
--- a/crates/lab/src/sockets/calls.rs
+++ b/crates/lab/src/sockets/calls.rs
@@ -22,7 +22,7 @@
             return;
         };
         let connections = self.endpoints[call.endpoint as usize].connections;
-        if connections > self.experiment.world.connections {
+        if connections > self.experiment.world.connections_per_endpoint {
             return self.schedule_reply(number, Reply::Refused(None));
         }
         let Delivery {
@@ -52,7 +52,7 @@
             number,
             origin,
             attempt,
-            work: self.experiment.work(self.seed, class),
+            work: self.experiment.work_distribution(self.seed, class),
         })
     }
 
--- a/crates/lab/src/sockets/event_loop.rs
+++ b/crates/lab/src/sockets/event_loop.rs
@@ -8,7 +8,7 @@
 use super::event::Event;
 use super::peer::Peer;
 use super::testbed::Testbed;
-use crate::experiment::What as FailureKind;
+use crate::experiment::FailureKind;
 
 /// What is held and used is measured so often.
 const SAMPLE_INTERVAL: Millis = 100.0;
@@ -25,7 +25,7 @@
                 .push(first.at, Event::NextMessage { planned: 0 });
         }
         for (failure, told) in self.experiment.failures.iter().enumerate() {
-            let first = match told.what {
+            let first = match told.kind {
                 FailureKind::Replace => Event::ReplaceEndpoint { failure, turn: 0 },
                 _ => Event::FailureStarts { failure },
             };
--- a/crates/lab/src/sockets/faults.rs
+++ b/crates/lab/src/sockets/faults.rs
@@ -8,7 +8,7 @@
 use super::peer::Peer;
 use super::testbed::{EndpointSocket, Testbed};
 use crate::event_log::{Silence, What};
-use crate::experiment::What as FailureKind;
+use crate::experiment::FailureKind;
 use crate::model::environment::{ListedState, OutageChange, REPLACEMENT_OVERLAP, Replacement};
 
 /// SIGKILL comes so long after SIGTERM, for a sender that has not ended by itself.
@@ -48,7 +48,7 @@
             .senders
             .get(sender as usize)
             .is_some_and(|slot| slot.up);
-        match failure.what {
+        match failure.kind {
             FailureKind::Sigkill if up => self.kill_sender(sender, failure.size),
             FailureKind::Sigterm if up => self.terminate_sender(sender, failure.size),
             FailureKind::Join => self.join_sender(sender),
@@ -102,7 +102,7 @@
         }
         if let Some(partner) = self.environment.next_replaced(failure, turn) {
             let Replacement { old, new } = self.environment.replace_endpoint(partner);
-            let reused = told.reuse && self.reuse_address(new);
+            let reused = told.reuse_address && self.reuse_address(new);
             if !reused && let Err(error) = self.open_endpoint(new) {
                 return self.fail(error);
             }
@@ -113,8 +113,10 @@
             self.events.push(now + REPLACEMENT_OVERLAP, retire);
         }
         let turn = turn + 1;
-        self.events
-            .push(now + told.every, Event::ReplaceEndpoint { failure, turn });
+        self.events.push(
+            now + told.repeat_interval,
+            Event::ReplaceEndpoint { failure, turn },
+        );
     }
 
     /// Puts a new endpoint at the address of one that has gone; false where there is none.
--- a/crates/lab/src/sockets/partners.rs
+++ b/crates/lab/src/sockets/partners.rs
@@ -90,7 +90,9 @@
             socket.discard_input();
             return;
         }
-        let idle_limit = faults.idle_close_after.min(self.experiment.world.idle);
+        let idle_limit = faults
+            .idle_close_after
+            .min(self.experiment.world.idle_timeout);
         socket.expire(now, idle_limit);
         if is_closed(&socket.connection) {
             let call = socket.call;
--- a/crates/lab/src/sockets/testbed.rs
+++ b/crates/lab/src/sockets/testbed.rs
@@ -157,7 +157,7 @@
         };
         testbed.open_endpoints()?;
         testbed.prepare_senders(variant, &settings)?;
-        if variant.learns {
+        if variant.receives_gossip {
             testbed.introduce_senders()?;
         }
         Ok(testbed)
@@ -194,7 +194,7 @@
             let process = SenderProcess::prepare(&Preparation {
                 number,
                 program: &program,
-                settings_file: variant.settings.as_deref(),
+                settings_file: variant.settings_file.as_deref(),
                 discovery: address,
                 platform_settings: &settings,
                 seed: self.seed,
--- a/crates/lab/tests/model.rs
+++ b/crates/lab/tests/model.rs
@@ -1,6 +1,6 @@
 //! The model of a partner by itself, and the drawing of sites, loads and faults.
 
-use martenlatch_lab::experiment::{Experiment, Limit, WorkDistribution};
+use martenlatch_lab::experiment::{Experiment, RateLimitKind, WorkDistribution};
 use martenlatch_lab::load;
 use martenlatch_lab::model::fault_schedule::{ActiveFaults, FaultSchedule};
 use martenlatch_lab::model::partner::{Admission, Call, Partner, Reply};
@@ -92,8 +92,8 @@
 fn an_endpoint_runs_so_many_queues_some_and_rejects_the_rest() {
     let (x, site, mut partner) = lone("limit: NONE queue { least: 2 most: 2 }");
     assert_eq!(
-        (x.world.kinds[0].limit, site.partners[0].rate_limit),
-        (Limit::None, None)
+        (x.world.kinds[0].rate_limit, site.partners[0].rate_limit),
+        (RateLimitKind::None, None)
     );
     let (faults, cores) = (no_faults(&x, &site), u64::from(site.partners[0].cores));
     let admissions: Vec<Admission> = (0..cores * 4)
