--- a/crates/lab/src/commands/roof.rs
+++ b/crates/lab/src/commands/roof.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use martenlatch_lab::outcome::SampleStatistics;
-use martenlatch_lab::sockets::beside;
+use martenlatch_lab::sockets::default_sender_program;
 use martenlatch_lab::throughput_ceiling::{self, Plan, ThroughputCeiling, Turn};
 use miette::miette;
 
@@ -15,7 +15,10 @@
     if !(0.1..=600.0).contains(&options.seconds) || !(1..=1_000).contains(&options.turns) {
         return Err(miette!("--seconds is 0.1 to 600, --turns 1 to 1000"));
     }
-    let program = options.program.clone().unwrap_or_else(beside);
+    let program = options
+        .program
+        .clone()
+        .unwrap_or_else(default_sender_program);
     let ceiling = throughput_ceiling::measure(&Plan {
         program: &program,
         turns: options.turns,
--- a/crates/lab/src/commands/soak.rs
+++ b/crates/lab/src/commands/soak.rs
@@ -32,7 +32,10 @@
             processes: options.processes,
             slack: options.slack,
             keep_wall_clock: options.keep_wall_clock,
-            program: options.program.clone().unwrap_or_else(sockets::beside),
+            program: options
+                .program
+                .clone()
+                .unwrap_or_else(sockets::default_sender_program),
         },
         &stop,
     )
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -170,7 +170,7 @@
         usage.push(RunUsage {
             variant: variant.name.clone(),
             seed: job.seed,
-            used: played.used,
+            used: played.resource_usage,
         });
         bar.inc(1);
     }
@@ -189,10 +189,10 @@
     let mut late = 0.0;
     for _ in 0..SOCKET_ATTEMPTS {
         let played = sockets::play(experiment, variant, seed, stop)?;
-        if played.late <= sockets::LATE {
+        if played.max_lateness <= sockets::MAX_LATENESS {
             return Ok(played);
         }
-        late = played.late;
+        late = played.max_lateness;
     }
     Err(LabError::MachineTooBusy { late })
 }
--- a/crates/lab/src/soak/processes.rs
+++ b/crates/lab/src/soak/processes.rs
@@ -17,7 +17,7 @@
 use super::world::{World, platform_settings};
 use super::{agent, endpoint};
 use crate::error::{LabError, ProcessEnd};
-use crate::sockets::sender_process::{Preparation, SenderProcess};
+use crate::sockets::sender_process::{SenderOptions, SenderProcess};
 
 /// A process starts again so long after its end.
 const RESTART_DELAY: Millis = 600.0;
@@ -93,7 +93,7 @@
                 all.push(addresses);
             }
             let agents = agent::open(world, sender)?;
-            let mut process = SenderProcess::prepare(&Preparation {
+            let mut process = SenderProcess::prepare(&SenderOptions {
                 number: sender as u32,
                 program,
                 settings_file: Some(&log_settings),
@@ -369,7 +369,7 @@
     }
 
     fn poll_start(&mut self, sender: usize) {
-        let event = match self.slots[sender].process.has_come_up() {
+        let event = match self.slots[sender].process.poll_ready() {
             Ok(false) => return,
             Ok(true) => ProcessEvent::Ready,
             Err(_) => ProcessEvent::NotReady,
--- a/crates/lab/src/sockets/mod.rs
+++ b/crates/lab/src/sockets/mod.rs
@@ -34,7 +34,7 @@
 type Connection = martenlatch_http::Connection<usize>;
 
 /// A run in which the laboratory itself was later than this says nothing about the sender.
-pub const LATE: Millis = 150.0;
+pub const MAX_LATENESS: Millis = 150.0;
 
 /// After the deadline of the last message, a run still goes on for so long at most.
 const TIME_AFTER_LAST_DEADLINE: Millis = 2_000.0;
@@ -47,13 +47,13 @@
     /// What the judge found.
     pub verdict: Verdict,
     /// What all senders used together, by the second: the machine's and not the seed's.
-    pub used: Vec<ResourceUsage>,
+    pub resource_usage: Vec<ResourceUsage>,
     /// The longest that anything in the laboratory was late, in milliseconds.
-    pub late: Millis,
+    pub max_lateness: Millis,
 }
 
 /// The sender's program beside the laboratory's: in the same folder, or in the one above for tests.
-pub fn beside() -> PathBuf {
+pub fn default_sender_program() -> PathBuf {
     let own = std::env::current_exe().unwrap_or_default();
     let mut folder = own.parent().unwrap_or(Path::new("."));
     if folder.ends_with("deps") {
--- a/crates/lab/src/sockets/processes.rs
+++ b/crates/lab/src/sockets/processes.rs
@@ -29,7 +29,7 @@
         self.start_clock();
         for sender in &first {
             let process = &mut self.senders[*sender as usize].process;
-            process.wait_until_up(START_POLL)?;
+            process.wait_until_ready(START_POLL)?;
         }
         self.start_clock();
         for sender in first {
@@ -59,7 +59,7 @@
 
     /// Looks whether a sender has come to serve since it was started.
     pub fn check_started(&mut self, sender: u32) {
-        match self.senders[sender as usize].process.has_come_up() {
+        match self.senders[sender as usize].process.poll_ready() {
             Ok(true) => self.came_up(sender),
             Ok(false) => {}
             Err(error) => self.fail(error),
@@ -108,7 +108,7 @@
             return Ok(());
         };
         if slot.restart_after.is_none() || end != ProcessEnd::Exited(0) {
-            return Err(slot.process.ended_error(end));
+            return Err(slot.process.unexpected_end(end));
         }
         self.sender_ended(sender);
         Ok(())
--- a/crates/lab/src/sockets/sender_process.rs
+++ b/crates/lab/src/sockets/sender_process.rs
@@ -37,7 +37,7 @@
 
 /// What a sender is prepared from.
 #[derive(Clone, Copy, Debug)]
-pub struct Preparation<'a> {
+pub struct SenderOptions<'a> {
     /// Its number among the senders.
     pub number: u32,
     /// The program.
@@ -99,7 +99,7 @@
     ///
     /// # Errors
     /// Where there is no such program, no free port or no room for the folder.
-    pub fn prepare(told: &Preparation) -> Result<SenderProcess, LabError> {
+    pub fn prepare(told: &SenderOptions) -> Result<SenderProcess, LabError> {
         if !told.program.is_file() {
             return Err(LabError::NoProgram(told.program.to_path_buf()));
         }
@@ -196,7 +196,7 @@
         self.config["discovery"] = Value::from(discovery.to_string());
     }
 
-    /// Starts its process; [`SenderProcess::has_come_up`] tells when it serves.
+    /// Starts its process; [`SenderProcess::poll_ready`] tells when it serves.
     ///
     /// # Errors
     /// Where the program cannot be started.
@@ -251,7 +251,7 @@
     ///
     /// # Errors
     /// Where it has not come to serve in its time.
-    pub fn has_come_up(&mut self) -> Result<bool, LabError> {
+    pub fn poll_ready(&mut self) -> Result<bool, LabError> {
         let Some(healthy) = self.health.as_ref().and_then(|told| told.try_recv().ok()) else {
             return Ok(false);
         };
@@ -262,12 +262,12 @@
         Err(LabError::SenderNotReady {
             name: self.name.clone(),
             seconds: START_TIMEOUT.as_secs(),
-            last_words: self.last_words(),
+            last_words: self.last_error_line(),
         })
     }
 
     /// The last line of its error output, behind a colon; empty where there is none.
-    fn last_words(&self) -> String {
+    fn last_error_line(&self) -> String {
         let errors = std::fs::read_to_string(self.folder.path().join("errors")).unwrap_or_default();
         errors
             .lines()
@@ -318,11 +318,11 @@
     }
 
     /// The error that its process has ended unasked.
-    pub fn ended_error(&self, end: ProcessEnd) -> LabError {
+    pub fn unexpected_end(&self, end: ProcessEnd) -> LabError {
         LabError::SenderEnded {
             name: self.name.clone(),
             end,
-            last_words: self.last_words(),
+            last_words: self.last_error_line(),
         }
     }
 
@@ -330,10 +330,10 @@
     ///
     /// # Errors
     /// Where it ends, or does not serve in its time.
-    pub fn wait_until_up(&mut self, poll_interval: Duration) -> Result<(), LabError> {
-        while !self.has_come_up()? {
+    pub fn wait_until_ready(&mut self, poll_interval: Duration) -> Result<(), LabError> {
+        while !self.poll_ready()? {
             if let Some(end) = self.poll_end() {
-                return Err(self.ended_error(end));
+                return Err(self.unexpected_end(end));
             }
             std::thread::sleep(poll_interval);
         }
@@ -349,14 +349,9 @@
         }
     }
 
-    /// The number of its process, while there is one.
-    pub fn process(&self) -> Option<u32> {
-        self.child.as_ref().map(Child::id)
-    }
-
     /// What it has used, over all its processes.
     pub fn usage(&mut self) -> ResourceUsage {
-        let now = self.process().and_then(ResourceUsage::of_process);
+        let now = self.pid().and_then(ResourceUsage::of_process);
         if let Some(now) = now {
             self.latest_usage = ResourceUsage {
                 cpu_ms: self.ended_cpu_ms + now.cpu_ms,
--- a/crates/lab/src/sockets/testbed.rs
+++ b/crates/lab/src/sockets/testbed.rs
@@ -14,8 +14,8 @@
 use super::peer::{BoundListener, Peer};
 use super::platform_settings::platform_settings;
 use super::resource_usage::ResourceUsage;
-use super::sender_process::{Preparation, SenderProcess};
-use super::{SocketRun, beside};
+use super::sender_process::{SenderOptions, SenderProcess};
+use super::{SocketRun, default_sender_program};
 use crate::clients::Clients;
 use crate::delay_queue::DelayQueue;
 use crate::error::LabError;
@@ -188,10 +188,13 @@
         let classes: Vec<String> = world.classes.iter().map(|c| c.name.clone()).collect();
         let kinds: Vec<String> = world.kinds.iter().map(|k| k.name.clone()).collect();
         let settings = platform_settings(settings, &classes, &kinds);
-        let program = variant.program.clone().unwrap_or_else(beside);
+        let program = variant
+            .program
+            .clone()
+            .unwrap_or_else(default_sender_program);
         for number in 0..world.senders {
             let BoundListener { listener, address } = BoundListener::on_loopback()?;
-            let process = SenderProcess::prepare(&Preparation {
+            let process = SenderProcess::prepare(&SenderOptions {
                 number,
                 program: &program,
                 settings_file: variant.settings_file.as_deref(),
@@ -292,8 +295,8 @@
         SocketRun {
             figures: self.metrics.end(),
             verdict: self.judge.end(end.max(now)),
-            used: self.used,
-            late: self.late,
+            resource_usage: self.used,
+            max_lateness: self.late,
         }
     }
 }
--- a/crates/lab/src/throughput_ceiling/mod.rs
+++ b/crates/lab/src/throughput_ceiling/mod.rs
@@ -19,7 +19,7 @@
 use crate::sim;
 use crate::sockets::platform_settings::platform_settings;
 use crate::sockets::resource_usage::ResourceUsage;
-use crate::sockets::sender_process::{Preparation, SenderProcess};
+use crate::sockets::sender_process::{SenderOptions, SenderProcess};
 use endpoints::ImmediateEndpoints;
 use load_generator::LoadGenerator;
 
@@ -81,7 +81,7 @@
     let sender = RunningSender::start(plan.program, &endpoints.addresses)?;
     let relay = RunningRelay::start(&endpoints.addresses)?;
     let sender_target = Target {
-        process: sender.process.process().ok_or(LabError::SenderGone)?,
+        process: sender.process.pid().ok_or(LabError::SenderGone)?,
         address: sender.process.address,
     };
     let relay_target = Target {
@@ -141,7 +141,7 @@
         let targets: Vec<Value> = endpoints.iter().enumerate().map(list_entry).collect();
         let known = json!({"rev": 1, "all": true, "targets": targets});
         let silent_agent = TcpListener::bind("127.0.0.1:0").map_err(LabError::Port)?;
-        let mut process = SenderProcess::prepare(&Preparation {
+        let mut process = SenderProcess::prepare(&SenderOptions {
             number: 0,
             program,
             settings_file: None,
@@ -151,7 +151,7 @@
         })?;
         process.configure(known)?;
         process.start()?;
-        process.wait_until_up(START_POLL)?;
+        process.wait_until_ready(START_POLL)?;
         Ok(RunningSender {
             process,
             _silent_agent: silent_agent,
--- a/crates/lab/tests/soak.rs
+++ b/crates/lab/tests/soak.rs
@@ -20,7 +20,7 @@
             seed,
             seconds: SECONDS,
             processes: PROCESSES,
-            program: sockets::beside(),
+            program: sockets::default_sender_program(),
             slack: SLACK,
             keep_wall_clock: false,
         };
