--- a/crates/lab/src/commands/roof.rs
+++ b/crates/lab/src/commands/roof.rs
@@ -4,7 +4,7 @@
 
 use martenlatch_lab::outcome::SampleStatistics;
 use martenlatch_lab::sockets::default_sender_program;
-use martenlatch_lab::throughput_ceiling::{self, Plan, ThroughputCeiling, Turn};
+use martenlatch_lab::throughput_ceiling::{self, MeasurementPlan, ThroughputCeiling, TurnFigures};
 use miette::miette;
 
 use super::{Conclusion, report};
@@ -19,10 +19,10 @@
         .program
         .clone()
         .unwrap_or_else(default_sender_program);
-    let ceiling = throughput_ceiling::measure(&Plan {
+    let ceiling = throughput_ceiling::measure(&MeasurementPlan {
         program: &program,
         turns: options.turns,
-        span: Duration::from_secs_f64(options.seconds),
+        turn_length: Duration::from_secs_f64(options.seconds),
         max_in_flight: options.held.max(1),
     })
     .map_err(report)?;
@@ -30,13 +30,18 @@
         "{:<28}{:>18}{:>18}{:>16}",
         "", "sender", "relay", "sender/relay"
     );
-    print_figure("messages a second", &ceiling, |turn| turn.rate);
-    print_figure("processor us a message", &ceiling, |turn| turn.cost_us);
+    print_figure("messages a second", &ceiling, |turn| {
+        turn.messages_per_second
+    });
+    print_figure("processor us a message", &ceiling, |turn| {
+        turn.cpu_us_per_message
+    });
     Ok(Conclusion::RulesKept)
 }
 
-fn print_figure(name: &str, ceiling: &ThroughputCeiling, read: fn(&Turn) -> f64) {
-    let values = |turns: &[Turn]| SampleStatistics::of(&turns.iter().map(read).collect::<Vec<_>>());
+fn print_figure(name: &str, ceiling: &ThroughputCeiling, read: fn(&TurnFigures) -> f64) {
+    let values =
+        |turns: &[TurnFigures]| SampleStatistics::of(&turns.iter().map(read).collect::<Vec<_>>());
     let pairs = ceiling.sender.iter().zip(&ceiling.relay);
     let ratios: Vec<f64> = pairs
         .map(|(sender, relay)| read(sender) / read(relay))
--- a/crates/lab/src/throughput_ceiling/mod.rs
+++ b/crates/lab/src/throughput_ceiling/mod.rs
@@ -36,31 +36,31 @@
 
 /// What one program did in one turn.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Turn {
+pub struct TurnFigures {
     /// Messages delivered a second.
-    pub rate: f64,
+    pub messages_per_second: f64,
     /// Processor time for each, in microseconds.
-    pub cost_us: f64,
+    pub cpu_us_per_message: f64,
 }
 
 /// What both programs did, turn by turn.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ThroughputCeiling {
     /// The sender.
-    pub sender: Vec<Turn>,
+    pub sender: Vec<TurnFigures>,
     /// The baseline relay.
-    pub relay: Vec<Turn>,
+    pub relay: Vec<TurnFigures>,
 }
 
 /// How the ceiling is measured.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan<'a> {
+pub struct MeasurementPlan<'a> {
     /// The sender's program.
     pub program: &'a Path,
     /// Turns of each program; one before them is not counted.
     pub turns: usize,
     /// How long a turn is.
-    pub span: Duration,
+    pub turn_length: Duration,
     /// Messages in flight at most.
     pub max_in_flight: u64,
 }
@@ -76,7 +76,7 @@
 ///
 /// # Errors
 /// Where a program does not start, or ends.
-pub fn measure(plan: &Plan) -> Result<ThroughputCeiling, LabError> {
+pub fn measure(plan: &MeasurementPlan) -> Result<ThroughputCeiling, LabError> {
     let endpoints = ImmediateEndpoints::new()?;
     let sender = RunningSender::start(plan.program, &endpoints.addresses)?;
     let relay = RunningRelay::start(&endpoints.addresses)?;
@@ -93,9 +93,9 @@
     let mut load = LoadGenerator::new(&endpoints, plan.max_in_flight);
     let mut ceiling = ThroughputCeiling::default();
     for turn in 0..plan.turns + 1 {
-        let of_sender = measure_turn(sender_target, &mut load, plan.span)?;
+        let of_sender = measure_turn(sender_target, &mut load, plan.turn_length)?;
         std::thread::sleep(SETTLE_TIME);
-        let of_relay = measure_turn(relay_target, &mut load, plan.span)?;
+        let of_relay = measure_turn(relay_target, &mut load, plan.turn_length)?;
         std::thread::sleep(SETTLE_TIME);
         if turn > 0 {
             ceiling.sender.push(of_sender);
@@ -109,8 +109,8 @@
 fn measure_turn(
     target: Target,
     load: &mut LoadGenerator,
-    span: Duration,
-) -> Result<Turn, LabError> {
+    turn_length: Duration,
+) -> Result<TurnFigures, LabError> {
     let cpu_ms = || {
         ResourceUsage::of_process(target.process)
             .map(|used| used.cpu_ms)
@@ -118,13 +118,13 @@
     };
     let cpu_before = cpu_ms()?;
     let served_before = load.served();
-    let rate = load.run(target.address, span)?;
+    let messages_per_second = load.run(target.address, turn_length)?;
     let cpu_after = cpu_ms()?;
     let served_after = load.served();
     let messages = (served_after - served_before).max(1) as f64;
-    Ok(Turn {
-        rate,
-        cost_us: (cpu_after - cpu_before) * 1e3 / messages,
+    Ok(TurnFigures {
+        messages_per_second,
+        cpu_us_per_message: (cpu_after - cpu_before) * 1e3 / messages,
     })
 }
 
