--- a/crates/lab/src/sockets/calls.rs
+++ b/crates/lab/src/sockets/calls.rs
@@ -1,9 +1,10 @@
-//! What partners do with the calls that have come, and the replies that they write.
+//! How partners handle calls and write their replies. A call is one attempt of a sender to deliver a message, as the
+//! called partner sees it.
 
 use martenlatch_clock::Millis;
 
 use super::event::Event;
-use super::peer::Peer;
+use super::lab_socket::LabSocket;
 use super::testbed::{Call, Testbed};
 use crate::event_log::{Silence, What};
 use crate::model::environment::Delivery;
@@ -11,14 +12,14 @@
 use crate::network::Direction;
 
 impl Testbed<'_> {
-    /// The last byte of a call has come to its endpoint.
+    /// Handles a call whose last byte has reached its endpoint.
     pub fn call_arrived(&mut self, number: u64) {
         let now = self.now();
         let Some(call) = self.calls.get(&number).copied() else {
             return;
         };
         self.record(What::Arrived { call: number });
-        let Some(delivered) = self.note_arrival(number, &call, now) else {
+        let Some(delivered) = self.register_arrival(number, &call, now) else {
             return;
         };
         let connections = self.endpoints[call.endpoint as usize].connections;
@@ -36,13 +37,13 @@
         }
         match admission {
             Admission::Answered(reply) => self.schedule_reply(number, reply),
-            Admission::Running => self.call_runs(number, &call),
+            Admission::Running => self.call_started(number, &call),
             Admission::Queued => {}
         }
     }
 
-    /// Notes that a call of a message may run from now on; the call as its partner sees it.
-    fn note_arrival(&mut self, number: u64, call: &Call, now: Millis) -> Option<partner::Call> {
+    /// Records that a message may have run from now on, and returns its call in the form that the partner model takes.
+    fn register_arrival(&mut self, number: u64, call: &Call, now: Millis) -> Option<partner::Call> {
         let message = self.messages.get_mut(&call.message)?;
         message.may_have_run.get_or_insert(now);
         let origin = message.origin;
@@ -56,22 +57,22 @@
         })
     }
 
-    fn call_runs(&mut self, number: u64, call: &Call) {
+    fn call_started(&mut self, number: u64, call: &Call) {
         self.record(What::Ran { call: number });
-        self.schedule_partner(call.partner);
+        self.schedule_next_completion(call.partner);
         if call.reset_when_running {
             self.reset_call(number, call.connection);
         }
     }
 
-    /// Has a partner looked at when its next call is done.
-    fn schedule_partner(&mut self, partner: u32) {
+    /// Schedules the partner's next step for when its next call completes.
+    fn schedule_next_completion(&mut self, partner: u32) {
         if let Some(at) = self.environment.earlier_completion(partner) {
-            self.events.push(at, Event::PartnerDue { partner });
+            self.events.push(at, Event::AdvancePartner { partner });
         }
     }
 
-    /// Lets a partner finish what is done, and begin what waited for that.
+    /// Replies to the calls that a partner has completed, and starts queued ones in their place.
     pub fn advance_partner(&mut self, partner: u32) {
         let Progress { answers, started } = self.environment.advance(partner, self.now());
         for Answer { call, reply } in answers {
@@ -84,17 +85,17 @@
                 self.record(What::Ran { call });
             }
         }
-        self.schedule_partner(partner);
+        self.schedule_next_completion(partner);
     }
 
-    /// Has a reply written once it would have come to its sender.
+    /// Schedules a reply to be written when it would reach its sender, one network latency from now.
     fn schedule_reply(&mut self, call: u64, reply: Reply) {
-        let way = self.latency(call, Direction::ToSender);
+        let latency = self.latency(call, Direction::ToSender);
         self.events
-            .push(self.now() + way, Event::WriteReply { call, reply });
+            .push(self.now() + latency, Event::WriteReply { call, reply });
     }
 
-    /// An endpoint's reply leaves; nothing does where its partner cannot be reached.
+    /// Writes an endpoint's reply, unless its partner is unreachable.
     pub fn write_reply(&mut self, number: u64, reply: Reply) {
         let Some(call) = self.calls.get(&number).copied() else {
             return;
@@ -107,7 +108,7 @@
             self.note_rejection(call.message);
         }
         let now = self.now();
-        let Some(Peer::Endpoint(socket)) = self.peers.get_mut(call.connection) else {
+        let Some(LabSocket::Endpoint(socket)) = self.sockets.get_mut(call.connection) else {
             return;
         };
         socket.call = None;
@@ -127,7 +128,7 @@
         }
     }
 
-    /// A message whose only call was rejected has not run.
+    /// Clears the mark that a message may have run if its only call was rejected.
     fn note_rejection(&mut self, message: u64) {
         if let Some(message) = self.messages.get_mut(&message)
             && message.calls == 1
@@ -137,15 +138,15 @@
     }
 }
 
-/// A reply as an endpoint writes it.
+/// The HTTP response for a reply.
 fn response_text(reply: Reply) -> String {
     match reply {
         Reply::Served => "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".into(),
         Reply::Failed => "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n".into(),
         Reply::Spoilt => "\x01\x02 no answer at all \r\n\r\n".into(),
-        Reply::Refused(Some(wait)) => {
-            let wait = wait.ceil() as u64;
-            format!("HTTP/1.1 429 Wait\r\nX-Backoff-Ms: {wait}\r\nContent-Length: 0\r\n\r\n")
+        Reply::Refused(Some(backoff)) => {
+            let backoff_ms = backoff.ceil() as u64;
+            format!("HTTP/1.1 429 Wait\r\nX-Backoff-Ms: {backoff_ms}\r\nContent-Length: 0\r\n\r\n")
         }
         Reply::Refused(None) => "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n".into(),
     }
--- a/crates/lab/src/sockets/clients.rs
+++ b/crates/lab/src/sockets/clients.rs
@@ -1,62 +1,63 @@
-//! The clients: they hand messages in to senders, wait for the answers and hand in again what was not accepted.
+//! The clients: they submit messages to senders, wait for the answers and resubmit messages that were not accepted.
 
 use martenlatch_clock::Millis;
 use martenlatch_http::{self as http, Response};
 
 use super::Connection;
-use super::event::{Event, HandInFailure};
-use super::peer::{ClientConnection, Peer, is_closed};
+use super::event::{Event, SubmissionFailure};
+use super::lab_socket::{ClientConnection, LabSocket, is_closed};
 use super::testbed::{SubmittedMessage, Testbed};
 use crate::clients::{ClientMessage, HandIn};
 use crate::event_log::What;
 use crate::experiment::Effect;
 
-/// A client waits so long for the answer to a message that it handed in.
+/// How long a client waits for the answer to a message that it submitted.
 const ANSWER_TIMEOUT: Millis = 400.0;
-/// Bodies of messages have up to so many bytes of padding.
+/// The padding of a message body is shorter than this number of bytes.
 const PADDING_SIZES: u64 = 300;
 const FIRST_FINAL_STATUS: u16 = 200;
 const ACCEPTED_STATUSES: [u16; 2] = [200, 202];
 
-/// The bytes that a message carries: its own, so that a mix-up would show.
+/// The body of a message. It contains the message's number, so that a body sent for another message is detected.
 pub(super) fn body_of(message: u64) -> String {
     let padding = "x".repeat((message % PADDING_SIZES) as usize);
     format!("message {message} {padding}")
 }
 
-/// The number of a message from its name.
-pub(super) fn message_number(name: &str) -> Option<u64> {
-    name.strip_prefix('m')?.parse().ok()
+/// The message number in an `x-request-id` or a status report, such as 7 in `m7`.
+pub(super) fn message_number(request_id: &str) -> Option<u64> {
+    request_id.strip_prefix('m')?.parse().ok()
 }
 
 impl Testbed<'_> {
-    /// A message of the plan comes for the first time.
-    pub fn next_message(&mut self, planned: usize) {
+    /// Submits a message of the plan for the first time, and schedules the next one.
+    pub fn submit_planned_message(&mut self, planned: usize) {
         let origin = self.clients.register(self.plan[planned]);
-        self.hand_in(origin);
+        self.submit_message(origin);
         let planned = planned + 1;
         if let Some(next) = self.plan.get(planned) {
-            self.events.push(next.at, Event::NextMessage { planned });
+            self.events
+                .push(next.at, Event::SubmitPlannedMessage { planned });
         }
     }
 
-    /// A client hands a message in to one of the senders that are up.
-    pub fn hand_in(&mut self, origin: u64) {
+    /// Submits a message to one of the senders that are up.
+    pub fn submit_message(&mut self, origin: u64) {
         let now = self.now();
         let deadline = self.clients.message(origin).deadline;
         let up = self.senders_up();
         let chosen = self.clients.choose_sender(origin, &up);
         let Some(HandIn { sender, .. }) = chosen.filter(|_| now < deadline) else {
-            return self.schedule_retry(origin, HandInFailure::Unanswered);
+            return self.schedule_retry(origin, SubmissionFailure::Unanswered);
         };
-        let message = self.next_message;
-        self.next_message += 1;
+        let message = self.next_message_id;
+        self.next_message_id += 1;
         let request = self.request_text(origin, message, now);
         let Some(client) = self.client_connection(sender) else {
-            return self.schedule_retry(origin, HandInFailure::Unanswered);
+            return self.schedule_retry(origin, SubmissionFailure::Unanswered);
         };
         self.add_message(message, origin, sender);
-        if let Some(Peer::Client(client)) = self.peers.get_mut(client) {
+        if let Some(LabSocket::Client(client)) = self.sockets.get_mut(client) {
             client.message = Some(message);
             client.connection.queue(request.as_bytes());
             client.connection.flush();
@@ -71,7 +72,7 @@
             .collect()
     }
 
-    /// The request that hands a message in.
+    /// The request that submits a message.
     fn request_text(&self, origin: u64, message: u64, now: Millis) -> String {
         let ClientMessage {
             planned, deadline, ..
@@ -97,14 +98,14 @@
         let ClientMessage {
             planned, deadline, ..
         } = *self.clients.message(origin);
-        let handed_in = SubmittedMessage {
+        let submitted = SubmittedMessage {
             origin,
             sender,
             calls: 0,
             may_have_run: None,
             finished: false,
         };
-        self.messages.insert(message, handed_in);
+        self.messages.insert(message, submitted);
         self.open_messages += 1;
         self.record(What::Submitted {
             origin,
@@ -118,10 +119,10 @@
         });
     }
 
-    /// An idle connection to a sender, or a new one.
+    /// The key of an idle connection to a sender, or of a new one; `None` if no connection can be opened.
     fn client_connection(&mut self, sender: u32) -> Option<usize> {
         while let Some(key) = self.senders[sender as usize].idle_clients.pop() {
-            if let Some(Peer::Client(client)) = self.peers.get_mut(key)
+            if let Some(LabSocket::Client(client)) = self.sockets.get_mut(key)
                 && client.sender == sender
                 && client.message.is_none()
             {
@@ -130,22 +131,22 @@
                 if !is_closed(connection) && connection.bytes().is_empty() {
                     return Some(key);
                 }
-                self.peers.remove(key);
+                self.sockets.remove(key);
             }
         }
         let address = self.senders[sender as usize].process.address;
-        let key = self.peers.vacant_key();
+        let key = self.sockets.vacant_key();
         let connection = Connection::connect(address, &self.handle, &self.buffers, key).ok()?;
-        Some(self.peers.insert(Peer::Client(ClientConnection {
+        Some(self.sockets.insert(LabSocket::Client(ClientConnection {
             sender,
             connection,
             message: None,
         })))
     }
 
-    /// Reads a sender's answer to a client.
+    /// Reads what a sender wrote on a client's connection, and handles a complete answer or the end of the connection.
     pub fn read_client_answer(&mut self, key: usize) {
-        let Some(Peer::Client(client)) = self.peers.get_mut(key) else {
+        let Some(LabSocket::Client(client)) = self.sockets.get_mut(key) else {
             return;
         };
         client.connection.flush();
@@ -154,7 +155,7 @@
         let closed = is_closed(&client.connection);
         let Some(message) = client.message else {
             if closed {
-                self.peers.remove(key);
+                self.sockets.remove(key);
             }
             return;
         };
@@ -164,20 +165,20 @@
             }
             Ok(_) if !closed => {}
             _ => {
-                self.peers.remove(key);
-                self.message_not_accepted(message, HandInFailure::Unanswered);
+                self.sockets.remove(key);
+                self.message_not_accepted(message, SubmissionFailure::Unanswered);
             }
         }
     }
 
     fn client_answered(&mut self, key: usize, message: u64, answer: &Response) {
-        if let Some(Peer::Client(client)) = self.peers.get_mut(key) {
+        if let Some(LabSocket::Client(client)) = self.sockets.get_mut(key) {
             client.connection.consume(answer.consumed);
             client.message = None;
             if answer.keep_alive {
                 self.senders[client.sender as usize].idle_clients.push(key);
             } else {
-                self.peers.remove(key);
+                self.sockets.remove(key);
             }
         }
         self.record(What::Answered {
@@ -186,51 +187,51 @@
         });
         if !ACCEPTED_STATUSES.contains(&answer.status) {
             let retry_after = retry_after(answer);
-            self.message_not_accepted(message, HandInFailure::Rejected { retry_after });
+            self.message_not_accepted(message, SubmissionFailure::Rejected { retry_after });
         }
     }
 
-    /// A client has waited long enough for a sender's answer.
+    /// Gives up the wait for a sender's answer, if it is still missing.
     pub fn client_timed_out(&mut self, key: usize, message: u64) {
-        let waits = matches!(
-            self.peers.get(key),
-            Some(Peer::Client(client)) if client.message == Some(message)
+        let still_waiting = matches!(
+            self.sockets.get(key),
+            Some(LabSocket::Client(client)) if client.message == Some(message)
         );
-        if waits {
-            self.peers.remove(key);
-            self.message_not_accepted(message, HandInFailure::Unanswered);
+        if still_waiting {
+            self.sockets.remove(key);
+            self.message_not_accepted(message, SubmissionFailure::Unanswered);
         }
     }
 
-    fn message_not_accepted(&mut self, message: u64, failure: HandInFailure) {
-        let Some(handed_in) = self.messages.get(&message) else {
+    fn message_not_accepted(&mut self, message: u64, failure: SubmissionFailure) {
+        let Some(submitted) = self.messages.get(&message) else {
             return;
         };
-        let origin = handed_in.origin;
+        let origin = submitted.origin;
         self.finish_message(message);
-        // A message without an answer may have been accepted: only an idempotent one is handed in again.
-        let may_be_accepted = failure == HandInFailure::Unanswered;
+        // A message without an answer may have been accepted, so only an idempotent one is resubmitted.
+        let may_be_accepted = failure == SubmissionFailure::Unanswered;
         if !may_be_accepted || self.clients.effect(origin) != Effect::Unsafe {
             self.schedule_retry(origin, failure);
         }
     }
 
-    /// Has a message handed in again after a pause, if its client still wants that.
-    pub fn schedule_retry(&mut self, origin: u64, failure: HandInFailure) {
+    /// Schedules a message to be resubmitted after a pause, if its client still retries it.
+    pub fn schedule_retry(&mut self, origin: u64, failure: SubmissionFailure) {
         let now = self.now();
         let at = match failure {
-            HandInFailure::Rejected { retry_after } => {
+            SubmissionFailure::Rejected { retry_after } => {
                 self.clients.retry_at(origin, retry_after, true, now)
             }
-            HandInFailure::Unanswered => self.clients.retry_at(origin, None, false, now),
+            SubmissionFailure::Unanswered => self.clients.retry_at(origin, None, false, now),
         };
         if let Some(at) = at {
-            self.events.push(at, Event::HandInAgain { origin });
+            self.events.push(at, Event::ResubmitMessage { origin });
         }
     }
 }
 
-/// The Retry-After of an answer, in milliseconds.
+/// The value of an answer's Retry-After header, converted to milliseconds.
 fn retry_after(answer: &Response) -> Option<Millis> {
     let seconds: f64 = answer.header("retry-after")?.parse().ok()?;
     Some(seconds * 1e3)
--- a/crates/lab/src/sockets/discovery.rs
+++ b/crates/lab/src/sockets/discovery.rs
@@ -1,4 +1,5 @@
-//! The discovery agent of each sender: the endpoint list, and a watch that carries its changes.
+//! The discovery agent of each sender: it serves the endpoint list and a watch that carries changes to the list, and
+//! takes status reports.
 
 use std::net::TcpListener;
 
@@ -7,15 +8,15 @@
 use serde_json::{Value, json};
 
 use super::event::Event;
-use super::peer::{AgentConnection, Peer, is_closed};
+use super::lab_socket::{AgentConnection, LabSocket, is_closed};
 use super::testbed::Testbed;
 use crate::event_log::What;
 use crate::model::environment::ListedState;
 
-/// Discovery shows at least this often that it is alive.
+/// Time between two heartbeats on the watches.
 const HEARTBEAT_INTERVAL: Millis = 2_000.0;
 
-/// The beginning of the path of a watch of the endpoint list.
+/// How the path of an endpoint list watch begins.
 const WATCH_PATH: &str = "/v1/servers?watch=1";
 /// The path of status reports.
 const REPORT_PATH: &str = "/reports";
@@ -25,7 +26,7 @@
     pub fn accept_agent_connections(&mut self, sender: u32, listener: &TcpListener) {
         while let Ok((stream, _)) = listener.accept() {
             let accepted = self.insert_connection(stream, |connection| {
-                Peer::Agent(AgentConnection::new(sender, connection))
+                LabSocket::Agent(AgentConnection::new(sender, connection))
             });
             if let Some(key) = accepted {
                 self.read_agent_request(key);
@@ -33,16 +34,16 @@
         }
     }
 
-    /// Reads what a sender asks its agent. Reports come one behind another on a connection.
+    /// Handles a sender's requests to its agent. One connection may carry several status reports, one after another.
     pub fn read_agent_request(&mut self, key: usize) {
         while let Some(request) = self.next_agent_request(key) {
-            let Some(Peer::Agent(agent)) = self.peers.get_mut(key) else {
+            let Some(LabSocket::Agent(agent)) = self.sockets.get_mut(key) else {
                 return;
             };
             let sender = agent.sender;
             if request.path.starts_with(WATCH_PATH) {
-                agent.watches = true;
-                return self.write_first_list(key, sender);
+                agent.is_watch = true;
+                return self.write_complete_list(key, sender);
             }
             if request.path != REPORT_PATH {
                 return self
@@ -53,16 +54,16 @@
         }
     }
 
-    /// The next complete request on a connection to an agent.
+    /// The next complete request on a connection to an agent. Removes a connection that has ended.
     fn next_agent_request(&mut self, key: usize) -> Option<Request> {
-        let Some(Peer::Agent(agent)) = self.peers.get_mut(key) else {
+        let Some(LabSocket::Agent(agent)) = self.sockets.get_mut(key) else {
             return None;
         };
         agent.flush();
         agent.connection.receive();
         if agent.connection.bytes().is_empty() {
             if is_closed(&agent.connection) {
-                self.peers.remove(key);
+                self.sockets.remove(key);
             }
             return None;
         }
@@ -73,27 +74,27 @@
         Some(request)
     }
 
-    fn write_first_list(&mut self, key: usize, sender: u32) {
+    fn write_complete_list(&mut self, key: usize, sender: u32) {
         let list = self.endpoint_list(sender);
         self.write_to_agent(key, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         self.write_to_agent(key, &chunk_of_line(&list.to_string()));
     }
 
     fn write_to_agent(&mut self, key: usize, text: &str) {
-        if let Some(Peer::Agent(agent)) = self.peers.get_mut(key) {
+        if let Some(LabSocket::Agent(agent)) = self.sockets.get_mut(key) {
             agent.write(text);
         }
     }
 
-    /// The complete endpoint list as a sender was last told it.
+    /// The complete endpoint list as it was last sent to a sender.
     pub fn endpoint_list(&self, sender: u32) -> Value {
         let slot = &self.senders[sender as usize];
         let targets: Vec<Value> = slot
-            .known
+            .listed_endpoints
             .iter()
             .map(|(endpoint, state)| self.list_entry(*endpoint, *state))
             .collect();
-        json!({"rev": slot.revision, "all": true, "targets": targets})
+        json!({"rev": slot.list_revision, "all": true, "targets": targets})
     }
 
     fn list_entry(&self, endpoint: u32, state: ListedState) -> Value {
@@ -111,8 +112,8 @@
         })
     }
 
-    /// Has every sender notified of a change to an endpoint, as late as the list is now.
-    pub fn announce_endpoint(&mut self, endpoint: u32, state: ListedState) {
+    /// Schedules the notification of every sender about a change to an endpoint, with the current delay of the list.
+    pub fn schedule_notifications(&mut self, endpoint: u32, state: ListedState) {
         let now = self.now();
         for sender in 0..self.senders.len() as u32 {
             let at = self.environment.notified_at(sender, endpoint, state, now);
@@ -125,21 +126,21 @@
         }
     }
 
-    /// Writes a change to the endpoint list to a sender's watches.
+    /// Applies a change to a sender's endpoint list, and writes it to the sender's watches.
     pub fn notify_sender(&mut self, sender: u32, endpoint: u32, state: ListedState) {
         let slot = &mut self.senders[sender as usize];
-        slot.revision += 1;
+        slot.list_revision += 1;
         if state == ListedState::Removed {
-            slot.known.remove(&endpoint);
+            slot.listed_endpoints.remove(&endpoint);
         } else {
-            slot.known.insert(endpoint, state);
+            slot.listed_endpoints.insert(endpoint, state);
         }
-        let revision = slot.revision;
+        let revision = slot.list_revision;
         let up = slot.up;
         let entry = self.list_entry(endpoint, state);
         let change = json!({"rev": revision, "all": false, "targets": [entry]}).to_string();
-        let watches = self.watches(Some(sender));
-        if up && !watches.is_empty() {
+        let watch_keys = self.watch_connections(Some(sender));
+        if up && !watch_keys.is_empty() {
             self.record(What::Listed {
                 sender,
                 endpoint,
@@ -147,16 +148,16 @@
                 on: state == ListedState::Active,
             });
         }
-        for key in watches {
+        for key in watch_keys {
             self.write_to_agent(key, &chunk_of_line(&change));
         }
     }
 
-    /// Writes an empty line to all watches, unless discovery is down.
+    /// Writes an empty line to all watches as a heartbeat, unless discovery is down.
     pub fn send_heartbeat(&mut self) {
         let now = self.now();
         if self.environment.faults.discovery_up(now) {
-            for key in self.watches(None) {
+            for key in self.watch_connections(None) {
                 self.write_to_agent(key, &chunk_of_line(""));
             }
         }
@@ -168,21 +169,23 @@
         self.events.push(now + HEARTBEAT_INTERVAL, Event::Heartbeat);
     }
 
-    /// The keys of the watches of a sender, or of all.
-    fn watches(&self, of: Option<u32>) -> Vec<usize> {
-        let is_watch = |peer: &Peer| match peer {
-            Peer::Agent(agent) => agent.watches && of.is_none_or(|sender| sender == agent.sender),
+    /// The keys of a sender's watch connections, or of all senders' if `sender` is `None`.
+    fn watch_connections(&self, sender: Option<u32>) -> Vec<usize> {
+        let is_watch = |socket: &LabSocket| match socket {
+            LabSocket::Agent(agent) => {
+                agent.is_watch && sender.is_none_or(|wanted| wanted == agent.sender)
+            }
             _ => false,
         };
-        self.peers
+        self.sockets
             .iter()
-            .filter(|(_, peer)| is_watch(peer))
+            .filter(|(_, socket)| is_watch(socket))
             .map(|(key, _)| key)
             .collect()
     }
 }
 
-/// A state as the list names it.
+/// The name of a state in the endpoint list.
 fn state_name(state: ListedState) -> &'static str {
     match state {
         ListedState::Active => "in_service",
@@ -191,7 +194,7 @@
     }
 }
 
-/// A line, with its end, as one chunk of a chunked body.
+/// A line and its newline as one chunk of a chunked body.
 fn chunk_of_line(line: &str) -> String {
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
 }
--- a/crates/lab/src/sockets/event.rs
+++ b/crates/lab/src/sockets/event.rs
@@ -1,32 +1,32 @@
-//! Events of a run on sockets that are due at an instant.
+//! The timed events of a run on sockets.
 
 use martenlatch_clock::Millis;
 
 use crate::model::environment::ListedState;
 use crate::model::partner::Reply;
 
-/// An event to come.
+/// An event that is scheduled for an instant of the run.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Event {
-    /// A message of the plan comes for the first time.
-    NextMessage { planned: usize },
-    /// A client hands a message in again.
-    HandInAgain { origin: u64 },
-    /// A client has waited long enough for the answer to a message.
+    /// A client submits a message of the plan for the first time.
+    SubmitPlannedMessage { planned: usize },
+    /// A client submits a message again.
+    ResubmitMessage { origin: u64 },
+    /// A client gives up the wait for the answer to a message.
     ClientTimeout { client: usize, message: u64 },
-    /// The last byte of a call comes to its endpoint.
+    /// The last byte of a call reaches its endpoint.
     CallArrived { call: u64 },
     /// An endpoint writes its reply to a call.
     WriteReply { call: u64, reply: Reply },
-    /// A partner has a call that is done.
-    PartnerDue { partner: u32 },
-    /// A failure has begun or ended.
-    FaultBoundary,
-    /// A failure that concerns a sender begins.
+    /// A partner completes a call.
+    AdvancePartner { partner: u32 },
+    /// A failure ends.
+    FailureEnds,
+    /// A failure begins. The replacement of endpoints has `ReplaceEndpoint` instead.
     FailureStarts { failure: usize },
     /// A failure replaces the next endpoint.
     ReplaceEndpoint { failure: usize, turn: usize },
-    /// The machine of a replaced endpoint goes away.
+    /// The machine of a replaced endpoint is removed.
     RetireEndpoint { endpoint: u32 },
     /// A sender is notified of a change to the endpoint list.
     NotifySender {
@@ -34,21 +34,21 @@
         endpoint: u32,
         state: ListedState,
     },
-    /// A sender that was told to end is killed, if it still runs.
+    /// A sender that was asked to shut down is killed, if it is still running.
     KillSender { sender: u32, incarnation: u32 },
     /// A sender that has ended starts again.
     RestartSender { sender: u32 },
-    /// What is held and used is measured.
+    /// The number of open messages and the senders' resource usage are sampled.
     Sample,
-    /// Discovery shows that it is alive.
+    /// Discovery writes a heartbeat to the watches.
     Heartbeat,
 }
 
-/// Whether a client's message is handed in again, and how soon, depends on why it failed.
+/// Why a client's submission of a message failed, which decides if and when it is repeated.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum HandInFailure {
-    /// The sender answered, and did not accept the message; perhaps with a Retry-After.
+pub(super) enum SubmissionFailure {
+    /// The sender answered and did not accept the message. The answer may have a Retry-After.
     Rejected { retry_after: Option<Millis> },
-    /// No sender was up, or the one that was chosen gave no answer.
+    /// No sender was up, or the chosen one gave no answer.
     Unanswered,
 }
--- a/crates/lab/src/sockets/event_loop.rs
+++ b/crates/lab/src/sockets/event_loop.rs
@@ -1,20 +1,20 @@
-//! One round of the event loop of a run on sockets: sockets that are ready, then events that are due, then senders that
-//! have come up.
+//! One round of the event loop of a run on sockets: it handles ready sockets, then due events, then senders that have
+//! become ready.
 
 use std::time::Duration;
 
 use martenlatch_clock::Millis;
 
 use super::event::Event;
-use super::peer::Peer;
+use super::lab_socket::LabSocket;
 use super::testbed::Testbed;
 use crate::experiment::FailureKind;
 
-/// What is held and used is measured so often.
+/// Time between two samples of open messages and resource usage.
 const SAMPLE_INTERVAL: Millis = 100.0;
-/// A sender's start and end are looked for at least this often.
-const LONGEST_WAIT: Millis = 5.0;
-/// A run in which nothing is open any more still goes on for so long after its length.
+/// The loop wakes up at least this often, to notice senders that have become ready or ended.
+const MAX_POLL_INTERVAL: Millis = 5.0;
+/// How long a run continues after the experiment's length, even if no message is open.
 const SETTLE_TIME: Millis = 4_000.0;
 
 impl Testbed<'_> {
@@ -22,41 +22,44 @@
     pub fn schedule_run(&mut self) {
         if let Some(first) = self.plan.first() {
             self.events
-                .push(first.at, Event::NextMessage { planned: 0 });
+                .push(first.at, Event::SubmitPlannedMessage { planned: 0 });
         }
-        for (failure, told) in self.experiment.failures.iter().enumerate() {
-            let first = match told.kind {
-                FailureKind::Replace => Event::ReplaceEndpoint { failure, turn: 0 },
-                _ => Event::FailureStarts { failure },
+        for (index, failure) in self.experiment.failures.iter().enumerate() {
+            let first = match failure.kind {
+                FailureKind::Replace => Event::ReplaceEndpoint {
+                    failure: index,
+                    turn: 0,
+                },
+                _ => Event::FailureStarts { failure: index },
             };
-            self.events.push(told.start, first);
-            self.events.push(told.end, Event::FaultBoundary);
+            self.events.push(failure.start, first);
+            self.events.push(failure.end, Event::FailureEnds);
         }
         self.events.push(0.0, Event::Sample);
         self.schedule_heartbeat(0.0);
     }
 
-    /// Handles what is ready and what is due.
+    /// Handles the ready sockets, the due events and the senders that have become ready.
     pub fn run_once(&mut self, ready: Vec<usize>) {
         for key in ready {
             self.handle_ready(key);
         }
         self.handle_due_events();
         for sender in 0..self.senders.len() as u32 {
-            self.check_started(sender);
+            self.check_ready(sender);
         }
     }
 
-    /// How long the sockets may be waited for.
+    /// How long the loop may wait for its sockets before the next event is due.
     pub fn until_next_event(&self) -> Duration {
         let wait = self
             .events
             .next_at()
-            .map_or(LONGEST_WAIT, |at| at - self.now());
-        Duration::from_secs_f64(wait.clamp(0.0, LONGEST_WAIT) / 1e3)
+            .map_or(MAX_POLL_INTERVAL, |at| at - self.now());
+        Duration::from_secs_f64(wait.clamp(0.0, MAX_POLL_INTERVAL) / 1e3)
     }
 
-    /// Whether nothing is open any more, so that the rest of the time would only be waited out.
+    /// Whether no message or call is open and all senders are up, so that the run can end early.
     pub fn is_settled(&self) -> bool {
         self.now() > self.experiment.length + SETTLE_TIME
             && self.open_messages == 0
@@ -65,30 +68,30 @@
     }
 
     fn handle_ready(&mut self, key: usize) {
-        match self.peers.get_mut(key) {
-            Some(Peer::EndpointListener { endpoint, listener }) => {
+        match self.sockets.get_mut(key) {
+            Some(LabSocket::EndpointListener { endpoint, listener }) => {
                 let endpoint = *endpoint;
                 let listener = listener.clone();
                 self.accept_calls(key, endpoint, &listener);
             }
-            Some(Peer::AgentListener { sender, listener }) => {
+            Some(LabSocket::AgentListener { sender, listener }) => {
                 let sender = *sender;
                 let listener = listener.clone();
                 self.accept_agent_connections(sender, &listener);
             }
-            Some(Peer::Endpoint(_)) => self.read_call(key),
-            Some(Peer::Agent(_)) => self.read_agent_request(key),
-            Some(Peer::Client(_)) => self.read_client_answer(key),
+            Some(LabSocket::Endpoint(_)) => self.read_call(key),
+            Some(LabSocket::Agent(_)) => self.read_agent_request(key),
+            Some(LabSocket::Client(_)) => self.read_client_answer(key),
             None => {}
         }
     }
 
-    /// Has the listener of an endpoint looked at as if a connection had come.
+    /// Handles all listeners of endpoints as if they were ready, to accept connections that were left waiting.
     pub fn recheck_endpoint_listeners(&mut self) {
         let listeners: Vec<usize> = self
-            .peers
+            .sockets
             .iter()
-            .filter(|(_, peer)| matches!(peer, Peer::EndpointListener { .. }))
+            .filter(|(_, socket)| matches!(socket, LabSocket::EndpointListener { .. }))
             .map(|(key, _)| key)
             .collect();
         for key in listeners {
@@ -101,20 +104,20 @@
             let Some(next) = self.events.pop() else {
                 break;
             };
-            self.late = self.late.max(self.now() - next.at);
+            self.max_lateness = self.max_lateness.max(self.now() - next.at);
             self.handle(next.event);
         }
     }
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::NextMessage { planned } => self.next_message(planned),
-            Event::HandInAgain { origin } => self.hand_in(origin),
+            Event::SubmitPlannedMessage { planned } => self.submit_planned_message(planned),
+            Event::ResubmitMessage { origin } => self.submit_message(origin),
             Event::ClientTimeout { client, message } => self.client_timed_out(client, message),
             Event::CallArrived { call } => self.call_arrived(call),
             Event::WriteReply { call, reply } => self.write_reply(call, reply),
-            Event::PartnerDue { partner } => self.advance_partner(partner),
-            Event::FaultBoundary => self.apply_faults(),
+            Event::AdvancePartner { partner } => self.advance_partner(partner),
+            Event::FailureEnds => self.apply_faults(),
             Event::FailureStarts { failure } => self.start_failure(failure),
             Event::ReplaceEndpoint { failure, turn } => self.replace_endpoint(failure, turn),
             Event::RetireEndpoint { endpoint } => self.retire_endpoint(endpoint),
@@ -126,7 +129,7 @@
             Event::KillSender {
                 sender,
                 incarnation,
-            } => self.kill_if_still_ending(sender, incarnation),
+            } => self.kill_if_still_running(sender, incarnation),
             Event::RestartSender { sender } => self.restart_sender(sender),
             Event::Sample => self.sample(),
             Event::Heartbeat => self.send_heartbeat(),
@@ -136,7 +139,7 @@
     fn sample(&mut self) {
         let now = self.now();
         self.metrics.held(now, self.open_messages);
-        if self.measure_senders(now) {
+        if self.sample_senders(now) {
             self.events.push(now + SAMPLE_INTERVAL, Event::Sample);
         }
     }
--- a/crates/lab/src/sockets/faults.rs
+++ b/crates/lab/src/sockets/faults.rs
@@ -1,32 +1,32 @@
-//! Faults of a run on sockets: outages, full disks, ends of senders, and endpoints that are replaced.
+//! Faults of a run on sockets: outages, full disks, shutdowns, kills and starts of senders, and replaced endpoints.
 
 use martenlatch_clock::Millis;
 use nix::sys::signal::Signal;
 
 use super::event::Event;
-use super::partners::Closing;
-use super::peer::Peer;
+use super::lab_socket::LabSocket;
+use super::partners::CloseMode;
 use super::testbed::{EndpointSocket, Testbed};
 use crate::event_log::{Silence, What};
 use crate::experiment::FailureKind;
 use crate::model::environment::{ListedState, OutageChange, REPLACEMENT_OVERLAP, Replacement};
 
-/// SIGKILL comes so long after SIGTERM, for a sender that has not ended by itself.
+/// Time from SIGTERM to SIGKILL, for a sender that has not ended by itself.
 const KILL_AFTER: Millis = 3_700.0;
 
 impl Testbed<'_> {
-    /// Follows a failure that has begun or ended.
+    /// Applies the failures that are active now to disks, outages and listeners.
     pub fn apply_faults(&mut self) {
         let now = self.now();
         self.apply_full_disks(now);
         for OutageChange { partner, out } in self.environment.update_outages(now) {
             self.record(What::Out { partner, out });
         }
-        // Endpoints that could not be reached get the connections that waited for them.
+        // Accepts connections that were left waiting while a partner was unreachable.
         self.recheck_endpoint_listeners();
     }
 
-    /// Fills the senders' disks, or frees them.
+    /// Makes the senders' disks full, or writable again.
     fn apply_full_disks(&mut self, now: Millis) {
         let full = self.environment.faults.disk_full(now);
         if self.disks_full == full {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// A failure that concerns a sender, or that has no events of its own, begins.
+    /// Starts a failure: acts on its sender, or applies the faults that are active now.
     pub fn start_failure(&mut self, failure: usize) {
         let failure = &self.experiment.failures[failure];
         let sender = failure.sender;
@@ -58,14 +58,14 @@
     }
 
     fn kill_sender(&mut self, sender: u32, restart_after: Millis) {
-        self.announce_end(sender, restart_after);
+        self.expect_end(sender, restart_after);
         self.senders[sender as usize].process.kill();
         self.sender_ended(sender);
     }
 
     fn terminate_sender(&mut self, sender: u32, restart_after: Millis) {
         let now = self.now();
-        self.announce_end(sender, restart_after);
+        self.expect_end(sender, restart_after);
         let incarnation = self.senders[sender as usize].incarnation;
         self.signal(sender, Signal::SIGTERM);
         // Clients keep coming for a moment, as load balancers notice late.
@@ -76,8 +76,8 @@
         self.events.push(now + KILL_AFTER, kill);
     }
 
-    /// Notes that a sender is made to end, so that its end is no crash.
-    fn announce_end(&mut self, sender: u32, restart_after: Millis) {
+    /// Records that a sender is about to be killed or shut down, so that its end does not count as a crash.
+    fn expect_end(&mut self, sender: u32, restart_after: Millis) {
         self.senders[sender as usize].restart_after = Some(restart_after);
         self.record(What::Told { sender });
     }
@@ -93,38 +93,39 @@
         self.senders[sender as usize].process.signal(signal);
     }
 
-    /// Replaces an endpoint of the next partner that a failure concerns, until the failure ends.
+    /// Replaces an endpoint of the next partner that a failure affects, and schedules the next replacement until the
+    /// failure ends.
     pub fn replace_endpoint(&mut self, failure: usize, turn: usize) {
         let now = self.now();
-        let told = &self.experiment.failures[failure];
-        if now >= told.end {
+        let replacing = &self.experiment.failures[failure];
+        if now >= replacing.end {
             return;
         }
         if let Some(partner) = self.environment.next_replaced(failure, turn) {
             let Replacement { old, new } = self.environment.replace_endpoint(partner);
-            let reused = told.reuse_address && self.reuse_address(new);
+            let reused = replacing.reuse_address && self.reuse_address(new);
             if !reused && let Err(error) = self.open_endpoint(new) {
                 return self.fail(error);
             }
-            self.announce_endpoint(new, ListedState::Active);
-            self.announce_endpoint(old, ListedState::Draining);
-            self.announce_endpoint(old, ListedState::Removed);
+            self.schedule_notifications(new, ListedState::Active);
+            self.schedule_notifications(old, ListedState::Draining);
+            self.schedule_notifications(old, ListedState::Removed);
             let retire = Event::RetireEndpoint { endpoint: old };
             self.events.push(now + REPLACEMENT_OVERLAP, retire);
         }
         let turn = turn + 1;
         self.events.push(
-            now + told.repeat_interval,
+            now + replacing.repeat_interval,
             Event::ReplaceEndpoint { failure, turn },
         );
     }
 
-    /// Puts a new endpoint at the address of one that has gone; false where there is none.
+    /// Gives a new endpoint the address of a retired one; false if there is none.
     fn reuse_address(&mut self, new: u32) -> bool {
-        let Some(key) = self.vacant_listeners.pop() else {
+        let Some(key) = self.retired_listeners.pop() else {
             return false;
         };
-        let Some(Peer::EndpointListener { endpoint, .. }) = self.peers.get_mut(key) else {
+        let Some(LabSocket::EndpointListener { endpoint, .. }) = self.sockets.get_mut(key) else {
             return false;
         };
         let old = std::mem::replace(endpoint, new);
@@ -135,7 +136,7 @@
         true
     }
 
-    /// An endpoint's machine is gone: its connections end, and its address is free for another one.
+    /// Removes an endpoint's machine: resets its connections and frees its address for another endpoint.
     pub fn retire_endpoint(&mut self, endpoint: u32) {
         self.environment.retire(endpoint);
         for (key, call) in self.connections_of(endpoint) {
@@ -146,21 +147,21 @@
                     how: Silence::Reset,
                 });
             }
-            self.drop_endpoint_connection(key, Closing::Reset);
+            self.drop_endpoint_connection(key, CloseMode::Reset);
         }
-        let listener = self.peers.iter().find_map(|(key, peer)| match peer {
-            Peer::EndpointListener { endpoint: own, .. } if *own == endpoint => Some(key),
+        let listener = self.sockets.iter().find_map(|(key, socket)| match socket {
+            LabSocket::EndpointListener { endpoint: own, .. } if *own == endpoint => Some(key),
             _ => None,
         });
-        self.vacant_listeners.extend(listener);
+        self.retired_listeners.extend(listener);
     }
 
-    /// The keys of all connections to an endpoint, with the calls that are on them.
+    /// The keys of all connections to an endpoint, each with the call in flight on it.
     fn connections_of(&self, endpoint: u32) -> Vec<(usize, Option<u64>)> {
-        self.peers
+        self.sockets
             .iter()
-            .filter_map(|(key, peer)| match peer {
-                Peer::Endpoint(connection) if connection.endpoint == endpoint => {
+            .filter_map(|(key, socket)| match socket {
+                LabSocket::Endpoint(connection) if connection.endpoint == endpoint => {
                     Some((key, connection.call))
                 }
                 _ => None,
--- a/crates/lab/src/sockets/peer.rs
+++ b/crates/lab/src/sockets/lab_socket.rs
@@ -1,4 +1,4 @@
-//! The laboratory's sockets: listeners, and one connection for each way in which a sender is met.
+//! The laboratory's sockets: listeners, and the three kinds of connection with senders.
 
 use std::collections::VecDeque;
 use std::net::{SocketAddr, TcpListener};
@@ -10,17 +10,17 @@
 use super::Connection;
 use crate::error::LabError;
 
-/// What a connection is given at a time of text that is larger than its buffer.
+/// Text larger than a connection's buffer is queued in chunks of this number of bytes.
 const WRITE_CHUNK: usize = 32 * 1024;
 
-/// A socket of the laboratory's.
-pub(super) enum Peer {
-    /// Where senders reach an endpoint.
+/// A socket of the laboratory.
+pub(super) enum LabSocket {
+    /// Accepts the senders' connections to an endpoint.
     EndpointListener {
         endpoint: u32,
         listener: Rc<TcpListener>,
     },
-    /// Where a sender reaches its discovery agent, which also takes its status reports.
+    /// Accepts a sender's connections to its discovery agent, which also takes its status reports.
     AgentListener {
         sender: u32,
         listener: Rc<TcpListener>,
@@ -38,13 +38,13 @@
     /// The endpoint's number.
     pub endpoint: u32,
     pub connection: Connection,
-    /// The call that is on it.
+    /// The call in flight on the connection.
     pub call: Option<u64>,
-    /// How many calls have come on it.
+    /// Number of calls received on the connection.
     pub calls: u32,
-    /// When it was opened, or last became idle.
+    /// When the connection was opened, or last became idle.
     pub idle_since: Millis,
-    /// The endpoint has closed its side, which the sender cannot know: the next call on it is reset.
+    /// The endpoint has closed its side without notice: the next call on the connection is reset.
     pub stale: bool,
 }
 
@@ -61,20 +61,20 @@
         }
     }
 
-    /// Writes what waits, and reads what has come as far as the buffer holds it.
+    /// Writes queued data, and reads received data up to the size of the buffer.
     pub fn transfer(&mut self) {
         self.connection.flush();
         while self.connection.receive() && self.connection.bytes().len() < BUFFER_SIZE {}
     }
 
-    /// Loses what the sender has sent.
+    /// Drops what the sender has sent, and marks the connection stale.
     pub fn discard_input(&mut self) {
         let count = self.connection.bytes().len();
         self.connection.consume(count);
         self.stale = true;
     }
 
-    /// Becomes stale where it has been idle for too long.
+    /// Marks the connection stale if it has been idle for `idle_limit` since its last call.
     pub fn expire(&mut self, now: Millis, idle_limit: Millis) {
         let idle = self.call.is_none() && self.calls > 0;
         self.stale |= idle && now - self.idle_since >= idle_limit;
@@ -86,9 +86,9 @@
     /// The sender's number.
     pub sender: u32,
     pub connection: Connection,
-    /// It carries the endpoint list and its changes.
-    pub watches: bool,
-    /// What its socket has not taken yet.
+    /// Whether the connection is a watch, which carries the endpoint list and its changes.
+    pub is_watch: bool,
+    /// Text that the connection has not taken yet.
     pub unwritten: VecDeque<u8>,
 }
 
@@ -98,18 +98,18 @@
         AgentConnection {
             sender,
             connection,
-            watches: false,
+            is_watch: false,
             unwritten: VecDeque::new(),
         }
     }
 
-    /// Writes text behind what still waits.
+    /// Writes text after what is still unwritten.
     pub fn write(&mut self, text: &str) {
         self.unwritten.extend(text.as_bytes());
         self.flush();
     }
 
-    /// Moves what waits into the connection as far as that takes it: a complete list may be more than a buffer holds.
+    /// Moves unwritten text into the connection as far as it has room. A complete list may be larger than its buffer.
     pub fn flush(&mut self) {
         while self.connection.flush() && !self.unwritten.is_empty() {
             let count = self.unwritten.len().min(WRITE_CHUNK);
@@ -124,16 +124,16 @@
     /// The sender's number.
     pub sender: u32,
     pub connection: Connection,
-    /// The message whose answer it waits for.
+    /// The message whose answer the client is waiting for.
     pub message: Option<u64>,
 }
 
-/// Whether the other side, or the network, has ended a connection.
+/// Whether the other side has closed a connection, or the connection has failed.
 pub(super) fn is_closed(connection: &Connection) -> bool {
     connection.eof || connection.broken
 }
 
-/// A listener of the laboratory's with a port of its own.
+/// A listener with a port of its own.
 pub(super) struct BoundListener {
     pub listener: Rc<TcpListener>,
     pub address: SocketAddr,
@@ -143,7 +143,7 @@
     /// Binds a free port on loopback.
     ///
     /// # Errors
-    /// Where there is none.
+    /// If no port can be bound.
     pub fn on_loopback() -> Result<BoundListener, LabError> {
         let bind = || {
             let listener = TcpListener::bind("127.0.0.1:0")?;
--- a/crates/lab/src/sockets/mod.rs
+++ b/crates/lab/src/sockets/mod.rs
@@ -1,6 +1,6 @@
-//! Runs on sockets: the model's partners, the discovery agent, the platform's report receiver and the clients, all on
-//! loopback in one process and one event loop, around senders that are processes of their own. What crosses the
-//! sockets goes to the judge and the metrics as facts, as in simulated time.
+//! Runs on sockets. The model's partners, the discovery agents, the platform's report receiver and the clients run on
+//! loopback in one process and one event loop; the senders are separate processes. The traffic on the sockets is
+//! recorded as events for the judge and the metrics, as in simulated time.
 
 mod calls;
 mod clients;
@@ -8,8 +8,8 @@
 mod event;
 mod event_loop;
 mod faults;
+mod lab_socket;
 mod partners;
-mod peer;
 pub mod platform_settings;
 mod processes;
 mod reports;
@@ -33,39 +33,40 @@
 
 type Connection = martenlatch_http::Connection<usize>;
 
-/// A run in which the laboratory itself was later than this says nothing about the sender.
+/// If the laboratory itself handled an event later than this, in milliseconds, the run says nothing about the sender.
 pub const MAX_LATENESS: Millis = 150.0;
 
-/// After the deadline of the last message, a run still goes on for so long at most.
-const TIME_AFTER_LAST_DEADLINE: Millis = 2_000.0;
+/// How long a run may continue after the deadline of the last message.
+const MAX_TIME_AFTER_LAST_DEADLINE: Millis = 2_000.0;
 
-/// What a run on sockets was.
+/// The result of a run on sockets.
 #[derive(Debug)]
 pub struct SocketRun {
-    /// Its figures.
+    /// The figures of the run.
     pub figures: Figures,
-    /// What the judge found.
+    /// The judge's verdict.
     pub verdict: Verdict,
-    /// What all senders used together, by the second: the machine's and not the seed's.
+    /// The resource usage of all senders together, sampled each second. It depends on the machine, not on the seed.
     pub resource_usage: Vec<ResourceUsage>,
-    /// The longest that anything in the laboratory was late, in milliseconds.
+    /// The longest delay between an event's due time and its handling by the laboratory, in milliseconds.
     pub max_lateness: Millis,
 }
 
-/// The sender's program beside the laboratory's: in the same folder, or in the one above for tests.
+/// The path of the sender's program next to the laboratory's own: in the same folder, or in the parent folder for
+/// tests, which run from `deps`.
 pub fn default_sender_program() -> PathBuf {
-    let own = std::env::current_exe().unwrap_or_default();
-    let mut folder = own.parent().unwrap_or(Path::new("."));
+    let own_program = std::env::current_exe().unwrap_or_default();
+    let mut folder = own_program.parent().unwrap_or(Path::new("."));
     if folder.ends_with("deps") {
         folder = folder.parent().unwrap_or(folder);
     }
     folder.join("martenlatch")
 }
 
-/// Plays one variant with one seed on sockets. Once `stop` is set, it ends at once and the run counts for nothing.
+/// Runs one variant with one seed on sockets. Once `stop` is set, the run ends at once without a result.
 ///
 /// # Errors
-/// Where a sender does not start or ends by itself, a port is taken, or the run was stopped.
+/// If a sender does not start or ends by itself, a port is taken, or the run was stopped.
 pub fn play(
     experiment: &Experiment,
     variant: &Variant,
@@ -74,7 +75,7 @@
 ) -> Result<SocketRun, LabError> {
     let mut events = EventLoop::<ReadyEvents<usize>>::try_new().map_err(LabError::EventLoop)?;
     let mut testbed = Testbed::new(experiment, variant, seed, events.handle())?;
-    let end = experiment.last_deadline() + TIME_AFTER_LAST_DEADLINE;
+    let end = experiment.last_deadline() + MAX_TIME_AFTER_LAST_DEADLINE;
     testbed.start_senders()?;
     testbed.schedule_run();
     let mut ready = ReadyEvents::default();
--- a/crates/lab/src/sockets/partners.rs
+++ b/crates/lab/src/sockets/partners.rs
@@ -1,4 +1,4 @@
-//! The partners' servers: connections of senders to endpoints, and the calls that come on them.
+//! The partners' servers: they accept the senders' connections to endpoints and read calls from them.
 
 use std::net::TcpListener;
 
@@ -8,7 +8,7 @@
 use super::Connection;
 use super::clients::{body_of, message_number};
 use super::event::Event;
-use super::peer::{EndpointConnection, Peer, is_closed};
+use super::lab_socket::{EndpointConnection, LabSocket, is_closed};
 use super::testbed::{Call, Testbed};
 use crate::error::LabError;
 use crate::event_log::{Silence, What};
@@ -16,31 +16,31 @@
 use crate::model::fault_schedule::ConnectionResets;
 use crate::network::{self, Direction};
 
-/// How an endpoint's side of a connection ends.
+/// How an endpoint closes a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Closing {
-    /// What is on its way still comes.
+pub(super) enum CloseMode {
+    /// Data in transit is still delivered.
     Orderly,
-    /// What is on its way is lost.
+    /// Data in transit is lost.
     Reset,
 }
 
 impl Testbed<'_> {
-    /// Accepts what has come to an endpoint's listener.
+    /// Accepts the pending connections of an endpoint's listener.
     pub fn accept_calls(&mut self, key: usize, endpoint: u32, listener: &TcpListener) {
         let partner = self.environment.partner_of(endpoint);
-        // Nobody is there any more: a connection is refused as far as a listener can do so.
-        if self.vacant_listeners.contains(&key) {
+        // The endpoint is retired. A listener cannot refuse a connection, so it accepts and closes it.
+        if self.retired_listeners.contains(&key) {
             while listener.accept().is_ok() {}
             return;
         }
-        // One that cannot be reached says nothing: what comes stays where the system keeps it.
+        // An unreachable partner accepts nothing: connections stay in the system's backlog.
         while !self.is_partitioned(partner)
             && let Ok((stream, _)) = listener.accept()
         {
             let now = self.now();
             let accepted = self.insert_connection(stream, |connection| {
-                Peer::Endpoint(EndpointConnection::new(endpoint, connection, now))
+                LabSocket::Endpoint(EndpointConnection::new(endpoint, connection, now))
             });
             if let Some(key) = accepted {
                 self.endpoints[endpoint as usize].connections += 1;
@@ -49,37 +49,37 @@
         }
     }
 
-    /// Whether a partner cannot be reached now.
+    /// Whether a partner is unreachable now.
     pub fn is_partitioned(&self, partner: u32) -> bool {
         self.environment.faults_at(partner, self.now()).partitioned
     }
 
-    /// Registers an accepted connection; none where the system does not allow that.
+    /// Registers an accepted connection and returns its key; `None` if the system does not allow that.
     pub fn insert_connection(
         &mut self,
         stream: std::net::TcpStream,
-        peer: impl FnOnce(Connection) -> Peer,
+        wrap: impl FnOnce(Connection) -> LabSocket,
     ) -> Option<usize> {
-        let key = self.peers.vacant_key();
+        let key = self.sockets.vacant_key();
         let connection = Connection::new(stream, &self.handle, &self.buffers, key).ok()?;
-        Some(self.peers.insert(peer(connection)))
+        Some(self.sockets.insert(wrap(connection)))
     }
 
-    /// Ends a sender's connection to an endpoint.
-    pub fn drop_endpoint_connection(&mut self, key: usize, closing: Closing) {
-        let Some(Peer::Endpoint(socket)) = self.peers.try_remove(key) else {
+    /// Closes a sender's connection to an endpoint.
+    pub fn drop_endpoint_connection(&mut self, key: usize, mode: CloseMode) {
+        let Some(LabSocket::Endpoint(socket)) = self.sockets.try_remove(key) else {
             return;
         };
         self.endpoints[socket.endpoint as usize].connections -= 1;
-        if closing == Closing::Reset {
+        if mode == CloseMode::Reset {
             socket.connection.abort_on_drop();
         }
     }
 
-    /// Reads what a sender wrote on a connection to an endpoint.
+    /// Reads what a sender wrote on a connection to an endpoint, and starts the call of a complete request.
     pub fn read_call(&mut self, key: usize) {
         let now = self.now();
-        let Some(Peer::Endpoint(socket)) = self.peers.get_mut(key) else {
+        let Some(LabSocket::Endpoint(socket)) = self.sockets.get_mut(key) else {
             return;
         };
         socket.transfer();
@@ -96,7 +96,7 @@
         socket.expire(now, idle_limit);
         if is_closed(&socket.connection) {
             let call = socket.call;
-            self.drop_endpoint_connection(key, Closing::Orderly);
+            self.drop_endpoint_connection(key, CloseMode::Orderly);
             if let Some(call) = call {
                 self.call_cancelled(call);
             }
@@ -111,17 +111,17 @@
             ParsedRequest::Complete(request) => {
                 socket.connection.consume(request.consumed);
                 match self.check_request(endpoint, &request) {
-                    Ok(message) => self.begin_call(key, message, faults.reset, now),
+                    Ok(message) => self.start_call(key, message, faults.reset, now),
                     Err(error) => self.fail(error),
                 }
             }
         }
     }
 
-    /// The message that a request carries.
+    /// The number of the message that a request carries.
     ///
     /// # Errors
-    /// Where no client handed it in, or not in this form.
+    /// If no client submitted the message, or the request differs from what its client submitted.
     fn check_request(&self, endpoint: u32, request: &Request) -> Result<u64, LabError> {
         let known = request
             .header("x-request-id")
@@ -146,8 +146,8 @@
         }
     }
 
-    /// The first byte of a call has come on a connection.
-    fn begin_call(&mut self, key: usize, number: u64, resets: ConnectionResets, now: Millis) {
+    /// Records a call whose request has been read from a connection, and schedules its arrival or resets it.
+    fn start_call(&mut self, key: usize, number: u64, resets: ConnectionResets, now: Millis) {
         let Some(message) = self.messages.get_mut(&number) else {
             return;
         };
@@ -155,11 +155,11 @@
         let origin = message.origin;
         let attempt = message.calls;
         message.calls += 1;
-        let Some(Peer::Endpoint(socket)) = self.peers.get_mut(key) else {
+        let Some(LabSocket::Endpoint(socket)) = self.sockets.get_mut(key) else {
             return;
         };
-        let call = self.next_call;
-        self.next_call += 1;
+        let call = self.next_call_id;
+        self.next_call_id += 1;
         let endpoint = socket.endpoint;
         let stale = socket.stale;
         let fresh = socket.calls == 0;
@@ -184,7 +184,7 @@
             fresh,
         });
         if resets.before || stale {
-            // Its sender cannot tell this from one that has run.
+            // The sender cannot tell this call from one that has run.
             self.reset_call(call, key);
             return;
         }
@@ -192,17 +192,17 @@
         self.events.push(arrival, Event::CallArrived { call });
     }
 
-    /// Ends a call by a reset of its connection.
+    /// Ends a call by resetting its connection.
     pub fn reset_call(&mut self, call: u64, connection: usize) {
         self.record(What::Ended {
             call,
             how: Silence::Reset,
         });
         self.calls.remove(&call);
-        self.drop_endpoint_connection(connection, Closing::Reset);
+        self.drop_endpoint_connection(connection, CloseMode::Reset);
     }
 
-    /// A sender has closed a connection with a call on it.
+    /// Records the end of a call whose connection was closed by the sender, or by the end of the sender's process.
     fn call_cancelled(&mut self, call: u64) {
         let Some(cancelled) = self.calls.remove(&call) else {
             return;
--- a/crates/lab/src/sockets/platform_settings.rs
+++ b/crates/lab/src/sockets/platform_settings.rs
@@ -1,13 +1,14 @@
-//! The settings that a sender under test gets from the platform, in the platform's JSON.
+//! The platform's settings for a sender under test, in the platform's JSON.
 
 use martenlatch_policy::interface::{Idempotency, MessageClass, Settings};
 use serde_json::{Value, json};
 
-/// Spans of the platform's `Guarantees` that only programs before 0.3 read, in nanoseconds.
+/// Durations of the platform's `Guarantees` in nanoseconds. Only programs before 0.3 read them.
 const STOP_SENDING_WITHIN: u64 = 1_000_000_000;
 const GRACE_TO_ANSWER: u64 = 20_000_000;
 
-/// The decision module's settings as the platform gives them, with the names of classes and kinds in their order.
+/// The platform's form of the decision module's settings. `classes` and `kinds` are the names, in the order of the
+/// experiment.
 pub fn platform_settings(settings: &Settings, classes: &[String], kinds: &[String]) -> Value {
     let categories: Vec<Value> = classes
         .iter()
--- a/crates/lab/src/sockets/processes.rs
+++ b/crates/lab/src/sockets/processes.rs
@@ -1,4 +1,4 @@
-//! The senders' processes during a run: their start, their readiness, their ends and what they use.
+//! The senders' processes during a run: their starts, readiness, ends and resource usage.
 
 use std::time::Duration;
 
@@ -11,38 +11,38 @@
 use crate::event_log::What;
 use crate::model::environment::ListedState;
 
-/// Between two looks at whether a sender has come up, before the run begins.
+/// Time between two checks whether a sender is ready, before the run begins.
 const START_POLL: Duration = Duration::from_millis(5);
 
 impl Testbed<'_> {
-    /// Starts every sender that is there from the beginning, waits until all serve, and has the run begin.
+    /// Starts every sender except those that join later, waits until all of them serve, and begins the run.
     ///
     /// # Errors
-    /// Where one does not start, or ends.
+    /// If a sender does not start, or ends.
     pub fn start_senders(&mut self) -> Result<(), LabError> {
-        let first: Vec<u32> = (0..self.senders.len() as u32)
+        let initial: Vec<u32> = (0..self.senders.len() as u32)
             .filter(|sender| self.experiment.join_time(*sender).is_none())
             .collect();
-        for sender in &first {
+        for sender in &initial {
             self.launch(*sender)?;
         }
         self.start_clock();
-        for sender in &first {
+        for sender in &initial {
             let process = &mut self.senders[*sender as usize].process;
             process.wait_until_ready(START_POLL)?;
         }
         self.start_clock();
-        for sender in first {
-            self.came_up(sender);
+        for sender in initial {
+            self.sender_ready(sender);
         }
         Ok(())
     }
 
-    /// Starts a sender's process with the endpoint list that it was last told.
+    /// Starts a sender's process, with the endpoint list that was last sent to the sender.
     pub fn launch(&mut self, sender: u32) -> Result<(), LabError> {
-        let known = self.endpoint_list(sender);
+        let endpoint_list = self.endpoint_list(sender);
         let process = &mut self.senders[sender as usize].process;
-        process.configure(known)?;
+        process.configure(endpoint_list)?;
         process.start()?;
         if self.disks_full {
             process.set_disk_full(true)?;
@@ -50,28 +50,28 @@
         Ok(())
     }
 
-    /// Starts a sender again that has ended.
+    /// Starts a sender again after its end.
     pub fn restart_sender(&mut self, sender: u32) {
         if let Err(error) = self.launch(sender) {
             self.fail(error);
         }
     }
 
-    /// Looks whether a sender has come to serve since it was started.
-    pub fn check_started(&mut self, sender: u32) {
+    /// Checks whether a sender that was started has become ready.
+    pub fn check_ready(&mut self, sender: u32) {
         match self.senders[sender as usize].process.poll_ready() {
-            Ok(true) => self.came_up(sender),
+            Ok(true) => self.sender_ready(sender),
             Ok(false) => {}
             Err(error) => self.fail(error),
         }
     }
 
-    fn came_up(&mut self, sender: u32) {
+    fn sender_ready(&mut self, sender: u32) {
         let slot = &mut self.senders[sender as usize];
         slot.up = true;
         slot.restart_after = None;
-        let known = slot.known.clone();
-        for (endpoint, state) in known {
+        let listed = slot.listed_endpoints.clone();
+        for (endpoint, state) in listed {
             let partner = self.environment.partner_of(endpoint);
             self.record(What::Listed {
                 sender,
@@ -83,25 +83,26 @@
         self.record(What::Ready { sender });
     }
 
-    /// Measures what all senders use, and notes those that have ended; false where one has crashed.
-    pub fn measure_senders(&mut self, now: Millis) -> bool {
-        let mut sum = ResourceUsage::default();
+    /// Samples the resource usage of all senders, and detects those that have ended; false if one has crashed.
+    pub fn sample_senders(&mut self, now: Millis) -> bool {
+        let mut total = ResourceUsage::default();
         for sender in 0..self.senders.len() as u32 {
-            let used = self.senders[sender as usize].process.usage();
-            sum.cpu_ms += used.cpu_ms;
-            sum.memory_kb += used.memory_kb;
+            let usage = self.senders[sender as usize].process.usage();
+            total.cpu_ms += usage.cpu_ms;
+            total.memory_kb += usage.memory_kb;
             if let Err(crash) = self.check_ended(sender) {
                 self.fail(crash);
                 return false;
             }
         }
-        if now >= self.used.len() as f64 * 1e3 {
-            self.used.push(sum);
+        if now >= self.resource_usage.len() as f64 * 1e3 {
+            self.resource_usage.push(total);
         }
         true
     }
 
-    /// Looks whether a sender's process has ended; it is an error where it was not told to.
+    /// Checks whether a sender's process has ended. An end that the run did not cause, or with an exit code other than 0,
+    /// is an error.
     fn check_ended(&mut self, sender: u32) -> Result<(), LabError> {
         let slot = &mut self.senders[sender as usize];
         let Some(end) = slot.process.poll_end() else {
@@ -114,19 +115,19 @@
         Ok(())
     }
 
-    /// A sender's process has ended as it was meant to; it starts again after its pause.
+    /// Records the expected end of a sender's process, and schedules its restart.
     pub fn sender_ended(&mut self, sender: u32) {
         let slot = &mut self.senders[sender as usize];
-        let pause = slot.restart_after.unwrap_or(0.0);
+        let restart_after = slot.restart_after.unwrap_or(0.0);
         slot.up = false;
         slot.incarnation += 1;
         self.record(What::Gone { sender });
         self.events
-            .push(self.now() + pause, Event::RestartSender { sender });
+            .push(self.now() + restart_after, Event::RestartSender { sender });
     }
 
-    /// Kills a sender that was told to end and has not.
-    pub fn kill_if_still_ending(&mut self, sender: u32, incarnation: u32) {
+    /// Kills a sender that was asked to shut down, if that process is still running.
+    pub fn kill_if_still_running(&mut self, sender: u32, incarnation: u32) {
         let slot = &mut self.senders[sender as usize];
         if slot.incarnation == incarnation && slot.restart_after.is_some() {
             slot.process.kill();
--- a/crates/lab/src/sockets/reports.rs
+++ b/crates/lab/src/sockets/reports.rs
@@ -1,25 +1,26 @@
-//! The platform's receiver of status reports: what became of messages that were accepted and not delivered.
+//! The platform's receiver of status reports, which senders write about messages that they accepted and did not
+//! deliver.
 
 use martenlatch_clock::Millis;
 use serde_json::Value;
 
 use super::clients::message_number;
-use super::event::HandInFailure;
+use super::event::SubmissionFailure;
 use super::testbed::Testbed;
 use crate::error::LabError;
 use crate::event_log::What;
 
-/// A status report on a message.
+/// A status report about a message.
 struct StatusReport {
     message: u64,
-    /// The message has not run, and may be handed in again.
+    /// The message has not run, and its client may resubmit it.
     deferred: bool,
-    /// How long its client waits before it does so, at least.
+    /// The least time that its client waits before it resubmits the message.
     retry_after: Option<Millis>,
 }
 
 impl Testbed<'_> {
-    /// Takes the reports of a request, one a line.
+    /// Handles the reports in the body of a request, one on each line.
     pub fn receive_reports(&mut self, sender: u32, body: &[u8]) {
         let text = String::from_utf8_lossy(body);
         for line in text.lines() {
@@ -68,7 +69,7 @@
         }
         if report.deferred {
             let retry_after = report.retry_after;
-            self.schedule_retry(origin, HandInFailure::Rejected { retry_after });
+            self.schedule_retry(origin, SubmissionFailure::Rejected { retry_after });
         }
     }
 }
--- a/crates/lab/src/sockets/resource_usage.rs
+++ b/crates/lab/src/sockets/resource_usage.rs
@@ -1,32 +1,32 @@
-//! What a process has used of the machine, from the system's tables.
+//! Processor time and memory of a process, read from `/proc`.
 
-/// The place of a field of `/proc/PID/stat` behind the bracket that ends the process's name.
-const USER_TIME: usize = 11;
-const SYSTEM_TIME: usize = 12;
-const RESIDENT_PAGES: usize = 21;
+/// Indices of fields of `/proc/PID/stat`, counted after the bracket that ends the process's name.
+const USER_TIME_FIELD: usize = 11;
+const SYSTEM_TIME_FIELD: usize = 12;
+const RESIDENT_PAGES_FIELD: usize = 21;
 /// The system counts processor time in hundredths of a second.
 const MILLISECONDS_PER_TICK: f64 = 10.0;
 const KIB_PER_PAGE: u64 = 4;
 
-/// What a process has used so far.
+/// The resources that a process uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ResourceUsage {
-    /// Processor time in milliseconds, in all.
+    /// Total processor time so far, in milliseconds.
     pub cpu_ms: f64,
-    /// Memory now, in KiB.
+    /// Current resident memory, in KiB.
     pub memory_kb: u64,
 }
 
 impl ResourceUsage {
-    /// What a process has used; none where it is gone.
+    /// The resource usage of a process; `None` if the process does not exist.
     pub fn of_process(process: u32) -> Option<ResourceUsage> {
         let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).ok()?;
-        // The name may hold anything; what is behind its bracket does not.
-        let (_, behind_name) = stat.rsplit_once(')')?;
-        let fields: Vec<&str> = behind_name.split_whitespace().collect();
-        let user: f64 = fields.get(USER_TIME)?.parse().ok()?;
-        let system: f64 = fields.get(SYSTEM_TIME)?.parse().ok()?;
-        let pages: u64 = fields.get(RESIDENT_PAGES)?.parse().ok()?;
+        // The name may contain brackets and spaces; the fields after its closing bracket do not.
+        let (_, after_name) = stat.rsplit_once(')')?;
+        let fields: Vec<&str> = after_name.split_whitespace().collect();
+        let user: f64 = fields.get(USER_TIME_FIELD)?.parse().ok()?;
+        let system: f64 = fields.get(SYSTEM_TIME_FIELD)?.parse().ok()?;
+        let pages: u64 = fields.get(RESIDENT_PAGES_FIELD)?.parse().ok()?;
         Some(ResourceUsage {
             cpu_ms: (user + system) * MILLISECONDS_PER_TICK,
             memory_kb: pages * KIB_PER_PAGE,
--- a/crates/lab/src/sockets/sender_process.rs
+++ b/crates/lab/src/sockets/sender_process.rs
@@ -1,5 +1,4 @@
-//! A sender under test: its folder, its configuration and its process. Dropping it kills the process and removes the
-//! folder.
+//! A sender under test: its folder, configuration and process. Dropping it kills the process and removes the folder.
 
 use std::ffi::OsString;
 use std::fs::File;
@@ -17,34 +16,34 @@
 use super::resource_usage::ResourceUsage;
 use crate::error::{LabError, ProcessEnd};
 
-/// A sender that does not serve by then has not started.
+/// A sender that does not serve within this time counts as not started.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
-/// Of a health check: for the connection, for the answer, and until the next one.
+/// Timeouts of a health check for its connection and its answer, and the time until the next check.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Ports of senders for clients and for one another, below those that connections are given.
+/// The ports that senders bind for clients and for each other. They are below the system's ephemeral ports.
 const CLIENT_PORTS: std::ops::Range<u16> = 20_000..30_000;
 const PEER_PORTS: std::ops::Range<u16> = 30_000..32_000;
 
-/// The secret that senders share that know each other.
+/// The shared secret of senders that are peers.
 const PEER_SECRET: &str = "the laboratory's own secret";
 
-/// A file that may not grow must fail its write, not end the process: see [`SenderProcess::set_disk_full`]. The shell
-/// gives its place to the program.
+/// Ignores SIGXFSZ, so that a write over the file size limit fails instead of ending the process; see
+/// [`SenderProcess::set_disk_full`]. `exec` replaces the shell by the program.
 const START_SCRIPT: &str = "trap '' XFSZ; exec \"$0\"";
 
-/// What a sender is prepared from.
+/// The options of a sender under test.
 #[derive(Clone, Copy, Debug)]
 pub struct SenderOptions<'a> {
-    /// Its number among the senders.
+    /// The sender's number.
     pub number: u32,
-    /// The program.
+    /// The sender's program.
     pub program: &'a Path,
-    /// The program's settings file, where there is one.
+    /// The program's settings file, if any.
     pub settings_file: Option<&'a Path>,
-    /// Where its discovery agent listens.
+    /// The address of its discovery agent.
     pub discovery: SocketAddr,
     /// The platform's settings.
     pub platform_settings: &'a Value,
@@ -55,32 +54,32 @@
 /// A sender under test.
 #[derive(Debug)]
 pub struct SenderProcess {
-    /// Where clients reach it.
+    /// The address for clients.
     pub address: SocketAddr,
     name: String,
     folder: tempfile::TempDir,
     program: PathBuf,
     settings_file: Option<PathBuf>,
-    /// Its configuration, with the endpoint list that it was last given.
+    /// The configuration, with the endpoint list of the last [`SenderProcess::configure`].
     config: Value,
-    /// Variables of its environment beside the usual ones.
+    /// Additional environment variables.
     environment: Vec<(OsString, OsString)>,
     child: Option<Child>,
-    /// Tells once after a start whether the process has come to serve.
+    /// Receives once after a start whether the process has become ready.
     health: Option<Receiver<bool>>,
-    /// Processor time in milliseconds of processes that have ended.
+    /// Total processor time of this sender's ended processes, in milliseconds.
     ended_cpu_ms: f64,
     latest_usage: ResourceUsage,
 }
 
-/// An address of its own for each sender.
-fn free_address(number: u32, mut ports: std::ops::Range<u16>) -> Result<SocketAddr, LabError> {
+/// A free address, on a loopback host that depends on the laboratory's process id and the sender's number.
+fn free_address(sender: u32, mut ports: std::ops::Range<u16>) -> Result<SocketAddr, LabError> {
     let process = std::process::id();
     let host = Ipv4Addr::new(
         127,
         1 + (process % 200) as u8,
         (process / 200 % 250) as u8,
-        1 + (number % 250) as u8,
+        1 + (sender % 250) as u8,
     );
     ports
         .find_map(|port| TcpListener::bind((host, port)).ok())
@@ -88,35 +87,35 @@
         .ok_or(LabError::NoFreePort(IpAddr::V4(host)))
 }
 
-/// The seed of a sender's own random numbers.
-fn sender_seed(seed: u64, number: u32) -> String {
-    let mixed = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ u64::from(number);
+/// The seed of a sender's random numbers.
+fn sender_seed(seed: u64, sender: u32) -> String {
+    let mixed = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ u64::from(sender);
     format!("{mixed:016x}")
 }
 
 impl SenderProcess {
-    /// Prepares a sender's folder and configuration; nothing runs yet.
+    /// Creates a sender's folder and configuration without starting a process.
     ///
     /// # Errors
-    /// Where there is no such program, no free port or no room for the folder.
-    pub fn prepare(told: &SenderOptions) -> Result<SenderProcess, LabError> {
-        if !told.program.is_file() {
-            return Err(LabError::NoProgram(told.program.to_path_buf()));
+    /// If the program does not exist, no port is free, or the folder cannot be created.
+    pub fn prepare(options: &SenderOptions) -> Result<SenderProcess, LabError> {
+        if !options.program.is_file() {
+            return Err(LabError::NoProgram(options.program.to_path_buf()));
         }
         let folder = tempfile::Builder::new()
             .prefix("martenlatch-lab-")
             .tempdir()
             .map_err(LabError::TemporaryFolder)?;
-        let address = free_address(told.number, CLIENT_PORTS)?;
-        let name = format!("n{}", told.number);
+        let address = free_address(options.number, CLIENT_PORTS)?;
+        let name = format!("n{}", options.number);
         let config = json!({
             "name": name,
             "listen": address.to_string(),
-            "discovery": told.discovery.to_string(),
-            "seed": sender_seed(told.seed, told.number),
+            "discovery": options.discovery.to_string(),
+            "seed": sender_seed(options.seed, options.number),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 4096, "disk_mb": 64},
             "known": Value::Null,
-            "settings": told.platform_settings
+            "settings": options.platform_settings
         });
         let state = folder.path().join("state");
         std::fs::create_dir(&state).map_err(LabError::file(&state))?;
@@ -124,8 +123,8 @@
             address,
             name,
             folder,
-            program: told.program.to_path_buf(),
-            settings_file: told.settings_file.map(Path::to_path_buf),
+            program: options.program.to_path_buf(),
+            settings_file: options.settings_file.map(Path::to_path_buf),
             config,
             environment: Vec::new(),
             child: None,
@@ -135,71 +134,71 @@
         })
     }
 
-    /// Where a sender is reached by others that it knows.
+    /// A free address for a sender's gossip with its peers.
     ///
     /// # Errors
-    /// Where no port is free.
-    pub fn peer_address(number: u32) -> Result<SocketAddr, LabError> {
-        free_address(number, PEER_PORTS)
+    /// If no port is free.
+    pub fn peer_address(sender: u32) -> Result<SocketAddr, LabError> {
+        free_address(sender, PEER_PORTS)
     }
 
-    /// Has it know others: its own settings, with what they say of peers put behind.
+    /// Configures the sender's peers: appends a `peers` section to its settings.
     ///
     /// # Errors
-    /// Where its files cannot be read or written.
+    /// If a file cannot be read or written.
     pub fn add_peers(&mut self, own: SocketAddr, seeds: &[SocketAddr]) -> Result<(), LabError> {
         let file = self.folder.path().join("settings.textproto");
-        let secret = self.folder.path().join("secret");
+        let secret_file = self.folder.path().join("secret");
         let mut text = match &self.settings_file {
-            Some(told) => std::fs::read_to_string(told).map_err(LabError::file(told))?,
+            Some(path) => std::fs::read_to_string(path).map_err(LabError::file(path))?,
             None => String::new(),
         };
-        let secret_name = secret.display().to_string();
-        text += &format!("\npeers {{ listen: \"{own}\" secret_file: {secret_name:?} keep: true");
+        let secret_path = secret_file.display().to_string();
+        text += &format!("\npeers {{ listen: \"{own}\" secret_file: {secret_path:?} keep: true");
         for seed in seeds {
             text += &format!(" seed: \"{seed}\"");
         }
         text += " }\n";
-        std::fs::write(&secret, PEER_SECRET).map_err(LabError::file(&secret))?;
+        std::fs::write(&secret_file, PEER_SECRET).map_err(LabError::file(&secret_file))?;
         std::fs::write(&file, text).map_err(LabError::file(&file))?;
         self.settings_file = Some(file);
         Ok(())
     }
 
-    /// Sets further variables of its environment, for the next start.
+    /// Sets additional environment variables, which apply from the next start.
     pub fn set_environment(&mut self, environment: Vec<(OsString, OsString)>) {
         self.environment = environment;
     }
 
-    /// The id of its process; none if none runs.
+    /// The id of the sender's process; `None` if no process is running.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// The files that hold its log and its errors.
+    /// The files for the process's standard output, its log, and its standard error.
     pub fn log_files(&self) -> [PathBuf; 2] {
         ["log", "errors"].map(|name| self.folder.path().join(name))
     }
 
-    /// Writes its configuration, with the endpoint list as it was last told.
+    /// Writes the sender's configuration file with an endpoint list.
     ///
     /// # Errors
-    /// Where the file cannot be written.
-    pub fn configure(&mut self, known: Value) -> Result<(), LabError> {
-        self.config["known"] = known;
+    /// If the file cannot be written.
+    pub fn configure(&mut self, endpoint_list: Value) -> Result<(), LabError> {
+        self.config["known"] = endpoint_list;
         let file = self.folder.path().join("config.json");
         std::fs::write(&file, self.config.to_string()).map_err(LabError::file(&file))
     }
 
-    /// Has it ask another discovery agent, from the next time that its configuration is written and read.
+    /// Sets another discovery agent. It applies once the configuration has been written and the sender has read it.
     pub fn set_discovery(&mut self, discovery: SocketAddr) {
         self.config["discovery"] = Value::from(discovery.to_string());
     }
 
-    /// Starts its process; [`SenderProcess::poll_ready`] tells when it serves.
+    /// Starts the sender's process; [`SenderProcess::poll_ready`] reports when it serves.
     ///
     /// # Errors
-    /// Where the program cannot be started.
+    /// If the program cannot be started.
     pub fn start(&mut self) -> Result<(), LabError> {
         let child = self.spawn().map_err(|source| LabError::StartSender {
             name: self.name.clone(),
@@ -210,7 +209,7 @@
         let (result, health) = channel();
         let address = self.address;
         std::thread::spawn(move || {
-            // Nobody listens any more where the run has ended meanwhile.
+            // Sending fails if the run has ended in the meantime.
             let _ = result.send(wait_until_healthy(address));
         });
         self.health = Some(health);
@@ -247,12 +246,16 @@
             .open(self.folder.path().join(name))
     }
 
-    /// Whether it has come to serve since it was started: true once, then false until the next start.
+    /// Whether the process has become ready since the last call: true once after each start, otherwise false.
     ///
     /// # Errors
-    /// Where it has not come to serve in its time.
+    /// If the process did not become ready within the start timeout.
     pub fn poll_ready(&mut self) -> Result<bool, LabError> {
-        let Some(healthy) = self.health.as_ref().and_then(|told| told.try_recv().ok()) else {
+        let Some(healthy) = self
+            .health
+            .as_ref()
+            .and_then(|result| result.try_recv().ok())
+        else {
             return Ok(false);
         };
         self.health = None;
@@ -266,7 +269,7 @@
         })
     }
 
-    /// The last line of its error output, behind a colon; empty where there is none.
+    /// The last line of the process's error output, after a colon; empty if there is no output.
     fn last_error_line(&self) -> String {
         let errors = std::fs::read_to_string(self.folder.path().join("errors")).unwrap_or_default();
         errors
@@ -282,31 +285,32 @@
         }
     }
 
-    /// Lets none of its files grow, or all of them: every write that would is refused, as on a disk without room.
+    /// Sets or lifts a file size limit of zero for the process. Under the limit every write that would make a file grow
+    /// fails, as on a full disk.
     ///
     /// # Errors
-    /// Where the limit of the process cannot be set.
+    /// If the limit cannot be set.
     pub fn set_disk_full(&self, full: bool) -> Result<(), LabError> {
         let Some(child) = &self.child else {
             return Ok(());
         };
-        let size = if full {
+        let limit = if full {
             "--fsize=0:unlimited"
         } else {
             "--fsize=unlimited:unlimited"
         };
-        let done = Command::new("prlimit")
-            .args(["--pid", &child.id().to_string(), size])
+        let output = Command::new("prlimit")
+            .args(["--pid", &child.id().to_string(), limit])
             .output()
             .map_err(|e| LabError::FileSizeLimit(e.to_string()))?;
-        if done.status.success() {
+        if output.status.success() {
             return Ok(());
         }
-        let errors = String::from_utf8_lossy(&done.stderr);
+        let errors = String::from_utf8_lossy(&output.stderr);
         Err(LabError::FileSizeLimit(errors.trim().to_string()))
     }
 
-    /// How its process has ended; none while it runs, or where that was told before.
+    /// How the process has ended; `None` while it is running, and after its end has been returned once.
     pub fn poll_end(&mut self) -> Option<ProcessEnd> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         self.child = None;
@@ -317,7 +321,7 @@
         })
     }
 
-    /// The error that its process has ended unasked.
+    /// The error for a process that has ended unexpectedly.
     pub fn unexpected_end(&self, end: ProcessEnd) -> LabError {
         LabError::SenderEnded {
             name: self.name.clone(),
@@ -326,10 +330,10 @@
         }
     }
 
-    /// Waits until it serves.
+    /// Waits until the process serves.
     ///
     /// # Errors
-    /// Where it ends, or does not serve in its time.
+    /// If the process ends, or does not become ready within the start timeout.
     pub fn wait_until_ready(&mut self, poll_interval: Duration) -> Result<(), LabError> {
         while !self.poll_ready()? {
             if let Some(end) = self.poll_end() {
@@ -340,7 +344,7 @@
         Ok(())
     }
 
-    /// Kills its process and waits for its end.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -349,13 +353,13 @@
         }
     }
 
-    /// What it has used, over all its processes.
+    /// The processor time of all the sender's processes, and the memory of the current or last one.
     pub fn usage(&mut self) -> ResourceUsage {
-        let now = self.pid().and_then(ResourceUsage::of_process);
-        if let Some(now) = now {
+        let current = self.pid().and_then(ResourceUsage::of_process);
+        if let Some(current) = current {
             self.latest_usage = ResourceUsage {
-                cpu_ms: self.ended_cpu_ms + now.cpu_ms,
-                memory_kb: now.memory_kb,
+                cpu_ms: self.ended_cpu_ms + current.cpu_ms,
+                memory_kb: current.memory_kb,
             };
         }
         self.latest_usage
@@ -368,7 +372,7 @@
     }
 }
 
-/// Waits until a process answers health checks; false where it does not in its time.
+/// Waits until a process answers health checks; false if it does not within the start timeout.
 fn wait_until_healthy(address: SocketAddr) -> bool {
     let start = Instant::now();
     while start.elapsed() < START_TIMEOUT {
--- a/crates/lab/src/sockets/testbed.rs
+++ b/crates/lab/src/sockets/testbed.rs
@@ -1,4 +1,4 @@
-//! The state of a run on sockets: the partners, the senders, the laboratory's own sockets and the events to come.
+//! The state of a run on sockets: the partners, the senders, the laboratory's sockets and the scheduled events.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::{SocketAddr, TcpListener};
@@ -11,7 +11,7 @@
 use slab::Slab;
 
 use super::event::Event;
-use super::peer::{BoundListener, Peer};
+use super::lab_socket::{BoundListener, LabSocket};
 use super::platform_settings::platform_settings;
 use super::resource_usage::ResourceUsage;
 use super::sender_process::{SenderOptions, SenderProcess};
@@ -28,54 +28,55 @@
 use crate::network::{self, Direction};
 use crate::sim;
 
-/// Buffers of all connections together; it also bounds the connections of clients that may be idle.
+/// Number of buffers for all connections together. It also bounds the number of idle client connections.
 const BUFFERS: usize = 4_096;
 
-/// A message that was handed in to a sender.
+/// One submission of a client's message to a sender.
 pub(super) struct SubmittedMessage {
-    /// The client's message; the same one may be handed in several times.
+    /// The number of the client's message, which may be submitted several times.
     pub origin: u64,
     pub sender: u32,
-    /// How many calls have come for it.
+    /// Number of calls received for the message.
     pub calls: u32,
-    /// When a call of it came that may have run, as the endpoints know.
+    /// When the first call that may have run arrived at an endpoint.
     pub may_have_run: Option<Millis>,
-    /// It was delivered, reported as failed, or not accepted.
+    /// Whether the message was delivered, reported as failed, or not accepted.
     pub finished: bool,
 }
 
-/// A call that is under way.
+/// A call in progress.
 #[derive(Clone, Copy)]
 pub(super) struct Call {
     pub message: u64,
-    /// The key of its connection.
+    /// The key of the connection that carries the call.
     pub connection: usize,
     pub partner: u32,
     pub endpoint: u32,
-    /// Its connection is reset once it runs.
+    /// Whether the connection is reset when the call starts to run.
     pub reset_when_running: bool,
 }
 
-/// Where an endpoint is reached.
+/// An endpoint's address and connections.
 pub(super) struct EndpointSocket {
     pub address: SocketAddr,
-    /// Connections that senders have to it.
+    /// Number of connections that senders have to the endpoint.
     pub connections: u32,
 }
 
-/// A sender as the testbed sees it.
+/// A sender's process and what the testbed knows about it.
 pub(super) struct SenderSlot {
     pub process: SenderProcess,
     pub up: bool,
-    /// How many processes of it have ended.
+    /// Number of the sender's processes that have ended.
     pub incarnation: u32,
-    /// It was told to end, or was killed, so that its end is no crash: it starts again so long after.
+    /// Set when the run shuts the sender down or kills it, so that its end does not count as a crash: the time from the
+    /// end to the restart.
     pub restart_after: Option<Millis>,
-    /// The endpoint list as the sender was last told.
-    pub known: BTreeMap<u32, ListedState>,
-    /// The revision of that list.
-    pub revision: u64,
-    /// Keys of idle connections of clients.
+    /// The endpoint list as it was last sent to the sender.
+    pub listed_endpoints: BTreeMap<u32, ListedState>,
+    /// The revision of `listed_endpoints`.
+    pub list_revision: u64,
+    /// Keys of idle client connections to the sender.
     pub idle_clients: Vec<usize>,
 }
 
@@ -85,41 +86,41 @@
     pub seed: u64,
     pub environment: Environment,
     pub clients: Clients<'a>,
-    /// Endpoints by their numbers.
+    /// Endpoints, indexed by number.
     pub endpoints: Vec<EndpointSocket>,
     pub events: DelayQueue<Event>,
     pub plan: Vec<PlannedMessage>,
     pub messages: HashMap<u64, SubmittedMessage>,
     pub calls: HashMap<u64, Call>,
-    pub next_call: u64,
-    pub next_message: u64,
-    pub peers: Slab<Peer>,
+    pub next_call_id: u64,
+    pub next_message_id: u64,
+    pub sockets: Slab<LabSocket>,
     pub senders: Vec<SenderSlot>,
-    /// Keys of listeners whose endpoints have gone.
-    pub vacant_listeners: Vec<usize>,
+    /// Keys of the listeners of retired endpoints.
+    pub retired_listeners: Vec<usize>,
     pub handle: EventLoopHandle<usize>,
     pub buffers: BufferPool,
     pub judge: Judge,
     pub metrics: Metrics,
-    /// What all senders used together, by the second.
-    pub used: Vec<ResourceUsage>,
+    /// The resource usage of all senders together, sampled each second.
+    pub resource_usage: Vec<ResourceUsage>,
     pub open_messages: u64,
-    /// The longest that an event was late.
-    pub late: Millis,
-    /// The senders' disks take nothing more.
+    /// The longest delay of an event after its due time.
+    pub max_lateness: Millis,
+    /// Whether the senders' disks are full.
     pub disks_full: bool,
-    /// Why the run cannot go on.
+    /// The error that ends the run.
     pub failure: Option<LabError>,
     clock: Clock,
-    /// When the run began, on the clock.
+    /// The clock's time at the start of the run.
     start: Millis,
 }
 
 impl<'a> Testbed<'a> {
-    /// Opens the endpoints' and agents' sockets, and prepares the senders; none runs yet.
+    /// Opens the endpoints' and agents' sockets, and prepares the senders without starting them.
     ///
     /// # Errors
-    /// Where the decision module rejects the variant's settings, a port is taken, or a sender's program is not there.
+    /// If the decision module rejects the variant's settings, no port is free, or a sender's program does not exist.
     pub fn new(
         experiment: &'a Experiment,
         variant: &Variant,
@@ -135,18 +136,18 @@
             events: DelayQueue::new(),
             messages: HashMap::new(),
             calls: HashMap::new(),
-            next_call: 0,
-            next_message: 0,
-            peers: Slab::new(),
+            next_call_id: 0,
+            next_message_id: 0,
+            sockets: Slab::new(),
             senders: Vec::new(),
-            vacant_listeners: Vec::new(),
+            retired_listeners: Vec::new(),
             handle,
             buffers: BufferPool::new(BUFFERS),
             judge: Judge::for_variant(experiment, variant),
             metrics: Metrics::new(&experiment.world.classes, 0.0, experiment.length),
-            used: Vec::new(),
+            resource_usage: Vec::new(),
             open_messages: 0,
-            late: 0.0,
+            max_lateness: 0.0,
             disks_full: false,
             failure: None,
             clock: Clock::system(),
@@ -158,7 +159,7 @@
         testbed.open_endpoints()?;
         testbed.prepare_senders(variant, &settings)?;
         if variant.receives_gossip {
-            testbed.introduce_senders()?;
+            testbed.configure_peers()?;
         }
         Ok(testbed)
     }
@@ -170,14 +171,14 @@
         Ok(())
     }
 
-    /// Gives a new endpoint a port of its own.
+    /// Opens a listener on a port of its own for a new endpoint.
     pub fn open_endpoint(&mut self, endpoint: u32) -> Result<(), LabError> {
         let BoundListener { listener, address } = BoundListener::on_loopback()?;
         self.endpoints.push(EndpointSocket {
             address,
             connections: 0,
         });
-        self.listen(listener, |listener| Peer::EndpointListener {
+        self.listen(listener, |listener| LabSocket::EndpointListener {
             endpoint,
             listener,
         })
@@ -185,8 +186,12 @@
 
     fn prepare_senders(&mut self, variant: &Variant, settings: &Settings) -> Result<(), LabError> {
         let world = &self.experiment.world;
-        let classes: Vec<String> = world.classes.iter().map(|c| c.name.clone()).collect();
-        let kinds: Vec<String> = world.kinds.iter().map(|k| k.name.clone()).collect();
+        let classes: Vec<String> = world
+            .classes
+            .iter()
+            .map(|class| class.name.clone())
+            .collect();
+        let kinds: Vec<String> = world.kinds.iter().map(|kind| kind.name.clone()).collect();
         let settings = platform_settings(settings, &classes, &kinds);
         let program = variant
             .program
@@ -207,11 +212,11 @@
                 up: false,
                 incarnation: 0,
                 restart_after: None,
-                known: self.first_endpoint_list(),
-                revision: 1,
+                listed_endpoints: self.initial_endpoint_list(),
+                list_revision: 1,
                 idle_clients: Vec::new(),
             });
-            self.listen(listener, |listener| Peer::AgentListener {
+            self.listen(listener, |listener| LabSocket::AgentListener {
                 sender: number,
                 listener,
             })?;
@@ -219,19 +224,19 @@
         Ok(())
     }
 
-    fn first_endpoint_list(&self) -> BTreeMap<u32, ListedState> {
+    fn initial_endpoint_list(&self) -> BTreeMap<u32, ListedState> {
         (0..self.environment.owner.len() as u32)
             .map(|endpoint| (endpoint, ListedState::Active))
             .collect()
     }
 
-    /// Has the senders share what they know of partners.
-    fn introduce_senders(&mut self) -> Result<(), LabError> {
+    /// Makes the senders peers, which share their knowledge of partners.
+    fn configure_peers(&mut self) -> Result<(), LabError> {
         let addresses: Vec<SocketAddr> = (0..self.senders.len() as u32)
             .map(SenderProcess::peer_address)
             .collect::<Result<_, _>>()?;
-        for (sender, own) in self.senders.iter_mut().zip(&addresses) {
-            sender.process.add_peers(*own, &addresses)?;
+        for (sender, own_address) in self.senders.iter_mut().zip(&addresses) {
+            sender.process.add_peers(*own_address, &addresses)?;
         }
         Ok(())
     }
@@ -239,9 +244,9 @@
     fn listen(
         &mut self,
         listener: Rc<TcpListener>,
-        peer: impl FnOnce(Rc<TcpListener>) -> Peer,
+        wrap: impl FnOnce(Rc<TcpListener>) -> LabSocket,
     ) -> Result<(), LabError> {
-        let key = self.peers.insert(peer(listener.clone()));
+        let key = self.sockets.insert(wrap(listener.clone()));
         http::register(&self.handle, listener, key).map_err(LabError::Register)?;
         Ok(())
     }
@@ -251,19 +256,19 @@
         self.clock.now() - self.start
     }
 
-    /// Has the run begin now.
+    /// Sets the start of the run to now.
     pub fn start_clock(&mut self) {
         self.start = self.clock.now();
     }
 
-    /// Gives a fact of this instant to the judge and the metrics.
+    /// Passes an event at the current time to the judge and the metrics.
     pub fn record(&mut self, what: What) {
-        let fact = LoggedEvent {
+        let event = LoggedEvent {
             at: self.now(),
             what,
         };
-        self.judge.hear(&fact);
-        self.metrics.hear(&fact);
+        self.judge.hear(&event);
+        self.metrics.hear(&event);
     }
 
     /// Ends the run with an error.
@@ -271,12 +276,12 @@
         self.failure = Some(error);
     }
 
-    /// One-way latency of a call, or of its reply.
+    /// One-way network latency of a call or of its reply.
     pub fn latency(&self, call: u64, direction: Direction) -> Millis {
         network::latency(self.experiment, self.seed, call, direction)
     }
 
-    /// A message is over for its client; false where it was before.
+    /// Marks a message as finished for its client; false if it was finished already.
     pub fn finish_message(&mut self, message: u64) -> bool {
         let Some(message) = self.messages.get_mut(&message) else {
             return false;
@@ -289,14 +294,14 @@
         true
     }
 
-    /// What the run was.
+    /// Ends the run and returns its result.
     pub fn finish(self, end: Millis) -> SocketRun {
         let now = self.now();
         SocketRun {
             figures: self.metrics.end(),
             verdict: self.judge.end(end.max(now)),
-            resource_usage: self.used,
-            max_lateness: self.late,
+            resource_usage: self.resource_usage,
+            max_lateness: self.max_lateness,
         }
     }
 }
