--- a/crates/lab/src/baseline_relay.rs
+++ b/crates/lab/src/baseline_relay.rs
@@ -1,6 +1,6 @@
-//! The baseline relay that the sender's throughput is measured against: the sender's framing, buffers and event loop with
-//! no write-ahead log and no decisions. It answers a request with 202, forwards it over a kept connection and reads the
-//! answer.
+//! The baseline relay, with which the sender's throughput is compared. It has the sender's framing, buffers and event
+//! loop, but no write-ahead log and no decision module. It answers a request with 202, forwards it over a persistent
+//! connection and reads the answer.
 
 use std::collections::VecDeque;
 use std::net::{SocketAddr, TcpListener};
@@ -17,28 +17,28 @@
 
 type Connection = martenlatch_http::Connection<usize>;
 
-/// Buffers, and so connections, that the relay holds.
+/// Number of buffers, which also bounds the number of connections.
 const BUFFERS: usize = 1_024;
-/// Requests that wait for a connection; further ones are rejected.
+/// The most requests that wait for a connection; further ones are rejected.
 const MAX_WAITING: usize = 1_024;
 /// A signal is noticed within this time.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the relay does and where.
+/// The options of the relay.
 #[derive(Clone, Debug)]
 pub struct RelayOptions {
-    /// Where it takes requests.
+    /// The address on which it accepts requests.
     pub listen: SocketAddr,
-    /// The endpoints that it forwards to, in turns.
+    /// The endpoints that it forwards to, in rotation.
     pub endpoints: Vec<SocketAddr>,
-    /// Calls in flight at most.
+    /// The most calls in flight.
     pub max_calls: usize,
 }
 
-/// Relays until it is told to end.
+/// Relays requests until SIGTERM or SIGINT.
 ///
 /// # Errors
-/// Where the address cannot be bound or the loop fails.
+/// If the address cannot be bound or the event loop fails.
 pub fn serve(options: RelayOptions) -> Result<(), LabError> {
     let listen = options.listen;
     relay_until_signalled(options).map_err(|source| LabError::Relay { listen, source })
@@ -69,7 +69,7 @@
     Ok(())
 }
 
-enum Peer {
+enum RelaySocket {
     Listener,
     Client(Connection),
     Endpoint { connection: Connection, busy: bool },
@@ -80,15 +80,15 @@
     handle: EventLoopHandle<usize>,
     buffers: BufferPool,
     listener: Rc<TcpListener>,
-    peers: Slab<Peer>,
+    sockets: Slab<RelaySocket>,
     /// Keys of connections to endpoints that carry no call.
-    idle: Vec<usize>,
-    /// Counts the connections that were opened; endpoints take turns by it.
+    idle_connections: Vec<usize>,
+    /// Number of connections opened so far, which selects the next endpoint.
     opened: usize,
-    /// Requests that wait for a connection.
+    /// Requests that wait for a connection, in the form that is sent to the endpoint.
     waiting: VecDeque<Vec<u8>>,
-    /// Connections to endpoints.
-    connections: usize,
+    /// Number of open connections to endpoints.
+    endpoint_connections: usize,
 }
 
 impl Relay {
@@ -102,38 +102,38 @@
             handle,
             buffers: BufferPool::new(BUFFERS),
             listener: Rc::new(listener),
-            peers: Slab::new(),
-            idle: Vec::new(),
+            sockets: Slab::new(),
+            idle_connections: Vec::new(),
             opened: 0,
             waiting: VecDeque::new(),
-            connections: 0,
+            endpoint_connections: 0,
         };
-        let key = relay.peers.insert(Peer::Listener);
+        let key = relay.sockets.insert(RelaySocket::Listener);
         http::register(&relay.handle, relay.listener.clone(), key)?;
         Ok(relay)
     }
 
     fn handle_ready(&mut self, key: usize) {
-        match self.peers.get(key) {
-            Some(Peer::Listener) => self.accept_clients(),
-            Some(Peer::Client(_)) => self.read_requests(key),
-            Some(Peer::Endpoint { .. }) => self.read_answer(key),
+        match self.sockets.get(key) {
+            Some(RelaySocket::Listener) => self.accept_clients(),
+            Some(RelaySocket::Client(_)) => self.read_requests(key),
+            Some(RelaySocket::Endpoint { .. }) => self.read_answer(key),
             None => {}
         }
     }
 
     fn accept_clients(&mut self) {
         while let Ok((stream, _)) = self.listener.accept() {
-            let entry = self.peers.vacant_entry();
+            let entry = self.sockets.vacant_entry();
             let connection = Connection::new(stream, &self.handle, &self.buffers, entry.key());
             if let Ok(connection) = connection {
-                entry.insert(Peer::Client(connection));
+                entry.insert(RelaySocket::Client(connection));
             }
         }
     }
 
     fn read_requests(&mut self, key: usize) {
-        let Some(Peer::Client(connection)) = self.peers.get_mut(key) else {
+        let Some(RelaySocket::Client(connection)) = self.sockets.get_mut(key) else {
             return;
         };
         connection.flush();
@@ -145,18 +145,18 @@
             } else if self.waiting.len() >= MAX_WAITING {
                 connection.queue(&http::encode_response(503, "Retry-After: 1\r\n", false));
             } else {
-                self.waiting.push_back(forwarded(&request));
+                self.waiting.push_back(forwarded_request(&request));
                 connection.queue(&http::encode_response(202, "", false));
             }
             connection.flush();
         }
         if connection.eof || connection.broken {
-            self.peers.remove(key);
+            self.sockets.remove(key);
         }
     }
 
     fn read_answer(&mut self, key: usize) {
-        let Some(Peer::Endpoint { connection, busy }) = self.peers.get_mut(key) else {
+        let Some(RelaySocket::Endpoint { connection, busy }) = self.sockets.get_mut(key) else {
             return;
         };
         connection.flush();
@@ -164,13 +164,13 @@
         if let Ok(Some(answer)) = http::parse_response(connection.bytes()) {
             connection.consume(answer.consumed);
             if std::mem::replace(busy, false) {
-                self.idle.push(key);
+                self.idle_connections.push(key);
             }
         }
         if connection.eof || connection.broken {
-            self.peers.remove(key);
-            self.idle.retain(|idle| *idle != key);
-            self.connections -= 1;
+            self.sockets.remove(key);
+            self.idle_connections.retain(|idle| *idle != key);
+            self.endpoint_connections -= 1;
         }
     }
 
@@ -179,7 +179,7 @@
             let Some(key) = self.endpoint_connection() else {
                 return;
             };
-            if let Some(Peer::Endpoint { connection, busy }) = self.peers.get_mut(key)
+            if let Some(RelaySocket::Endpoint { connection, busy }) = self.sockets.get_mut(key)
                 && let Some(call) = self.waiting.pop_front()
             {
                 *busy = true;
@@ -189,27 +189,31 @@
         }
     }
 
-    /// An idle connection to an endpoint, or a new one to the endpoint whose turn it is.
+    /// The key of an idle connection to an endpoint, or of a new one to the next endpoint in rotation; `None` if
+    /// `max_calls` connections are in use or none can be opened.
     fn endpoint_connection(&mut self) -> Option<usize> {
-        if let Some(idle) = self.idle.pop() {
+        if let Some(idle) = self.idle_connections.pop() {
             return Some(idle);
         }
-        if self.connections >= self.options.max_calls {
+        if self.endpoint_connections >= self.options.max_calls {
             return None;
         }
         let endpoints = &self.options.endpoints;
         let endpoint = endpoints[self.opened % endpoints.len()];
         self.opened += 1;
-        let key = self.peers.vacant_key();
+        let key = self.sockets.vacant_key();
         let connection = Connection::connect(endpoint, &self.handle, &self.buffers, key).ok()?;
-        self.connections += 1;
+        self.endpoint_connections += 1;
         let busy = false;
-        Some(self.peers.insert(Peer::Endpoint { connection, busy }))
+        Some(
+            self.sockets
+                .insert(RelaySocket::Endpoint { connection, busy }),
+        )
     }
 }
 
-/// A client's request as it goes to an endpoint.
-fn forwarded(request: &Request) -> Vec<u8> {
+/// A client's request in the form that is sent to an endpoint.
+fn forwarded_request(request: &Request) -> Vec<u8> {
     let id = request.header("x-request-id").unwrap_or("");
     let head = format!(
         "POST /v1/messages HTTP/1.1\r\nHost: relay\r\nX-Request-ID: {id}\r\nX-Timeout: 1.000\r\n\
--- a/crates/lab/src/sockets/calls.rs
+++ b/crates/lab/src/sockets/calls.rs
@@ -37,7 +37,7 @@
         }
         match admission {
             Admission::Answered(reply) => self.schedule_reply(number, reply),
-            Admission::Running => self.call_started(number, &call),
+            Admission::Running => self.run_call(number, &call),
             Admission::Queued => {}
         }
     }
@@ -57,7 +57,8 @@
         })
     }
 
-    fn call_started(&mut self, number: u64, call: &Call) {
+    /// Records that a call runs, and resets its connection if the call is to be reset.
+    fn run_call(&mut self, number: u64, call: &Call) {
         self.record(What::Ran { call: number });
         self.schedule_next_completion(call.partner);
         if call.reset_when_running {
--- a/crates/lab/src/sockets/partners.rs
+++ b/crates/lab/src/sockets/partners.rs
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Reads what a sender wrote on a connection to an endpoint, and starts the call of a complete request.
+    /// Reads what a sender wrote on a connection to an endpoint, and receives the call of a complete request.
     pub fn read_call(&mut self, key: usize) {
         let now = self.now();
         let Some(LabSocket::Endpoint(socket)) = self.sockets.get_mut(key) else {
@@ -111,7 +111,7 @@
             ParsedRequest::Complete(request) => {
                 socket.connection.consume(request.consumed);
                 match self.check_request(endpoint, &request) {
-                    Ok(message) => self.start_call(key, message, faults.reset, now),
+                    Ok(message) => self.receive_call(key, message, faults.reset, now),
                     Err(error) => self.fail(error),
                 }
             }
@@ -147,7 +147,7 @@
     }
 
     /// Records a call whose request has been read from a connection, and schedules its arrival or resets it.
-    fn start_call(&mut self, key: usize, number: u64, resets: ConnectionResets, now: Millis) {
+    fn receive_call(&mut self, key: usize, number: u64, resets: ConnectionResets, now: Millis) {
         let Some(message) = self.messages.get_mut(&number) else {
             return;
         };
--- a/crates/lab/src/throughput_ceiling/endpoints.rs
+++ b/crates/lab/src/throughput_ceiling/endpoints.rs
@@ -17,16 +17,16 @@
 
 const ENDPOINTS: usize = 4;
 const BUFFERS: usize = 4_096;
-/// Keys of listeners begin here, above those of connections.
-const LISTENER_KEYS: usize = 1 << 32;
-/// The end is noticed within this time.
+/// The first key of a listener; connections have lower keys.
+const FIRST_LISTENER_KEY: usize = 1 << 32;
+/// The thread notices the stop flag within this time.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
-/// Endpoints that answer at once, until they are dropped.
+/// Endpoints that answer every request at once. Dropping this stops them.
 pub(super) struct ImmediateEndpoints {
     pub addresses: Vec<SocketAddr>,
-    served: Arc<AtomicU64>,
+    answered: Arc<AtomicU64>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
@@ -35,9 +35,9 @@
     /// Opens the endpoints.
     ///
     /// # Errors
-    /// Where no port is free.
+    /// If no port is free.
     pub fn new() -> Result<ImmediateEndpoints, LabError> {
-        let served = Arc::new(AtomicU64::new(0));
+        let answered = Arc::new(AtomicU64::new(0));
         let stop = Arc::new(AtomicBool::new(false));
         let listeners = (0..ENDPOINTS)
             .map(|_| TcpListener::bind("127.0.0.1:0"))
@@ -47,20 +47,20 @@
             .iter()
             .filter_map(|listener| listener.local_addr().ok())
             .collect();
-        let counter = served.clone();
-        let stopped = stop.clone();
-        let thread = std::thread::spawn(move || serve(listeners, &counter, &stopped));
+        let counter = answered.clone();
+        let stop_flag = stop.clone();
+        let thread = std::thread::spawn(move || serve(listeners, &counter, &stop_flag));
         Ok(ImmediateEndpoints {
             addresses,
-            served,
+            answered,
             stop,
             thread: Some(thread),
         })
     }
 
-    /// How many requests were answered so far.
-    pub fn served(&self) -> u64 {
-        self.served.load(Ordering::Relaxed)
+    /// Number of requests answered so far.
+    pub fn answered(&self) -> u64 {
+        self.answered.load(Ordering::Relaxed)
     }
 }
 
@@ -73,12 +73,12 @@
     }
 }
 
-/// Answers until it is told to stop.
-fn serve(listeners: Vec<TcpListener>, served: &AtomicU64, stop: &AtomicBool) {
+/// Answers requests until `stop` is set.
+fn serve(listeners: Vec<TcpListener>, answered: &AtomicU64, stop: &AtomicBool) {
     let Ok(mut events) = EventLoop::<ReadyEvents<usize>>::try_new() else {
         return;
     };
-    let mut server = Server::new(listeners, events.handle(), served);
+    let mut server = Server::new(listeners, events.handle(), answered);
     let mut ready = ReadyEvents::<usize>::default();
     while !stop.load(Ordering::Relaxed) {
         for key in std::mem::take(&mut ready.keys) {
@@ -93,32 +93,32 @@
     connections: Slab<Connection>,
     handle: EventLoopHandle<usize>,
     buffers: BufferPool,
-    served: &'a AtomicU64,
+    answered: &'a AtomicU64,
 }
 
 impl<'a> Server<'a> {
     fn new(
         listeners: Vec<TcpListener>,
         handle: EventLoopHandle<usize>,
-        served: &'a AtomicU64,
+        answered: &'a AtomicU64,
     ) -> Server<'a> {
         let listeners: Vec<Rc<TcpListener>> = listeners.into_iter().map(Rc::new).collect();
         for (number, listener) in listeners.iter().enumerate() {
             let _ = listener.set_nonblocking(true);
-            let _ = http::register(&handle, listener.clone(), LISTENER_KEYS + number);
+            let _ = http::register(&handle, listener.clone(), FIRST_LISTENER_KEY + number);
         }
         Server {
             listeners,
             connections: Slab::new(),
             handle,
             buffers: BufferPool::new(BUFFERS),
-            served,
+            answered,
         }
     }
 
     fn handle_ready(&mut self, key: usize) {
-        if key >= LISTENER_KEYS {
-            self.accept(key - LISTENER_KEYS);
+        if key >= FIRST_LISTENER_KEY {
+            self.accept(key - FIRST_LISTENER_KEY);
         } else {
             self.answer(key);
         }
@@ -141,7 +141,7 @@
         connection.receive();
         while let ParsedRequest::Complete(request) = http::parse_request(connection.bytes()) {
             connection.consume(request.consumed);
-            self.served.fetch_add(1, Ordering::Relaxed);
+            self.answered.fetch_add(1, Ordering::Relaxed);
             connection.queue(ANSWER);
         }
         connection.flush();
--- a/crates/lab/src/throughput_ceiling/load_generator.rs
+++ b/crates/lab/src/throughput_ceiling/load_generator.rs
@@ -1,4 +1,4 @@
-//! A load that hands messages in as fast as they are delivered, with a bound on those in flight.
+//! A load generator that submits messages as fast as they are delivered, with a bound on the messages in flight.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -11,23 +11,23 @@
 use super::endpoints::ImmediateEndpoints;
 use crate::error::LabError;
 
-/// Connections of the load.
+/// Number of client connections.
 const CLIENTS: usize = 32;
 const BUFFERS_PER_CLIENT: usize = 4;
-/// Bytes of a message's body.
+/// Length of a message body in bytes.
 const BODY_SIZE: usize = 212;
 const ACCEPTED_STATUS: u16 = 202;
 const POLL_INTERVAL: Duration = Duration::from_micros(200);
 
-/// A connection that hands messages in, one at a time.
+/// A client connection that submits one message at a time.
 struct Client {
     connection: Connection,
-    /// It waits for an answer.
+    /// Whether an answer is outstanding.
     waiting: bool,
 }
 
 impl Client {
-    /// Reads an answer, if one has come; whether it accepts the message.
+    /// Reads an answer, if a complete one has arrived. Returns whether it accepts the message.
     fn read_answer(&mut self) -> bool {
         self.connection.receive();
         if !self.waiting {
@@ -41,7 +41,7 @@
         answer.status == ACCEPTED_STATUS
     }
 
-    fn hand_in(&mut self, message: u64, body: &str) {
+    fn submit(&mut self, message: u64, body: &str) {
         let request = format!(
             "POST /load HTTP/1.1\r\nHost: roof\r\nX-Request-ID: r{message}\r\nX-Timeout: 10.000\r\nX-Route-To: dest=0\r\n\
              Content-Length: {BODY_SIZE}\r\n\r\n{body}"
@@ -52,7 +52,7 @@
     }
 }
 
-/// Hands messages in, each under a number of its own.
+/// Submits messages, each with a unique number.
 pub(super) struct LoadGenerator<'a> {
     endpoints: &'a ImmediateEndpoints,
     max_in_flight: u64,
@@ -60,7 +60,7 @@
 }
 
 impl<'a> LoadGenerator<'a> {
-    /// A load for programs that deliver to these endpoints.
+    /// A load generator for programs that deliver to these endpoints.
     pub fn new(endpoints: &'a ImmediateEndpoints, max_in_flight: u64) -> LoadGenerator<'a> {
         LoadGenerator {
             endpoints,
@@ -69,34 +69,34 @@
         }
     }
 
-    /// How many messages were delivered so far, by all programs.
-    pub fn served(&self) -> u64 {
-        self.endpoints.served()
+    /// Number of messages that all programs have delivered so far.
+    pub fn delivered(&self) -> u64 {
+        self.endpoints.answered()
     }
 
-    /// Puts a program under load for a time; how many messages were delivered a second.
+    /// Loads a program for the given time, and returns the number of messages delivered a second.
     ///
     /// # Errors
-    /// Where the program cannot be reached, or closes a connection.
-    pub fn run(&mut self, to: SocketAddr, span: Duration) -> Result<f64, LabError> {
+    /// If the program cannot be reached, or closes a connection.
+    pub fn run(&mut self, to: SocketAddr, duration: Duration) -> Result<f64, LabError> {
         let mut events = EventLoop::<ReadyEvents<usize>>::try_new().map_err(LabError::EventLoop)?;
         let buffers = BufferPool::new(CLIENTS * BUFFERS_PER_CLIENT);
         let mut clients = connect(to, &events.handle(), &buffers)?;
         let body = "x".repeat(BODY_SIZE);
         let start = Instant::now();
-        let before = self.served();
+        let delivered_before = self.delivered();
         let mut accepted = 0;
         let mut ready = ReadyEvents::default();
-        while start.elapsed() < span {
+        while start.elapsed() < duration {
             for client in &mut clients {
                 accepted += u64::from(client.read_answer());
                 if client.connection.eof || client.connection.broken {
                     return Err(LabError::ClosedUnderLoad(to));
                 }
-                let in_flight = (before + accepted).saturating_sub(self.served());
+                let in_flight = (delivered_before + accepted).saturating_sub(self.delivered());
                 if !client.waiting && in_flight < self.max_in_flight {
                     self.last_message += 1;
-                    client.hand_in(self.last_message, &body);
+                    client.submit(self.last_message, &body);
                 }
             }
             events
@@ -104,7 +104,7 @@
                 .map_err(LabError::Dispatch)?;
             ready.keys.clear();
         }
-        let delivered = self.served() - before;
+        let delivered = self.delivered() - delivered_before;
         Ok(delivered as f64 / start.elapsed().as_secs_f64())
     }
 }
--- a/crates/lab/src/throughput_ceiling/mod.rs
+++ b/crates/lab/src/throughput_ceiling/mod.rs
@@ -1,5 +1,6 @@
-//! The throughput ceiling: how many messages a second a sender delivers with nothing to hold it back, and what each
-//! costs, against the baseline relay. Both are pinned to one core and take turns; the figures are the machine's.
+//! The throughput ceiling: the messages that a sender delivers a second when no partner or limit slows it down, and the
+//! processor time for each, compared with the baseline relay. Both programs are pinned to the same core and are measured
+//! in alternating turns. The figures depend on the machine.
 
 mod endpoints;
 mod load_generator;
@@ -25,25 +26,25 @@
 
 type Connection = martenlatch_http::Connection<usize>;
 
-/// Calls in flight at most, of either program.
+/// The most calls in flight, for each of the two programs.
 const MAX_CALLS: usize = 64;
-/// The relay has so long until it listens.
+/// How long the relay may take until it listens.
 const RELAY_START_TIMEOUT: Duration = Duration::from_secs(5);
 const START_POLL: Duration = Duration::from_millis(5);
-/// Between two turns: what is still in flight must not count for the other program.
+/// Pause between two turns, so that messages still in flight are not counted for the other program.
 const SETTLE_TIME: Duration = Duration::from_millis(200);
 const SEED: u64 = 1;
 
-/// What one program did in one turn.
+/// The figures of one program in one turn.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TurnFigures {
     /// Messages delivered a second.
     pub messages_per_second: f64,
-    /// Processor time for each, in microseconds.
+    /// Processor time for each message, in microseconds.
     pub cpu_us_per_message: f64,
 }
 
-/// What both programs did, turn by turn.
+/// The figures of both programs, by turn.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ThroughputCeiling {
     /// The sender.
@@ -52,84 +53,84 @@
     pub relay: Vec<TurnFigures>,
 }
 
-/// How the ceiling is measured.
+/// The parameters of a measurement.
 #[derive(Clone, Copy, Debug)]
 pub struct MeasurementPlan<'a> {
     /// The sender's program.
     pub program: &'a Path,
-    /// Turns of each program; one before them is not counted.
+    /// Number of counted turns of each program. One uncounted turn precedes them.
     pub turns: usize,
-    /// How long a turn is.
+    /// Length of a turn.
     pub turn_length: Duration,
-    /// Messages in flight at most.
+    /// The most messages in flight.
     pub max_in_flight: u64,
 }
 
 /// A program under test.
 #[derive(Clone, Copy)]
 struct Target {
-    process: u32,
+    pid: u32,
     address: SocketAddr,
 }
 
-/// Measures both programs in turns.
+/// Measures both programs in alternating turns.
 ///
 /// # Errors
-/// Where a program does not start, or ends.
+/// If a program does not start, or ends.
 pub fn measure(plan: &MeasurementPlan) -> Result<ThroughputCeiling, LabError> {
     let endpoints = ImmediateEndpoints::new()?;
     let sender = RunningSender::start(plan.program, &endpoints.addresses)?;
     let relay = RunningRelay::start(&endpoints.addresses)?;
     let sender_target = Target {
-        process: sender.process.pid().ok_or(LabError::SenderGone)?,
+        pid: sender.process.pid().ok_or(LabError::SenderGone)?,
         address: sender.process.address,
     };
     let relay_target = Target {
-        process: relay.child.id(),
+        pid: relay.child.id(),
         address: relay.address,
     };
-    pin_to_last_core(sender_target.process)?;
-    pin_to_last_core(relay_target.process)?;
+    pin_to_last_core(sender_target.pid)?;
+    pin_to_last_core(relay_target.pid)?;
     let mut load = LoadGenerator::new(&endpoints, plan.max_in_flight);
     let mut ceiling = ThroughputCeiling::default();
     for turn in 0..plan.turns + 1 {
-        let of_sender = measure_turn(sender_target, &mut load, plan.turn_length)?;
+        let sender_figures = measure_turn(sender_target, &mut load, plan.turn_length)?;
         std::thread::sleep(SETTLE_TIME);
-        let of_relay = measure_turn(relay_target, &mut load, plan.turn_length)?;
+        let relay_figures = measure_turn(relay_target, &mut load, plan.turn_length)?;
         std::thread::sleep(SETTLE_TIME);
         if turn > 0 {
-            ceiling.sender.push(of_sender);
-            ceiling.relay.push(of_relay);
+            ceiling.sender.push(sender_figures);
+            ceiling.relay.push(relay_figures);
         }
     }
     Ok(ceiling)
 }
 
-/// One turn: what was delivered, and the processor time that the program took for it.
+/// Loads one program for one turn, and measures its throughput and the processor time for each message.
 fn measure_turn(
     target: Target,
     load: &mut LoadGenerator,
     turn_length: Duration,
 ) -> Result<TurnFigures, LabError> {
     let cpu_ms = || {
-        ResourceUsage::of_process(target.process)
-            .map(|used| used.cpu_ms)
+        ResourceUsage::of_process(target.pid)
+            .map(|usage| usage.cpu_ms)
             .ok_or(LabError::ProgramEnded)
     };
     let cpu_before = cpu_ms()?;
-    let served_before = load.served();
+    let delivered_before = load.delivered();
     let messages_per_second = load.run(target.address, turn_length)?;
     let cpu_after = cpu_ms()?;
-    let served_after = load.served();
-    let messages = (served_after - served_before).max(1) as f64;
+    let delivered_after = load.delivered();
+    let messages = (delivered_after - delivered_before).max(1) as f64;
     Ok(TurnFigures {
         messages_per_second,
         cpu_us_per_message: (cpu_after - cpu_before) * 1e3 / messages,
     })
 }
 
-/// A sender that serves, without discovery: nobody answers at its agent's address, so that it keeps the endpoint list
-/// that it was started with.
+/// A running sender without discovery. A listener that never answers takes the place of its agent, so that the sender
+/// keeps the endpoint list that it was started with.
 struct RunningSender {
     process: SenderProcess,
     _silent_agent: TcpListener,
@@ -139,7 +140,7 @@
     fn start(program: &Path, endpoints: &[SocketAddr]) -> Result<RunningSender, LabError> {
         let settings = sender_settings();
         let targets: Vec<Value> = endpoints.iter().enumerate().map(list_entry).collect();
-        let known = json!({"rev": 1, "all": true, "targets": targets});
+        let endpoint_list = json!({"rev": 1, "all": true, "targets": targets});
         let silent_agent = TcpListener::bind("127.0.0.1:0").map_err(LabError::Port)?;
         let mut process = SenderProcess::prepare(&SenderOptions {
             number: 0,
@@ -149,7 +150,7 @@
             platform_settings: &settings,
             seed: SEED,
         })?;
-        process.configure(known)?;
+        process.configure(endpoint_list)?;
         process.start()?;
         process.wait_until_ready(START_POLL)?;
         Ok(RunningSender {
@@ -159,7 +160,7 @@
     }
 }
 
-/// Settings that let the sender send as fast as it can.
+/// Platform settings under which the sender sends as fast as it can.
 fn sender_settings() -> Value {
     let text = format!(
         "length_s: 1 load {{ level: 1 }} world {{ senders: 1 partners: 1 full_rate: 100000
@@ -168,7 +169,7 @@
          variant {{ name: \"v\" slots: {MAX_CALLS} hold_limit: 4096 second_copies: false }}"
     );
     let experiment = Experiment::read("roof", "roof", &text)
-        .unwrap_or_else(|fault| panic!("the measurement's own experiment is valid: {fault}"));
+        .unwrap_or_else(|error| panic!("the measurement's own experiment is invalid: {error}"));
     let site = Site::new(&experiment.world, SEED);
     let settings = sim::settings(&experiment, &experiment.variants[0], &site);
     let mut settings = platform_settings(&settings, &["load".into()], &["k".into()]);
@@ -189,7 +190,7 @@
     })
 }
 
-/// The baseline relay as a child process, which ends with its owner.
+/// The baseline relay as a child process. Dropping this kills the process.
 struct RunningRelay {
     child: Child,
     address: SocketAddr,
@@ -232,10 +233,13 @@
     }
 }
 
-fn pin_to_last_core(process: u32) -> Result<(), LabError> {
+fn pin_to_last_core(pid: u32) -> Result<(), LabError> {
     let cores = std::thread::available_parallelism().map_or(1, |cores| cores.get());
     let mut set = CpuSet::new();
     set.set(cores - 1)
-        .and_then(|()| sched_setaffinity(Pid::from_raw(process as i32), &set))
-        .map_err(|source| LabError::PinToCore { process, source })
+        .and_then(|()| sched_setaffinity(Pid::from_raw(pid as i32), &set))
+        .map_err(|source| LabError::PinToCore {
+            process: pid,
+            source,
+        })
 }
