--- a/crates/lab/src/experiment/defaults.rs
+++ b/crates/lab/src/experiment/defaults.rs
@@ -1,10 +1,10 @@
-//! The kinds of partner and the classes of message of an experiment that names none.
+//! The default kinds of partner, classes of message and variant, for an experiment that does not give its own.
 
 use martenlatch_settings::schema::experiment as schema;
 use schema::class::Effect;
 use schema::kind::Limit;
 
-/// The usual kinds of partner.
+/// The default kinds of partner.
 pub(super) fn kinds() -> Vec<schema::Kind> {
     vec![
         schema::Kind {
@@ -43,7 +43,7 @@
     Some(schema::Span { least, most })
 }
 
-/// The usual classes of message.
+/// The default classes of message.
 pub(super) fn classes() -> Vec<schema::Class> {
     vec![
         schema::Class {
@@ -64,7 +64,7 @@
     ]
 }
 
-/// The variant of an experiment that names none.
+/// The default variant.
 pub(super) fn variant() -> schema::Variant {
     schema::Variant {
         name: "base".into(),
--- a/crates/lab/src/experiment/mod.rs
+++ b/crates/lab/src/experiment/mod.rs
@@ -1,6 +1,5 @@
-//! Experiments: the world, the load, the failures and the variants that an experiment's file describes, checked and
-//! with the defaults filled in. The fields are described in the schema of experiments; times are in milliseconds
-//! here.
+//! Experiments: the world, the load, the failures and the variants of an experiment file, checked and with defaults
+//! filled in. `proto/experiment.proto` describes the fields of the file. Times are in milliseconds here.
 
 mod defaults;
 mod failure_reader;
@@ -22,33 +21,33 @@
 pub use schema::failure::What as FailureKind;
 pub use schema::kind::Limit as RateLimitKind;
 
-/// The name of an experiment whose file has none.
-const NAMELESS: &str = "experiment";
+/// The name of an experiment whose file has no name.
+const DEFAULT_NAME: &str = "experiment";
 
 /// A checked experiment.
 #[derive(Clone, Debug)]
 pub struct Experiment {
-    /// Its file's name without the ending.
+    /// The name of its file without the extension.
     pub name: String,
-    /// What it is meant to show.
+    /// The purpose of the experiment, in a sentence.
     pub about: String,
-    /// How long messages are submitted.
+    /// How long clients submit messages.
     pub length: Millis,
     /// The first seed.
     pub seed: u64,
-    /// How many seeds every variant runs with.
+    /// Number of seeds with which each variant runs.
     pub repeats: u32,
-    /// Partners, senders and what is between them.
+    /// The partners, the senders and the network between them.
     pub world: World,
-    /// What clients do.
+    /// The messages that clients submit.
     pub load: Load,
-    /// What goes wrong.
+    /// The failures that occur during a run.
     pub failures: Vec<Failure>,
-    /// What is compared; the first is what the others are compared with.
+    /// The variants that are compared. The first one is the base of the comparison.
     pub variants: Vec<Variant>,
 }
 
-/// Partners, senders and what is between them.
+/// The partners, the senders and the network between them.
 #[derive(Clone, Debug)]
 pub struct World {
     /// Number of senders.
@@ -63,11 +62,11 @@
     pub full_rate: f64,
     /// One-way latency between two machines, in milliseconds.
     pub latency: Span,
-    /// Partners close connections that have been idle for so long.
+    /// Partners close connections that have been idle for this long.
     pub idle_timeout: Millis,
-    /// Connections that an endpoint takes.
+    /// The most connections that an endpoint accepts.
     pub connections_per_endpoint: u32,
-    /// Lateness of the endpoint list, in milliseconds.
+    /// Delay with which a change to the endpoint list reaches a sender, in milliseconds.
     pub list_lateness: Span,
     /// The kinds of partner.
     pub kinds: Vec<Kind>,
@@ -82,29 +81,29 @@
     pub name: String,
     /// Its share of the partners, relative to the other kinds.
     pub share: f64,
-    /// How strongly it leans to the partners with the most traffic.
+    /// Shift of its partners in the ranking by traffic. Higher values mean more traffic.
     pub traffic_lean: f64,
     /// The form of its rate limit.
     pub rate_limit: RateLimitKind,
-    /// Its limit is so many times its rate at full load ...
+    /// Rate limit as a multiple of the partner's rate of calls at full load.
     pub headroom: Span,
-    /// ... and at least so many calls a second.
+    /// Lower bound of the rate limit, in calls a second.
     pub least_rate: Span,
-    /// Length of the window of its limit.
+    /// Length of the window of the rate limit.
     pub limit_window: Millis,
-    /// Rejected calls count against the limit too.
+    /// Whether rejected calls count against the rate limit as well.
     pub rejections_count: bool,
     /// Share of the rejections that give a Retry-After.
     pub retry_after_share: f64,
-    /// The Retry-After of a rate limit, in milliseconds.
+    /// The Retry-After that a partner with limit `RATE` gives, in milliseconds.
     pub retry_after: Span,
-    /// Its service times are so many times the class's.
+    /// Service times as a multiple of those of the message class.
     pub service_time_factor: Span,
-    /// Calls that may queue at an endpoint, for each core.
+    /// The most calls that queue at an endpoint, for each of its cores.
     pub queue_per_core: Span,
-    /// Share of its capacity that it has right after an outage.
+    /// Share of the capacity that is available right after an outage.
     pub initial_share: f64,
-    /// How long it takes to warm up.
+    /// Time from the end of an outage until the whole capacity is available.
     pub warm_up: Millis,
     /// Share of the calls that fail.
     pub error_share: f64,
@@ -123,94 +122,95 @@
     pub work_variation: f64,
     /// Whether a message may be repeated.
     pub effect: Effect,
-    /// How long partners remember an idempotency key.
+    /// How long partners remember an idempotency key, for class `KEYED`.
     pub idempotency_window: Millis,
     /// The latency objective.
     pub latency_objective: Millis,
-    /// Time until a message is late for good.
+    /// Time from the first submission of a message to its deadline.
     pub deadline: Millis,
-    /// The least worth of a message that is delivered by its deadline.
+    /// The least worth of a message that is delivered by its deadline, as a share of its full worth.
     pub late_weight_share: f64,
 }
 
 impl Class {
-    /// Worth of a message delivered so long after it was first submitted: one within the latency objective, then half
-    /// as much with each further objective, at least the late worth, and nothing after the deadline.
-    pub fn worth(&self, after: Millis) -> f64 {
-        if after > self.deadline {
+    /// Worth of a message that is delivered `latency` after its first submission: 1 within the latency objective, then
+    /// half as much for each further objective but at least `late_weight_share`, and 0 after the deadline.
+    pub fn worth(&self, latency: Millis) -> f64 {
+        if latency > self.deadline {
             return 0.0;
         }
-        let objectives_late = ((after - self.latency_objective) / self.latency_objective).max(0.0);
+        let objectives_late =
+            ((latency - self.latency_objective) / self.latency_objective).max(0.0);
         0.5f64.powf(objectives_late).max(self.late_weight_share)
     }
 }
 
-/// What clients do.
+/// The messages that clients submit, and how clients retry them.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Share of the full load.
+    /// Load as a share of the full load.
     pub level: f64,
-    /// Share of the messages that come in clumps.
+    /// Share of the messages that are submitted in clumps, which are bursts for one partner.
     pub clump_share: f64,
-    /// A clump has the messages of so many seconds of its partner's full rate.
+    /// Size of a clump, as the number of seconds in which its partner gets as many messages at its full rate.
     pub clump_seconds: Span,
-    /// Relative amplitude of a slow swing of the load.
+    /// Relative amplitude of a slow periodic variation of the load.
     pub swing: f64,
-    /// Period of that swing.
+    /// Period of that variation.
     pub swing_period: Millis,
-    /// How often a client retries a message.
+    /// How many times a client retries a message.
     pub retries: u32,
     /// A client's backoff, in milliseconds.
     pub backoff: Span,
 }
 
-/// One thing that goes wrong.
+/// A failure during a run.
 #[derive(Clone, Debug)]
 pub struct Failure {
-    /// What.
+    /// The kind of failure.
     pub kind: FailureKind,
     /// When it begins, from the start of the run.
     pub start: Millis,
     /// When it ends, from the start of the run.
     pub end: Millis,
-    /// Its size: a factor or a time, depending on what it is.
+    /// Its size: a factor or a time in milliseconds, depending on the kind.
     pub size: f64,
-    /// The share that is hit.
+    /// The share of calls or answers that is affected.
     pub share: f64,
     /// Time between two repetitions.
     pub repeat_interval: Millis,
-    /// The partners that are hit, by their rank by traffic.
+    /// The affected partners, as ranks by traffic from 0.
     pub partner_ranks: Vec<u32>,
-    /// The busiest partners with this share of the traffic are hit.
+    /// If given, the busiest partners that together have this share of the traffic are affected.
     pub traffic_share: Option<f64>,
-    /// The sender that is hit.
+    /// The affected sender.
     pub sender: u32,
-    /// A replacement takes the address of the endpoint that it replaces.
+    /// Whether a new endpoint takes the address of a retired one, in runs on sockets.
     pub reuse_address: bool,
 }
 
-/// What is compared.
+/// One way to run the senders. Variants are compared with each other.
 #[derive(Clone, Debug)]
 pub struct Variant {
     /// Its name.
     pub name: String,
-    /// Attempts that a sender may have in flight.
+    /// The most attempts that a sender may have in flight.
     pub max_in_flight: Option<usize>,
-    /// Messages that a sender may hold.
+    /// The most messages that a sender may hold.
     pub max_held: Option<usize>,
-    /// Attempts that a message may have.
+    /// The most attempts for a message.
     pub max_attempts: u32,
     /// Whether requests may be hedged.
     pub may_hedge: bool,
     /// Whether attempts may be cancelled.
     pub may_cancel: bool,
-    /// The program that is run on sockets; none: the workspace's own.
+    /// The sender's program in runs on sockets; `None` for the program next to the laboratory's.
     pub program: Option<PathBuf>,
-    /// A settings file for that program.
+    /// The settings file of the program.
     pub settings_file: Option<PathBuf>,
-    /// A sender that starts receives the gossip of those that run.
+    /// Whether a sender that starts receives the gossip of the running ones.
     pub receives_gossip: bool,
-    /// How old that gossip is, in simulated time.
+    /// Age of that gossip, in simulated time.
     pub gossip_age: Millis,
 }
 
@@ -224,7 +224,7 @@
 }
 
 impl Experiment {
-    /// When the last message that can come has its deadline, in milliseconds from the start of a run.
+    /// The latest deadline that a message can have, in milliseconds from the start of a run.
     pub fn last_deadline(&self) -> Millis {
         let deadlines = self.world.classes.iter().map(|class| class.deadline);
         self.length + deadlines.fold(0.0, f64::max)
@@ -233,25 +233,25 @@
     /// Reads an experiment's file.
     ///
     /// # Errors
-    /// One line that names the file, and the line and the field where it is the text that is wrong.
+    /// A file that cannot be read, or an error in its text, which names the file, the line and the field.
     pub fn open(file: &Path) -> Result<Experiment, LabError> {
         let text = std::fs::read_to_string(file).map_err(LabError::file(file))?;
         let name = file
             .file_stem()
-            .map_or(NAMELESS.into(), |stem| stem.to_string_lossy());
+            .map_or(DEFAULT_NAME.into(), |stem| stem.to_string_lossy());
         let experiment = Experiment::read(&name, &file.display().to_string(), &text)?;
         Ok(experiment)
     }
 
-    /// Reads an experiment's text; `file` names it in errors.
+    /// Reads an experiment's text. `file_name` names the file in errors.
     ///
     /// # Errors
-    /// The first fault of form or of bounds.
-    pub fn read(name: &str, file: &str, text: &str) -> Result<Experiment, FieldError> {
-        reader::read(name, file, text)
+    /// The first error of syntax or of bounds.
+    pub fn read(name: &str, file_name: &str, text: &str) -> Result<Experiment, FieldError> {
+        reader::read(name, file_name, text)
     }
 
-    /// When a sender starts that is not there from the beginning.
+    /// When a sender joins; `None` if it is started before the run begins.
     pub fn join_time(&self, sender: u32) -> Option<Millis> {
         self.failures
             .iter()
@@ -259,13 +259,13 @@
             .map(|failure| failure.start)
     }
 
-    /// The work of a class's messages; its mean is drawn once for a world.
+    /// The distribution of the work of a class's messages. Its mean is drawn once for each seed.
     pub fn work_distribution(&self, seed: u64, class: u32) -> WorkDistribution {
-        let drawn = &self.world.classes[class as usize];
+        let class_settings = &self.world.classes[class as usize];
         let mut rng = rng_for(seed, Stream::Work, u64::MAX, class.into());
         WorkDistribution {
-            mean: uniform(&mut rng, drawn.work),
-            variation: drawn.work_variation,
+            mean: uniform(&mut rng, class_settings.work),
+            variation: class_settings.work_variation,
         }
     }
 }
--- a/crates/lab/src/experiment/rules.rs
+++ b/crates/lab/src/experiment/rules.rs
@@ -1,14 +1,10 @@
-//! Defaults and bounds of the numbers in an experiment's file, section by section.
+//! Defaults and bounds of the numbers in an experiment file, by section. A constant has the name of its field.
 
 use crate::sampling::Span;
 
-/// An hour in seconds.
 const HOUR_S: f64 = 3_600.0;
-/// A day in seconds.
 const DAY_S: f64 = 86_400.0;
-/// An hour in milliseconds.
 const HOUR_MS: f64 = 3.6e6;
-/// A day in milliseconds.
 pub const DAY_MS: f64 = 8.64e7;
 
 /// The default and the bounds of a number.
@@ -25,11 +21,11 @@
     pub bounds: Span,
 }
 
-/// The default and the upper bound of a count; the lower is one.
+/// The default and the upper bound of a count, whose lower bound is one.
 #[derive(Clone, Copy)]
 pub struct CountRule {
     pub default: u32,
-    pub most: u32,
+    pub max: u32,
 }
 
 pub const fn number(default: f64, least: f64, most: f64) -> NumberRule {
@@ -46,16 +42,16 @@
     }
 }
 
-const fn count(default: u32, most: u32) -> CountRule {
-    CountRule { default, most }
+const fn count(default: u32, max: u32) -> CountRule {
+    CountRule { default, max }
 }
 
-/// The relative share of a kind or a class.
+/// Bounds of the relative share of a kind or a class.
 pub const RELATIVE_SHARE: Span = Span::new(1e-6, 1e6);
-/// A share of a whole.
+/// Bounds of a share of a whole.
 pub const SHARE: Span = Span::new(0.0, 1.0);
 
-/// The top of the file.
+/// The top level of the file.
 pub mod top {
     use super::{CountRule, DAY_S, Span, count};
 
@@ -106,7 +102,7 @@
     pub const WINDOW_MS: NumberRule = number(0.0, 0.0, DAY_MS);
     pub const LATE_WORTH: NumberRule = number(0.4, 0.0, 1.0);
 
-    /// The deadline is not before the latency objective.
+    /// A deadline must not be shorter than the latency objective.
     pub const fn deadline_ms(latency_objective: f64) -> NumberRule {
         number(16_000.0, latency_objective, DAY_MS)
     }
@@ -131,11 +127,12 @@
 
     pub const LENGTH_S: Span = Span::new(0.0, DAY_S);
     pub const EVERY_S: Span = Span::new(0.01, HOUR_S);
-    /// Stands for the size of a failure that has none.
-    pub const NO_SIZE: NumberRule = number(1.0, 0.0, 1e9);
-    /// Stands for the share and the repetition, in seconds, of a failure that has none.
-    pub const NO_PART: f64 = 1.0;
-    pub const NO_EVERY_S: f64 = 1.0;
+    /// The size of a failure that does not use one.
+    pub const UNUSED_SIZE: NumberRule = number(1.0, 0.0, 1e9);
+    /// The affected share of a failure that does not use one.
+    pub const UNUSED_PART: f64 = 1.0;
+    /// The time between repetitions of a failure that does not use one.
+    pub const UNUSED_EVERY_S: f64 = 1.0;
 }
 
 /// The sections `variant`.
--- a/crates/lab/src/experiment/section.rs
+++ b/crates/lab/src/experiment/section.rs
@@ -1,5 +1,5 @@
-//! Checked access to the fields of one section of an experiment's text. Errors name the field by its path from the
-//! top.
+//! Checked access to the fields of one section of an experiment's text. Errors name a field by its path from the top
+//! level.
 
 use martenlatch_settings::schema::experiment as schema;
 use martenlatch_settings::text::{FieldError, ParsedFile};
@@ -7,20 +7,20 @@
 use super::rules::{CountRule, NumberRule, SpanRule};
 use crate::sampling::Span;
 
-/// The text of an experiment as read.
-pub type Text = ParsedFile<schema::Experiment>;
+/// A parsed experiment file.
+pub type ExperimentFile = ParsedFile<schema::Experiment>;
 
-/// A section of the text.
+/// A section of an experiment file.
 pub struct Section<'a> {
-    text: &'a Text,
-    /// From the top; empty for the top itself.
+    file: &'a ExperimentFile,
+    /// The path of the section from the top level; empty for the top level itself.
     path: String,
 }
 
 impl<'a> Section<'a> {
-    pub fn new(text: &'a Text, path: impl Into<String>) -> Section<'a> {
+    pub fn new(file: &'a ExperimentFile, path: impl Into<String>) -> Section<'a> {
         Section {
-            text,
+            file,
             path: path.into(),
         }
     }
@@ -32,26 +32,26 @@
         format!("{}.{field}", self.path)
     }
 
-    /// The fault of a field.
-    pub fn fault(&self, field: &str, reason: impl Into<String>) -> FieldError {
-        self.text.field_error(&self.path_of(field), reason)
+    /// An error of a field.
+    pub fn field_error(&self, field: &str, reason: impl Into<String>) -> FieldError {
+        self.file.field_error(&self.path_of(field), reason)
     }
 
-    /// A number within bounds.
-    pub fn checked(&self, field: &str, value: f64, bounds: Span) -> Result<f64, FieldError> {
+    /// Checks that a number is within bounds, and returns it.
+    pub fn check_bounds(&self, field: &str, value: f64, bounds: Span) -> Result<f64, FieldError> {
         let path = self.path_of(field);
-        self.text
+        self.file
             .check_bounds(&path, value, bounds.least, bounds.most)
     }
 
-    /// A number within its bounds, or its default; the default is checked too.
+    /// A number within its bounds, or its default, which is checked as well.
     pub fn number(
         &self,
         field: &str,
         given: Option<f64>,
         rule: NumberRule,
     ) -> Result<f64, FieldError> {
-        self.checked(field, given.unwrap_or(rule.default), rule.bounds)
+        self.check_bounds(field, given.unwrap_or(rule.default), rule.bounds)
     }
 
     /// A count within its bounds, or its default.
@@ -62,12 +62,12 @@
         rule: CountRule,
     ) -> Result<u32, FieldError> {
         let value = given.unwrap_or(rule.default);
-        let bounds = Span::new(1.0, rule.most.into());
-        self.checked(field, value.into(), bounds)?;
+        let bounds = Span::new(1.0, rule.max.into());
+        self.check_bounds(field, value.into(), bounds)?;
         Ok(value)
     }
 
-    /// A count within bounds, if it is given.
+    /// A count within bounds; `None` if it is absent.
     pub fn optional_count(
         &self,
         field: &str,
@@ -77,11 +77,11 @@
         let Some(value) = given else {
             return Ok(None);
         };
-        let checked = self.checked(field, value.into(), bounds)?;
+        let checked = self.check_bounds(field, value.into(), bounds)?;
         Ok(Some(checked as usize))
     }
 
-    /// A range within its bounds, or its default.
+    /// A range within its bounds, or its default. Its upper end must not be below its lower end.
     pub fn span(
         &self,
         field: &str,
@@ -91,16 +91,16 @@
         let Some(given) = given else {
             return Ok(rule.default);
         };
-        self.checked(&format!("{field}.least"), given.least, rule.bounds)?;
-        let from_least = Span::new(given.least, rule.bounds.most);
-        self.checked(&format!("{field}.most"), given.most, from_least)?;
+        self.check_bounds(&format!("{field}.least"), given.least, rule.bounds)?;
+        let bounds_of_most = Span::new(given.least, rule.bounds.most);
+        self.check_bounds(&format!("{field}.most"), given.most, bounds_of_most)?;
         Ok(Span::new(given.least, given.most))
     }
 
-    /// The name of what the section describes, which must not be empty.
+    /// A name, which must not be empty.
     pub fn name(&self, given: &str) -> Result<String, FieldError> {
         if given.is_empty() {
-            return Err(self.fault("name", "a name is wanted"));
+            return Err(self.field_error("name", "a name is required"));
         }
         Ok(given.into())
     }
--- a/crates/lab/src/model/fault_schedule.rs
+++ b/crates/lab/src/model/fault_schedule.rs
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Pauses come every `every` milliseconds and last `size` each.
+    /// Pauses come every `repeat_interval` milliseconds and last `size` each.
     fn add_pause(&mut self, failure: &Failure, now: Millis) {
         let since = (now - failure.start) % failure.repeat_interval;
         if since < failure.size {
--- a/crates/lab/tests/runs.rs
+++ b/crates/lab/tests/runs.rs
@@ -208,16 +208,16 @@
 )]
 #[case::unused(
     "length_s: 5\nload { level: 1 }\nfailure {\n what: HANG\n size: 3 }",
-    ":5: failure[0].size: HANG does not use it"
+    ":5: failure[0].size: HANG does not use this field"
 )]
 #[case::no_length("load { level: 1 }", ":1: length_s: 0 is not within 1 and 86400")]
 #[case::no_such_partner(
     "length_s: 5\nload { level: 1 }\nfailure { what: HANG partner: 99 }",
-    ":3: failure[0].partner: 99 is not under 12"
+    ":3: failure[0].partner: 99 is not below the number of partners, 12"
 )]
 #[case::twice(
     "length_s: 5\nload { level: 1 }\nvariant { name: \"a\" }\nvariant { name: \"a\" }",
-    ":4: variant[1].name: \"a\" is there already"
+    ":4: variant[1].name: \"a\" is the name of an earlier variant"
 )]
 fn a_wrong_experiment_is_one_line_that_names_file_line_and_field(
     #[case] text: &str,
