--- a/crates/lab/src/experiment/mod.rs
+++ b/crates/lab/src/experiment/mod.rs
@@ -83,7 +83,7 @@
     pub share: f64,
     /// Shift of its partners in the ranking by traffic. Higher values mean more traffic.
     pub traffic_lean: f64,
-    /// The form of its rate limit.
+    /// How its partners limit the rate of calls.
     pub rate_limit: RateLimitKind,
     /// Rate limit as a multiple of the partner's rate of calls at full load.
     pub headroom: Span,
@@ -175,13 +175,14 @@
     pub end: Millis,
     /// Its size: a factor or a time in milliseconds, depending on the kind.
     pub size: f64,
-    /// The share of calls or answers that is affected.
+    /// The share of calls or answers that is affected, for kinds that affect only a part.
     pub share: f64,
     /// Time between two repetitions.
     pub repeat_interval: Millis,
     /// The affected partners, as ranks by traffic from 0.
     pub partner_ranks: Vec<u32>,
-    /// If given, the busiest partners that together have this share of the traffic are affected.
+    /// If given, the busiest partners are affected that together have up to this share of the traffic, and at least
+    /// one.
     pub traffic_share: Option<f64>,
     /// The affected sender.
     pub sender: u32,
@@ -233,7 +234,7 @@
     /// Reads an experiment's file.
     ///
     /// # Errors
-    /// A file that cannot be read, or an error in its text, which names the file, the line and the field.
+    /// If the file cannot be read, or its text is invalid. The error in a text names the file, the line and the field.
     pub fn open(file: &Path) -> Result<Experiment, LabError> {
         let text = std::fs::read_to_string(file).map_err(LabError::file(file))?;
         let name = file
--- a/crates/lab/src/experiment/reader.rs
+++ b/crates/lab/src/experiment/reader.rs
@@ -22,15 +22,15 @@
     let file = text::read::<schema::Experiment>(file_name, text, SCHEMA)?;
     let given = &file.message;
     let top = Section::new(&file, "");
-    let seconds = top.check_bounds("length_s", given.length_s, rules::top::LENGTH_S)?;
+    let length_s = top.check_bounds("length_s", given.length_s, rules::top::LENGTH_S)?;
     let repeats = top.count("repeats", given.repeats, rules::top::REPEATS)?;
     let world = read_world(&file)?;
-    let failures = failure_reader::read_failures(&file, &world, seconds)?;
+    let failures = failure_reader::read_failures(&file, &world, length_s)?;
     let variants = read_variants(&file)?;
     Ok(Experiment {
         name: name.into(),
         about: given.about.clone(),
-        length: seconds * MILLIS_PER_SECOND,
+        length: length_s * MILLIS_PER_SECOND,
         seed: given.seed.unwrap_or(rules::top::DEFAULT_SEED),
         repeats,
         load: read_load(&file)?,
