--- a/crates/lab/tests/runs.rs
+++ b/crates/lab/tests/runs.rs
@@ -1,4 +1,4 @@
-//! Whole runs in simulated time, and the command line over them.
+//! Complete runs in simulated time, and the commands that run, judge and compare them.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -8,7 +8,7 @@
 use martenlatch_lab::sim;
 use rstest::rstest;
 
-fn shipped(name: &str) -> Experiment {
+fn shipped_experiment(name: &str) -> Experiment {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../lab/experiments");
     Experiment::open(&folder.join(name).with_extension("textproto"))
         .unwrap_or_else(|e| panic!("{e}"))
@@ -26,8 +26,8 @@
 #[case("full-disk")]
 #[case("rough")]
 fn the_shipped_experiments_keep_every_rule(#[case] name: &str) {
-    let x = shipped(name);
-    let played = sim::play(&x, &x.variants[0], x.seed, None).unwrap();
+    let experiment = shipped_experiment(name);
+    let played = sim::play(&experiment, &experiment.variants[0], experiment.seed, None).unwrap();
     assert!(played.verdict.clean(), "{:#?}", played.verdict);
     assert!(
         played.figures.messages > 1_000 && played.figures.share > 0.5,
@@ -37,26 +37,45 @@
 }
 
 #[test]
-fn equal_seeds_give_equal_facts_and_others_do_not() {
-    let x = shipped("network");
-    let facts = |seed: u64| {
-        let mut all = String::new();
-        let sink = |f: &martenlatch_lab::event_log::LoggedEvent| all += &format!("{f:?}\n");
-        let played = sim::play(&x, &x.variants[0], seed, Some(Box::new(sink))).unwrap();
-        (all, serde_json::to_string(&played.figures).unwrap())
+fn equal_seeds_give_equal_events_and_different_seeds_differ() {
+    let experiment = shipped_experiment("network");
+    let events_and_figures = |seed: u64| {
+        let mut events = String::new();
+        let sink =
+            |event: &martenlatch_lab::event_log::LoggedEvent| events += &format!("{event:?}\n");
+        let played = sim::play(
+            &experiment,
+            &experiment.variants[0],
+            seed,
+            Some(Box::new(sink)),
+        )
+        .unwrap();
+        (events, serde_json::to_string(&played.figures).unwrap())
     };
-    let (first, again, other) = (facts(5), facts(5), facts(6));
+    let (first, again, other) = (
+        events_and_figures(5),
+        events_and_figures(5),
+        events_and_figures(6),
+    );
     assert!(first == again, "seed 5 differs from itself");
     assert!(first.0 != other.0);
 }
 
 #[test]
-fn what_is_asked_for_does_happen() {
-    // Guards against an experiment that passes since its failures never come.
-    let count = |name: &str, of: fn(&What) -> bool| {
-        let (x, mut seen) = (shipped(name), 0);
-        let sink = |f: &martenlatch_lab::event_log::LoggedEvent| seen += usize::from(of(&f.what));
-        sim::play(&x, &x.variants[0], 1, Some(Box::new(sink))).unwrap();
+fn each_failure_of_an_experiment_takes_effect() {
+    // Guards against an experiment that passes only because its failures never occur.
+    let count = |name: &str, matching: fn(&What) -> bool| {
+        let (experiment, mut seen) = (shipped_experiment(name), 0);
+        let sink = |event: &martenlatch_lab::event_log::LoggedEvent| {
+            seen += usize::from(matching(&event.what));
+        };
+        sim::play(
+            &experiment,
+            &experiment.variants[0],
+            1,
+            Some(Box::new(sink)),
+        )
+        .unwrap();
         seen
     };
     use martenlatch_lab::event_log::Silence::*;
@@ -98,55 +117,57 @@
 }
 
 #[test]
-fn a_run_that_is_stopped_ends_in_its_middle_and_counts_for_nothing() {
+fn a_stopped_run_ends_early_and_is_not_counted() {
     use std::sync::Arc;
     use std::sync::atomic::AtomicBool;
-    let x = shipped("calm");
+    let experiment = shipped_experiment("calm");
     let stop = Arc::new(AtomicBool::new(true));
     assert_eq!(
-        sim::play_until(&x, &x.variants[0], 1, None, &stop)
+        sim::play_until(&experiment, &experiment.variants[0], 1, None, &stop)
             .unwrap_err()
             .to_string(),
         "stopped"
     );
-    let (outcome, _) = martenlatch_lab::run::simulate(&x, &stop, true).unwrap();
+    let (outcome, _) = martenlatch_lab::run::simulate(&experiment, &stop, true).unwrap();
     assert!(outcome.cut_short && outcome.variants.iter().all(|v| v.runs.is_empty()));
 }
 
-fn lab(args: &[&str]) -> (Option<i32>, String, String) {
-    let done = Command::new(env!("CARGO_BIN_EXE_martenlatch-lab"))
+/// Runs the laboratory; its exit code, output and error output.
+fn run_lab(args: &[&str]) -> (Option<i32>, String, String) {
+    let output = Command::new(env!("CARGO_BIN_EXE_martenlatch-lab"))
         .args(args)
         .output()
         .unwrap();
     (
-        done.status.code(),
-        String::from_utf8(done.stdout).unwrap(),
-        String::from_utf8(done.stderr).unwrap(),
+        output.status.code(),
+        String::from_utf8(output.stdout).unwrap(),
+        String::from_utf8(output.stderr).unwrap(),
     )
 }
 
-fn folder(name: &str) -> PathBuf {
-    static MADE: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
-    let (no, process) = (
-        MADE.fetch_add(1, std::sync::atomic::Ordering::Relaxed),
+/// A new empty folder, distinct for each call.
+fn temporary_folder(name: &str) -> PathBuf {
+    static CREATED: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
+    let (number, pid) = (
+        CREATED.fetch_add(1, std::sync::atomic::Ordering::Relaxed),
         std::process::id(),
     );
-    let folder = std::env::temp_dir().join(format!("martenlatch-lab-{name}-{process}-{no}"));
+    let folder = std::env::temp_dir().join(format!("martenlatch-lab-{name}-{pid}-{number}"));
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).unwrap();
     folder
 }
 
 #[test]
-fn a_run_leaves_a_result_that_is_the_same_byte_for_byte_and_can_be_judged_and_compared() {
-    let out = folder("run");
+fn equal_runs_write_identical_results_that_can_be_judged_and_compared() {
+    let out = temporary_folder("run");
     let text = "length_s: 5 repeats: 2 world { partners: 4 } load { level: 0.6 }
                 variant { name: \"a\" } variant { name: \"<b>\" second_copies: false }";
     std::fs::write(out.join("small.textproto"), text).unwrap();
     let file = out.join("small.textproto");
     let dirs = [out.join("one"), out.join("two")];
     for dir in &dirs {
-        let (code, text, errors) = lab(&[
+        let (code, text, errors) = run_lab(&[
             "run",
             file.to_str().unwrap(),
             "--quiet",
@@ -165,15 +186,15 @@
     let page = read(&dirs[0], "report.html");
     assert!(
         page.matches("<svg").count() >= 5 && page.contains("&lt;b&gt;") && !page.contains("<b>"),
-        "whole and escaped"
+        "the report lacks a chart or does not escape a name"
     );
     assert!(
         !page.contains("src=") && !page.contains("href="),
-        "it needs nothing else"
+        "the report refers to other files"
     );
-    let (code, text, _) = lab(&["judge", dirs[0].to_str().unwrap()]);
+    let (code, text, _) = run_lab(&["judge", dirs[0].to_str().unwrap()]);
     assert_eq!((code, text.as_str()), (Some(0), "0 breaches\n"));
-    let (code, text, _) = lab(&[
+    let (code, text, _) = run_lab(&[
         "compare",
         dirs[0].to_str().unwrap(),
         dirs[1].to_str().unwrap(),
@@ -182,14 +203,14 @@
         code == Some(0) && text.contains("+0.0000") && !text.contains("+0.0001"),
         "{text}"
     );
-    // A history that breaks a rule is told by exit code and text.
-    let broken = read(&dirs[0], "facts.jsonl")
+    // A broken rule is reported in the exit code and the output.
+    let facts_without_ends = read(&dirs[0], "facts.jsonl")
         .lines()
-        .filter(|l| !l.contains("Notice") && !l.contains("Served"))
+        .filter(|line| !line.contains("Notice") && !line.contains("Served"))
         .collect::<Vec<_>>()
         .join("\n");
-    std::fs::write(dirs[0].join("facts.jsonl"), broken).unwrap();
-    let (code, text, _) = lab(&["judge", dirs[0].to_str().unwrap()]);
+    std::fs::write(dirs[0].join("facts.jsonl"), facts_without_ends).unwrap();
+    let (code, text, _) = run_lab(&["judge", dirs[0].to_str().unwrap()]);
     assert!(
         code == Some(3) && text.contains("Lost at ") && text.contains("had no end by its time"),
         "{text}"
@@ -206,27 +227,27 @@
     "length_s: 5\nworld { patners: 3 }",
     ":2: world.patners: no such field; the nearest is \"partners\""
 )]
-#[case::unused(
+#[case::unused_field(
     "length_s: 5\nload { level: 1 }\nfailure {\n what: HANG\n size: 3 }",
     ":5: failure[0].size: HANG does not use this field"
 )]
-#[case::no_length("load { level: 1 }", ":1: length_s: 0 is not within 1 and 86400")]
-#[case::no_such_partner(
+#[case::missing_length("load { level: 1 }", ":1: length_s: 0 is not within 1 and 86400")]
+#[case::unknown_partner(
     "length_s: 5\nload { level: 1 }\nfailure { what: HANG partner: 99 }",
     ":3: failure[0].partner: 99 is not below the number of partners, 12"
 )]
-#[case::twice(
+#[case::repeated_variant_name(
     "length_s: 5\nload { level: 1 }\nvariant { name: \"a\" }\nvariant { name: \"a\" }",
     ":4: variant[1].name: \"a\" is the name of an earlier variant"
 )]
-fn a_wrong_experiment_is_one_line_that_names_file_line_and_field(
+fn an_invalid_experiment_is_reported_in_one_line_with_file_line_and_field(
     #[case] text: &str,
-    #[case] want: &str,
+    #[case] expected: &str,
 ) {
-    let out = folder("bad");
+    let out = temporary_folder("bad");
     let file = out.join("bad.textproto");
     std::fs::write(&file, text).unwrap();
-    let (code, _, errors) = lab(&[
+    let (code, _, errors) = run_lab(&[
         "run",
         file.to_str().unwrap(),
         "--out",
@@ -234,9 +255,9 @@
     ]);
     assert!(code == Some(1) && errors.lines().count() == 1, "{errors}");
     assert!(
-        errors.contains(&format!("{}{want}", file.display())),
+        errors.contains(&format!("{}{expected}", file.display())),
         "{errors}"
     );
-    assert!(!out.join("o").exists(), "nothing is left behind");
+    assert!(!out.join("o").exists(), "an output folder is left");
     let _ = std::fs::remove_dir_all(out);
 }
--- a/crates/lab/tests/sockets.rs
+++ b/crates/lab/tests/sockets.rs
@@ -1,5 +1,5 @@
-//! Runs on sockets, with the real sender as a child: what a short rough day leaves, and what becomes of children and
-//! folders when something is wrong with them. No verdict hangs on a clock; times only end what hangs.
+//! Runs on sockets, with the real sender as a child process: the result of a short run with many faults, and the cleanup
+//! of processes and folders after errors. No check depends on timing; timeouts only end a test that hangs.
 
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
@@ -10,8 +10,8 @@
 use nix::unistd::Pid;
 use serde_json::Value;
 
-/// The sender's program, built where only this crate's tests were asked for.
-fn program() -> PathBuf {
+/// Builds the sender's program, which cargo does not build for this crate's tests alone, and returns its path.
+fn build_sender() -> PathBuf {
     let lab = Path::new(env!("CARGO_BIN_EXE_martenlatch-lab"));
     let program = lab.with_file_name("martenlatch");
     let mut build = Command::new(env!("CARGO"));
@@ -31,19 +31,20 @@
     program
 }
 
-struct Place(PathBuf);
+/// A folder with an experiment, the results of its run and the temporary files of the run.
+struct RunFolder(PathBuf);
 
-impl Place {
-    fn new(name: &str, text: &str) -> Place {
-        let folder =
+impl RunFolder {
+    fn new(name: &str, experiment: &str) -> RunFolder {
+        let path =
             std::env::temp_dir().join(format!("martenlatch-labtest-{name}-{}", std::process::id()));
-        let _ = std::fs::remove_dir_all(&folder);
-        std::fs::create_dir_all(folder.join("tmp")).unwrap();
-        std::fs::write(folder.join("x.textproto"), text).unwrap();
-        Place(folder)
+        let _ = std::fs::remove_dir_all(&path);
+        std::fs::create_dir_all(path.join("tmp")).unwrap();
+        std::fs::write(path.join("x.textproto"), experiment).unwrap();
+        RunFolder(path)
     }
 
-    fn lab(&self) -> Command {
+    fn lab_command(&self) -> Command {
         let mut lab = Command::new(env!("CARGO_BIN_EXE_martenlatch-lab"));
         lab.arg("run")
             .arg(self.0.join("x.textproto"))
@@ -55,43 +56,44 @@
         lab
     }
 
-    fn result(&self) -> Value {
+    fn read_result(&self) -> Value {
         serde_json::from_str(&std::fs::read_to_string(self.0.join("out/result.json")).unwrap())
             .unwrap()
     }
 
-    fn nothing_left(&self) {
+    /// Checks that a run has left neither temporary files nor child processes.
+    fn assert_nothing_left(&self) {
         assert_eq!(
             std::fs::read_dir(self.0.join("tmp")).unwrap().count(),
             0,
-            "a folder is left"
+            "a temporary folder is left"
         );
-        // A sender's command line names no file of ours, but its environment does.
+        // A sender's command line contains no path of this folder, but its environment does.
         for entry in std::fs::read_dir("/proc").unwrap().flatten() {
             let environment = std::fs::read(entry.path().join("environ")).unwrap_or_default();
-            let mine = self.0.join("tmp/").display().to_string();
+            let tmp = self.0.join("tmp/").display().to_string();
             let found = environment
-                .windows(mine.len())
-                .any(|w| w == mine.as_bytes());
+                .windows(tmp.len())
+                .any(|window| window == tmp.as_bytes());
             let status = std::fs::read_to_string(entry.path().join("status")).unwrap_or_default();
             assert!(
                 !found || status.contains("State:\tZ"),
-                "a child is left: {status}"
+                "a child process is left: {status}"
             );
         }
     }
 }
 
-impl Drop for Place {
+impl Drop for RunFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
 #[test]
-fn a_rough_day_with_kills_resets_and_replacement_keeps_the_rules_and_leaves_nothing_behind() {
-    let sender = program();
-    let place = Place::new(
+fn a_run_with_kills_resets_and_replacements_keeps_the_rules_and_leaves_nothing_behind() {
+    let sender = build_sender();
+    let folder = RunFolder::new(
         "rough",
         &format!(
             "length_s: 8 seed: 4 repeats: 1 world {{ partners: 5 full_rate: 40 list_ms {{ least: 50 most: 200 }} }}
@@ -104,15 +106,15 @@
             sender.display()
         ),
     );
-    let done = place.lab().output().unwrap();
-    let text = String::from_utf8_lossy(&done.stdout);
+    let output = folder.lab_command().output().unwrap();
+    let printed = String::from_utf8_lossy(&output.stdout);
     assert_eq!(
-        done.status.code(),
+        output.status.code(),
         Some(0),
-        "seed 4: {text}{}",
-        String::from_utf8_lossy(&done.stderr)
+        "seed 4: {printed}{}",
+        String::from_utf8_lossy(&output.stderr)
     );
-    let result = place.result();
+    let result = folder.read_result();
     let figures = &result["variants"][0]["runs"][0]["figures"];
     assert_eq!(result["form"], "sockets");
     assert!(figures["messages"].as_u64().unwrap() > 150, "{figures}");
@@ -122,54 +124,55 @@
     );
     assert!(
         figures["undeliverable"].as_u64().unwrap() > 0,
-        "resets of unsafe calls end as undeliverable: {figures}"
+        "no message was reported as undeliverable after a reset of a non-idempotent call: {figures}"
     );
     assert!(
         figures["turned_away"].as_u64().unwrap() > 0,
-        "a full disk refuses new work: {figures}"
+        "no message was rejected while the disk was full: {figures}"
     );
-    let page = std::fs::read_to_string(place.0.join("out/report.html")).unwrap();
+    let page = std::fs::read_to_string(folder.0.join("out/report.html")).unwrap();
     assert!(page.contains("Memory of all senders") && page.contains("Processor of all senders"));
-    place.nothing_left();
+    folder.assert_nothing_left();
 }
 
-const QUIET: &str =
+const LOW_LOAD: &str =
     "length_s: 30 repeats: 1 world { partners: 2 full_rate: 10 senders: 1 } load { level: 0.5 }";
 
-fn fails(name: &str, program: &str, want: &str) {
-    let place = Place::new(
+/// Runs an experiment with a given program, and checks that the run fails with one line that contains `expected`.
+fn assert_run_fails(name: &str, program: &str, expected: &str) {
+    let folder = RunFolder::new(
         name,
-        &format!("{QUIET} variant {{ name: \"v\" program: \"{program}\" }}"),
+        &format!("{LOW_LOAD} variant {{ name: \"v\" program: \"{program}\" }}"),
     );
-    let done = place.lab().output().unwrap();
-    let errors = String::from_utf8_lossy(&done.stderr);
+    let output = folder.lab_command().output().unwrap();
+    let errors = String::from_utf8_lossy(&output.stderr);
     assert!(
-        done.status.code() == Some(1) && errors.lines().count() == 1 && errors.contains(want),
+        output.status.code() == Some(1) && errors.lines().count() == 1 && errors.contains(expected),
         "{errors}"
     );
-    assert!(!place.0.join("out").exists());
-    place.nothing_left();
+    assert!(!folder.0.join("out").exists());
+    folder.assert_nothing_left();
 }
 
 #[test]
-fn a_sender_that_is_not_there_does_not_start_or_dies_is_one_clear_line() {
-    fails(
+fn a_missing_failing_or_killed_sender_ends_the_run_with_a_one_line_error() {
+    assert_run_fails(
         "absent",
         "/no/such/program",
         "/no/such/program: no such program",
     );
-    fails("false", "/bin/false", "sender n0 ended with exit code 1");
+    assert_run_fails("false", "/bin/false", "sender n0 ended with exit code 1");
     let script = std::env::temp_dir().join(format!(
         "martenlatch-labtest-dies-{}.sh",
         std::process::id()
     ));
-    let text = format!(
+    let script_text = format!(
         "#!/bin/sh\n{} & child=$!\nsleep 1\nkill -9 $child\nexit 7\n",
-        program().display()
+        build_sender().display()
     );
-    std::fs::write(&script, text).unwrap();
+    std::fs::write(&script, script_text).unwrap();
     std::fs::set_permissions(&script, std::fs::Permissions::from_mode(0o755)).unwrap();
-    fails(
+    assert_run_fails(
         "dies",
         script.to_str().unwrap(),
         "sender n0 ended with exit code 7",
@@ -178,36 +181,38 @@
 }
 
 #[test]
-fn a_port_that_is_taken_is_one_clear_line() {
-    let taken = std::net::TcpListener::bind("127.0.0.1:0")
+fn a_taken_port_ends_the_relay_with_a_one_line_error() {
+    let endpoint = std::net::TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let port = listener.local_addr().unwrap().to_string();
+    let taken_address = listener.local_addr().unwrap().to_string();
     let mut relay = Command::new(env!("CARGO_BIN_EXE_martenlatch-lab"));
-    let done = relay
+    let output = relay
         .args([
             "relay",
             "--calls",
             "1",
             "--listen",
-            &port,
-            &taken.to_string(),
+            &taken_address,
+            &endpoint.to_string(),
         ])
         .output()
         .unwrap();
-    let errors = String::from_utf8_lossy(&done.stderr);
+    let errors = String::from_utf8_lossy(&output.stderr);
     assert!(
-        done.status.code() == Some(1) && errors.lines().count() == 1 && errors.contains(&port),
+        output.status.code() == Some(1)
+            && errors.lines().count() == 1
+            && errors.contains(&taken_address),
         "{errors}"
     );
 }
 
 #[test]
-fn ctrl_c_ends_the_children_and_writes_what_was_measured() {
-    let sender = program();
-    let place = Place::new(
+fn ctrl_c_ends_all_processes_and_writes_the_results_so_far() {
+    let sender = build_sender();
+    let folder = RunFolder::new(
         "ctrl-c",
         &format!(
             "length_s: 2 repeats: 500 world {{ partners: 2 full_rate: 10 senders: 1 }} load {{ level: 0.5 }}
@@ -215,10 +220,10 @@
             sender.display()
         ),
     );
-    let lab = place.lab().spawn().unwrap();
-    // It is told once it has a sender at work.
+    let lab = folder.lab_command().spawn().unwrap();
+    // The signal is sent once the run has created the folder of a sender.
     let start = Instant::now();
-    while std::fs::read_dir(place.0.join("tmp")).unwrap().count() == 0 {
+    while std::fs::read_dir(folder.0.join("tmp")).unwrap().count() == 0 {
         assert!(
             start.elapsed() < Duration::from_secs(40),
             "no sender was started"
@@ -226,13 +231,13 @@
         std::thread::sleep(Duration::from_millis(10));
     }
     kill(Pid::from_raw(lab.id() as i32), Signal::SIGINT).unwrap();
-    let done = lab.wait_with_output().unwrap();
+    let output = lab.wait_with_output().unwrap();
     assert_eq!(
-        done.status.code(),
+        output.status.code(),
         Some(0),
         "{}",
-        String::from_utf8_lossy(&done.stderr)
+        String::from_utf8_lossy(&output.stderr)
     );
-    assert_eq!(place.result()["cut_short"], true);
-    place.nothing_left();
+    assert_eq!(folder.read_result()["cut_short"], true);
+    folder.assert_nothing_left();
 }
