--- a/crates/lab/src/sockets/event.rs
+++ b/crates/lab/src/sockets/event.rs
@@ -25,7 +25,10 @@
     /// A failure begins. The replacement of endpoints has `ReplaceEndpoint` instead.
     FailureStarts { failure: usize },
     /// A failure replaces the next endpoint.
-    ReplaceEndpoint { failure: usize, turn: usize },
+    ReplaceEndpoint {
+        failure: usize,
+        replacement_index: usize,
+    },
     /// The machine of a replaced endpoint is removed.
     RetireEndpoint { endpoint: u32 },
     /// A sender is notified of a change to the endpoint list.
--- a/crates/lab/src/sockets/event_loop.rs
+++ b/crates/lab/src/sockets/event_loop.rs
@@ -28,7 +28,7 @@
             let first = match failure.kind {
                 FailureKind::Replace => Event::ReplaceEndpoint {
                     failure: index,
-                    turn: 0,
+                    replacement_index: 0,
                 },
                 _ => Event::FailureStarts { failure: index },
             };
@@ -119,7 +119,10 @@
             Event::AdvancePartner { partner } => self.advance_partner(partner),
             Event::FailureEnds => self.apply_faults(),
             Event::FailureStarts { failure } => self.start_failure(failure),
-            Event::ReplaceEndpoint { failure, turn } => self.replace_endpoint(failure, turn),
+            Event::ReplaceEndpoint {
+                failure,
+                replacement_index,
+            } => self.replace_endpoint(failure, replacement_index),
             Event::RetireEndpoint { endpoint } => self.retire_endpoint(endpoint),
             Event::NotifySender {
                 sender,
--- a/crates/lab/src/sockets/faults.rs
+++ b/crates/lab/src/sockets/faults.rs
@@ -95,13 +95,13 @@
 
     /// Replaces an endpoint of the next partner that a failure affects, and schedules the next replacement until the
     /// failure ends.
-    pub fn replace_endpoint(&mut self, failure: usize, turn: usize) {
+    pub fn replace_endpoint(&mut self, failure: usize, replacement_index: usize) {
         let now = self.now();
         let replacing = &self.experiment.failures[failure];
         if now >= replacing.end {
             return;
         }
-        if let Some(partner) = self.environment.next_replaced(failure, turn) {
+        if let Some(partner) = self.environment.next_replaced(failure, replacement_index) {
             let Replacement { old, new } = self.environment.replace_endpoint(partner);
             let reused = replacing.reuse_address && self.reuse_address(new);
             if !reused && let Err(error) = self.open_endpoint(new) {
@@ -113,10 +113,12 @@
             let retire = Event::RetireEndpoint { endpoint: old };
             self.events.push(now + REPLACEMENT_OVERLAP, retire);
         }
-        let turn = turn + 1;
         self.events.push(
             now + replacing.repeat_interval,
-            Event::ReplaceEndpoint { failure, turn },
+            Event::ReplaceEndpoint {
+                failure,
+                replacement_index: replacement_index + 1,
+            },
         );
     }
 
