--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -105,7 +105,7 @@
         let class = self.class_of(&self.message(origin).planned);
         if class.effect == Effect::Keyed {
             let message = &mut self.messages[origin as usize];
-            message.window_end = message.window_end.min(sent_at + class.window);
+            message.window_end = message.window_end.min(sent_at + class.idempotency_window);
         }
     }
 
--- a/crates/lab/src/model/fault_schedule.rs
+++ b/crates/lab/src/model/fault_schedule.rs
@@ -3,7 +3,7 @@
 
 use martenlatch_clock::Millis;
 
-use crate::experiment::{Experiment, Failure, What};
+use crate::experiment::{Experiment, Failure, FailureKind};
 use crate::model::site::Site;
 
 /// A heavy tail of service times: some calls take longer than the rest.
@@ -72,38 +72,42 @@
 
     /// Adds a failure that is active at `now`.
     fn add(&mut self, failure: &Failure, now: Millis) {
-        match failure.what {
-            What::Hang => self.hung = true,
-            What::Refuse => self.rejects_until = Some(later(self.rejects_until, failure.end)),
-            What::Cut => self.partitioned = true,
-            What::Pauses => self.add_pause(failure, now),
-            What::Slow => self.slowdown *= failure.size,
-            What::HeavyTail => {
+        match failure.kind {
+            FailureKind::Hang => self.hung = true,
+            FailureKind::Refuse => {
+                self.rejects_until = Some(later(self.rejects_until, failure.end))
+            }
+            FailureKind::Cut => self.partitioned = true,
+            FailureKind::Pauses => self.add_pause(failure, now),
+            FailureKind::Slow => self.slowdown *= failure.size,
+            FailureKind::HeavyTail => {
                 self.heavy_tail = HeavyTail {
                     share: failure.share,
                     factor: failure.size,
                 }
             }
-            What::Tight => self.rate_limit_factor *= failure.size,
-            What::ResetBefore => {
+            FailureKind::Tight => self.rate_limit_factor *= failure.size,
+            FailureKind::ResetBefore => {
                 self.connection_resets.before_last_byte =
                     probability_of_either(self.connection_resets.before_last_byte, failure.share)
             }
-            What::ResetAfter => {
+            FailureKind::ResetAfter => {
                 self.connection_resets.after_last_byte =
                     probability_of_either(self.connection_resets.after_last_byte, failure.share)
             }
-            What::Spoilt => {
+            FailureKind::Spoilt => {
                 self.malformed_share = probability_of_either(self.malformed_share, failure.share)
             }
-            What::SilentClose => self.idle_close_after = self.idle_close_after.min(failure.size),
+            FailureKind::SilentClose => {
+                self.idle_close_after = self.idle_close_after.min(failure.size)
+            }
             _ => {}
         }
     }
 
-    /// Adds a failure whose pauses begin every `every` milliseconds and last `size` milliseconds each.
+    /// Adds a failure whose pauses begin every `repeat_interval` milliseconds and last `size` milliseconds each.
     fn add_pause(&mut self, failure: &Failure, now: Millis) {
-        let since = (now - failure.start) % failure.every;
+        let since = (now - failure.start) % failure.repeat_interval;
         if since < failure.size {
             let until = now - since + failure.size;
             self.paused_until = Some(later(self.paused_until, until));
@@ -166,10 +170,10 @@
             .filter(move |targeted| now >= targeted.failure.start && now < targeted.failure.end)
     }
 
-    fn active_of_kind(&self, what: What, now: Millis) -> impl Iterator<Item = &Failure> {
+    fn active_of_kind(&self, kind: FailureKind, now: Millis) -> impl Iterator<Item = &Failure> {
         self.active(now)
             .map(|targeted| &targeted.failure)
-            .filter(move |failure| failure.what == what)
+            .filter(move |failure| failure.kind == kind)
     }
 
     /// The faults that are active for a partner at `now`.
@@ -192,7 +196,7 @@
 
     /// The factor on the usual load at `now`.
     pub fn load_factor(&self, now: Millis) -> f64 {
-        self.active_of_kind(What::Burst, now)
+        self.active_of_kind(FailureKind::Burst, now)
             .map(|failure| failure.size)
             .product()
     }
@@ -200,14 +204,14 @@
     /// The state of the discovery service at `now`.
     pub fn discovery(&self, now: Millis) -> Discovery {
         let down_until = self
-            .active_of_kind(What::DiscoveryDown, now)
+            .active_of_kind(FailureKind::DiscoveryDown, now)
             .map(|failure| failure.end)
             .reduce(f64::max);
         match down_until {
             Some(until) => Discovery::DownUntil(until),
             None => Discovery::Up {
                 delay_factor: self
-                    .active_of_kind(What::DiscoveryLate, now)
+                    .active_of_kind(FailureKind::DiscoveryLate, now)
                     .map(|failure| failure.size)
                     .product(),
             },
@@ -221,7 +225,9 @@
 
     /// Whether the senders' disks are full, so that they cannot write any record.
     pub fn disk_full(&self, now: Millis) -> bool {
-        self.active_of_kind(What::DiskFull, now).next().is_some()
+        self.active_of_kind(FailureKind::DiskFull, now)
+            .next()
+            .is_some()
     }
 
     /// The partners that a failure affects, in ascending order. `None` if there is no such failure.
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -170,7 +170,7 @@
         usage.push(RunUsage {
             variant: variant.name.clone(),
             seed: job.seed,
-            used: played.used,
+            used: played.resource_usage,
         });
         bar.inc(1);
     }
@@ -189,10 +189,10 @@
     let mut late = 0.0;
     for _ in 0..SOCKET_ATTEMPTS {
         let played = sockets::play(experiment, variant, seed, stop)?;
-        if played.late <= sockets::LATE {
+        if played.max_lateness <= sockets::MAX_LATENESS {
             return Ok(played);
         }
-        late = played.late;
+        late = played.max_lateness;
     }
     Err(LabError::MachineTooBusy { late })
 }
@@ -245,7 +245,7 @@
 
 fn shade(failure: &experiment::Failure) -> FailureSpan {
     FailureSpan {
-        what: failure.what.as_str_name().to_lowercase().replace('_', " "),
+        what: failure.kind.as_str_name().to_lowercase().replace('_', " "),
         start_s: failure.start / 1e3,
         end_s: failure.end.max(failure.start + LEAST_SHADE) / 1e3,
     }
--- a/crates/lab/tests/model.rs
+++ b/crates/lab/tests/model.rs
@@ -1,6 +1,6 @@
 //! Tests of the partner model without senders, and of the drawn sites, loads and faults.
 
-use martenlatch_lab::experiment::{Experiment, Limit, WorkDistribution};
+use martenlatch_lab::experiment::{Experiment, RateLimitKind, WorkDistribution};
 use martenlatch_lab::load;
 use martenlatch_lab::model::fault_schedule::{ActiveFaults, FaultSchedule};
 use martenlatch_lab::model::partner::{Admission, Call, Partner, Reply};
@@ -99,8 +99,11 @@
 fn an_endpoint_fills_its_cores_then_its_queue_and_rejects_further_calls() {
     let (experiment, site, mut partner) = lone_partner("limit: NONE queue { least: 2 most: 2 }");
     assert_eq!(
-        (experiment.world.kinds[0].limit, site.partners[0].rate_limit),
-        (Limit::None, None)
+        (
+            experiment.world.kinds[0].rate_limit,
+            site.partners[0].rate_limit
+        ),
+        (RateLimitKind::None, None)
     );
     let (faults, cores) = (
         no_faults(&experiment, &site),
--- a/crates/lab/tests/soak.rs
+++ b/crates/lab/tests/soak.rs
@@ -20,7 +20,7 @@
             seed,
             seconds: SECONDS,
             processes: PROCESSES,
-            program: sockets::beside(),
+            program: sockets::default_sender_program(),
             slack: SLACK,
             keep_wall_clock: false,
         };
