--- a/crates/policy/src/collections/fifo_queues.rs
+++ b/crates/policy/src/collections/fifo_queues.rs
@@ -25,18 +25,25 @@
 impl<K: Ord, T: PartialEq> FifoQueues<K, T> {
     /// Adds an item at the end of a key's queue.
     pub(crate) fn push(&mut self, key: K, item: T) {
-        let new = Queue { items: VecDeque::new(), paused_until: 0 };
+        let new = Queue {
+            items: VecDeque::new(),
+            paused_until: 0,
+        };
         self.0.entry(key).or_insert(new).items.push_back(item);
     }
 
     /// Whether the item is the first of its queue, or the key has no queue.
     pub(crate) fn is_first(&self, key: K, item: &T) -> bool {
-        self.0.get(&key).is_none_or(|queue| queue.items.front() == Some(item))
+        self.0
+            .get(&key)
+            .is_none_or(|queue| queue.items.front() == Some(item))
     }
 
     /// Whether the queue of a key is paused at an instant.
     pub(crate) fn is_paused(&self, key: K, now: Nanos) -> bool {
-        self.0.get(&key).is_some_and(|queue| now < queue.paused_until)
+        self.0
+            .get(&key)
+            .is_some_and(|queue| now < queue.paused_until)
     }
 
     /// Pauses a queue, if it exists, at least until an instant.
@@ -51,6 +58,7 @@
         if let Some(queue) = self.0.get_mut(&key) {
             queue.items.retain(|queued| queued != item);
         }
-        self.0.retain(|_, queue| !queue.items.is_empty() || queue.paused_until > now);
+        self.0
+            .retain(|_, queue| !queue.items.is_empty() || queue.paused_until > now);
     }
 }
--- a/crates/policy/src/collections/latency_window.rs
+++ b/crates/policy/src/collections/latency_window.rs
@@ -60,7 +60,11 @@
     /// A quantile of this window if it has at least `min_entries` entries. Else that of the other window,
     /// scaled from that window's median to `median`; `None` if the other window has too few entries as well.
     pub(crate) fn quantile_or_scaled(
-        &self, quantile: f64, min_entries: usize, other: &LatencyWindow, median: impl Fn() -> Nanos,
+        &self,
+        quantile: f64,
+        min_entries: usize,
+        other: &LatencyWindow,
+        median: impl Fn() -> Nanos,
     ) -> Option<Nanos> {
         if self.len() >= min_entries {
             return Some(self.quantile(quantile));
--- a/crates/policy/src/collections/moving_average.rs
+++ b/crates/policy/src/collections/moving_average.rs
@@ -40,7 +40,11 @@
 impl SmoothedLatency {
     /// Adds a latency. The first one becomes the average.
     pub(crate) fn record(&mut self, latency: Nanos) {
-        self.0 = if self.0 == 0 { latency } else { (self.0 * 7 + latency) / 8 };
+        self.0 = if self.0 == 0 {
+            latency
+        } else {
+            (self.0 * 7 + latency) / 8
+        };
     }
 
     /// The average, or `None` before the first latency.
--- a/crates/policy/src/collections/page.rs
+++ b/crates/policy/src/collections/page.rs
@@ -8,7 +8,10 @@
 ///
 /// Entries for which `read` returns `None` count towards the limit, so that each page costs the same.
 pub(crate) fn read_page<K: Ord + Copy, V, T>(
-    map: &BTreeMap<K, V>, after: Option<K>, max_entries: usize, read: impl Fn(K, &V) -> Option<T>,
+    map: &BTreeMap<K, V>,
+    after: Option<K>,
+    max_entries: usize,
+    read: impl Fn(K, &V) -> Option<T>,
 ) -> (Vec<T>, Option<K>) {
     let mut entries = map.range((after.map_or(Unbounded, Excluded), Unbounded));
     let mut items = Vec::new();
--- a/crates/policy/src/collections/send_window.rs
+++ b/crates/policy/src/collections/send_window.rs
@@ -21,6 +21,9 @@
 
     /// Number of sends within `span` before `now`, both ends included.
     pub(crate) fn count(&self, now: Nanos, span: Nanos) -> usize {
-        self.0.iter().filter(|sent_at| **sent_at + span >= now).count()
+        self.0
+            .iter()
+            .filter(|sent_at| **sent_at + span >= now)
+            .count()
     }
 }
--- a/crates/policy/src/collections/tests.rs
+++ b/crates/policy/src/collections/tests.rs
@@ -27,7 +27,11 @@
     assert_eq!(window.count(110, 100), 2);
     assert_eq!(window.count(111, 100), 1);
     window.record(151, 100);
-    assert_eq!(window.count(60, 100), 1, "sends that were too old at the latest send are removed");
+    assert_eq!(
+        window.count(60, 100),
+        1,
+        "sends that were too old at the latest send are removed"
+    );
 }
 
 #[test]
@@ -71,18 +75,27 @@
     let mut connection = ConnectionUse::default();
     assert!(!connection.is_open(0, 100));
     connection.record(10, 100);
-    assert!(connection.is_reused(), "after the first use it is too early to tell");
+    assert!(
+        connection.is_reused(),
+        "after the first use it is too early to tell"
+    );
     assert!(connection.is_open(109, 100) && !connection.is_open(110, 100));
     connection.record(110, 100);
     assert!(!connection.is_reused());
     connection.record(111, u64::MAX);
-    assert!(connection.is_reused(), "without an idle timeout nothing overflows");
+    assert!(
+        connection.is_reused(),
+        "without an idle timeout nothing overflows"
+    );
 }
 
 #[test]
 fn fifo_queues_keep_order_and_pause_by_key() {
     let mut queues: FifoQueues<u8, char> = FifoQueues::default();
-    assert!(queues.is_first(1, &'a'), "a key without a queue blocks nothing");
+    assert!(
+        queues.is_first(1, &'a'),
+        "a key without a queue blocks nothing"
+    );
     queues.push(1, 'a');
     queues.push(1, 'b');
     assert!(queues.is_first(1, &'a') && !queues.is_first(1, &'b'));
@@ -91,7 +104,10 @@
     assert!(queues.is_paused(1, 19) && !queues.is_paused(1, 20) && !queues.is_paused(2, 19));
     queues.remove(1, &'a', 15);
     queues.remove(1, &'b', 15);
-    assert!(queues.is_paused(1, 15), "an empty queue is kept while it is paused");
+    assert!(
+        queues.is_paused(1, 15),
+        "an empty queue is kept while it is paused"
+    );
     queues.push(2, 'c');
     queues.remove(2, &'c', 20);
     assert!(!queues.is_paused(1, 0), "and removed after that");
@@ -104,7 +120,10 @@
     times.start('a', 10);
     times.start('b', 20);
     times.start('c', 20);
-    assert_eq!((times.len(), times.count_in(..=20), times.count_in(..20)), (3, 3, 1));
+    assert_eq!(
+        (times.len(), times.count_in(..=20), times.count_in(..20)),
+        (3, 3, 1)
+    );
     assert!(times.any_in(20..) && !times.any_in(21..) && !times.any_in(11..20));
     times.end(&'a');
     assert!(!times.any_in(..20) && times.len() == 2);
@@ -129,7 +148,10 @@
     let letter = |key: u8, value: &char| (*value != '-').then_some((key, *value));
     assert_eq!(read_page(&map, None, 2, letter), (vec![(1, 'a')], Some(2)));
     assert_eq!(read_page(&map, Some(2), 2, letter), (vec![(3, 'c')], None));
-    assert_eq!(read_page(&map, Some(0), 3, letter), (vec![(1, 'a'), (3, 'c')], None));
+    assert_eq!(
+        read_page(&map, Some(0), 3, letter),
+        (vec![(1, 'a'), (3, 'c')], None)
+    );
 }
 
 #[test]
@@ -177,7 +199,9 @@
     let mut own = LatencyWindow::default();
     let mut other = LatencyWindow::default();
     assert_eq!(own.quantile_or_scaled(1.0, 3, &other, || 50), None);
-    [10, 20, 40].iter().for_each(|latency| other.record(*latency));
+    [10, 20, 40]
+        .iter()
+        .for_each(|latency| other.record(*latency));
     assert_eq!(own.quantile_or_scaled(1.0, 3, &other, || 50), Some(100));
     (0..3).for_each(|_| own.record(70));
     assert_eq!(own.quantile_or_scaled(1.0, 3, &other, || 50), Some(70));
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -47,7 +47,10 @@
 
 impl From<(DestinationId, Option<EndpointId>)> for RouteKey {
     fn from((destination, endpoint): (DestinationId, Option<EndpointId>)) -> RouteKey {
-        RouteKey { destination, endpoint }
+        RouteKey {
+            destination,
+            endpoint,
+        }
     }
 }
 
@@ -120,7 +123,10 @@
     pub fn never_ran(self) -> bool {
         matches!(
             self,
-            Outcome::Overloaded { .. } | Outcome::Unreachable | Outcome::NotSent | Outcome::AttemptsExhausted
+            Outcome::Overloaded { .. }
+                | Outcome::Unreachable
+                | Outcome::NotSent
+                | Outcome::AttemptsExhausted
         )
     }
 
@@ -128,7 +134,10 @@
     pub(crate) fn may_still_run(self) -> bool {
         matches!(
             self,
-            Outcome::TimedOut | Outcome::ConnectionLost | Outcome::StaleConnection | Outcome::Cancelled
+            Outcome::TimedOut
+                | Outcome::ConnectionLost
+                | Outcome::StaleConnection
+                | Outcome::Cancelled
         )
     }
 }
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -26,7 +26,14 @@
 impl Idempotency {
     /// Whether a second delivery is harmless, or dropped by all endpoints of the destination.
     pub(crate) fn covers_all_endpoints(self) -> bool {
-        matches!(self, Idempotency::Idempotent | Idempotency::IdempotencyKey { per_zone: false, .. })
+        matches!(
+            self,
+            Idempotency::Idempotent
+                | Idempotency::IdempotencyKey {
+                    per_zone: false,
+                    ..
+                }
+        )
     }
 }
 
@@ -65,7 +72,9 @@
             return 0.0;
         }
         let accepted_at = deadline.saturating_sub(self.deadline);
-        let lateness = delivered_at.saturating_sub(accepted_at).saturating_sub(self.latency_objective) as f64;
+        let lateness = delivered_at
+            .saturating_sub(accepted_at)
+            .saturating_sub(self.latency_objective) as f64;
         let share = match decay {
             Decay::Linear => {
                 let max_lateness = (self.deadline - self.latency_objective).max(1) as f64;
@@ -253,7 +262,9 @@
     )]
     RecoveryOutOfRange,
     /// The latency objective of a class is 0, or longer than the class's deadline.
-    #[error("invalid settings: classes: latency_objective must be above 0 and not longer than deadline")]
+    #[error(
+        "invalid settings: classes: latency_objective must be above 0 and not longer than deadline"
+    )]
     LatencyObjectiveOutOfRange,
     /// The priority weight of a class is negative or infinite, or its late weight share is not from 0 to 1.
     #[error(
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -57,17 +57,31 @@
     pub fn new(settings: Settings, seed: u64) -> Result<Policy, SettingsError> {
         settings.check()?;
         let random = Random::new(seed);
-        let window_stagger = ((seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 40) * MAX_WINDOW_STAGGER) >> 24;
-        let retry_success_rate = vec![SuccessRate::new(INITIAL_RETRY_SUCCESS); settings.kinds.len()];
-        Ok(Policy { settings, random, window_stagger, retry_success_rate, ..Policy::default() })
+        let window_stagger =
+            ((seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 40) * MAX_WINDOW_STAGGER) >> 24;
+        let retry_success_rate =
+            vec![SuccessRate::new(INITIAL_RETRY_SUCCESS); settings.kinds.len()];
+        Ok(Policy {
+            settings,
+            random,
+            window_stagger,
+            retry_success_rate,
+            ..Policy::default()
+        })
     }
 
     /// Continues the state that an earlier process passed on, under the settings of this process. Fails if
     /// they are invalid, have other destination kinds, or lack a message class that the state refers to.
     pub fn restore(mut self, settings: Settings) -> Result<Policy, SettingsError> {
         settings.check()?;
-        let classes_exist = self.messages.values().all(|message| message.class.0 < settings.classes.len());
-        let kinds_exist = self.endpoints.values().all(|endpoint| endpoint.kind.0 < settings.kinds.len());
+        let classes_exist = self
+            .messages
+            .values()
+            .all(|message| message.class.0 < settings.classes.len());
+        let kinds_exist = self
+            .endpoints
+            .values()
+            .all(|endpoint| endpoint.kind.0 < settings.kinds.len());
         if !classes_exist || !kinds_exist || self.retry_success_rate.len() != settings.kinds.len() {
             return Err(SettingsError::RestoredStateMismatch);
         }
@@ -83,12 +97,15 @@
         if self.stalled {
             self.no_hedges_until = self.now + STALL_THRESHOLD;
         }
-        events.iter().for_each(|event| self.apply_event(event, actions));
+        events
+            .iter()
+            .for_each(|event| self.apply_event(event, actions));
         self.handle_overdue_attempts(actions);
         self.dispatch_waiting(actions);
         self.hedge_slow(actions);
         self.shed_load(actions);
-        self.messages.retain(|_, message| !message.finished || !message.is_idle());
+        self.messages
+            .retain(|_, message| !message.finished || !message.is_idle());
         self.remove_departed_endpoints();
         self.schedule_wakeup(actions);
     }
@@ -96,15 +113,46 @@
     fn apply_event(&mut self, event: &Event, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointList(entries) => {
-                self.endpoints.values_mut().for_each(|endpoint| endpoint.state = EndpointState::Removed);
+                self.endpoints
+                    .values_mut()
+                    .for_each(|endpoint| endpoint.state = EndpointState::Removed);
                 entries.iter().for_each(|entry| self.update_endpoint(entry));
             }
-            Event::EndpointChanges(entries) => entries.iter().for_each(|entry| self.update_endpoint(entry)),
-            &Event::MessageAccepted { id, destination, class, deadline, key } => {
-                self.accept(id, Message { destination, class, deadline, key, ..Message::default() });
+            Event::EndpointChanges(entries) => {
+                entries.iter().for_each(|entry| self.update_endpoint(entry))
             }
-            &Event::MessageResumed { id, destination, class, deadline, attempts, may_have_run_since } => {
-                let message = Message { destination, class, deadline, ..Message::default() };
+            &Event::MessageAccepted {
+                id,
+                destination,
+                class,
+                deadline,
+                key,
+            } => {
+                self.accept(
+                    id,
+                    Message {
+                        destination,
+                        class,
+                        deadline,
+                        key,
+                        ..Message::default()
+                    },
+                );
+            }
+            &Event::MessageResumed {
+                id,
+                destination,
+                class,
+                deadline,
+                attempts,
+                may_have_run_since,
+            } => {
+                let message = Message {
+                    destination,
+                    class,
+                    deadline,
+                    ..Message::default()
+                };
                 self.resume(id, message, attempts, may_have_run_since);
             }
             Event::Gossip(gossip) => self.apply_gossip(gossip),
@@ -118,21 +166,37 @@
     fn schedule_wakeup(&mut self, actions: &mut Vec<Action>) {
         // The caller's timer may expire a little early.
         self.wakeup.expire(self.now + self.settings.turn_interval);
-        let Some(next) = self.messages.values().map(|message| self.next_check(message)).min() else { return };
-        let delay = next.saturating_sub(self.now).max(self.settings.turn_interval.max(MILLISECOND));
+        let Some(next) = self
+            .messages
+            .values()
+            .map(|message| self.next_check(message))
+            .min()
+        else {
+            return;
+        };
+        let delay = next
+            .saturating_sub(self.now)
+            .max(self.settings.turn_interval.max(MILLISECOND));
         if self.wakeup.set(self.now + delay) {
             actions.push(Action::WakeAfter(delay));
         }
     }
 
     fn next_check(&self, message: &Message) -> Nanos {
-        let before_deadline = message.deadline.saturating_sub(2 * self.settings.turn_interval);
+        let before_deadline = message
+            .deadline
+            .saturating_sub(2 * self.settings.turn_interval);
         let last = before_deadline.max(self.now + RECHECK_INTERVAL);
         if !message.is_waiting() {
-            let due_times = message.in_flight().filter(|(_, a)| !a.cancelled).flat_map(|(_, attempt)| {
-                let route = self.endpoints[&attempt.endpoint].route;
-                [self.p95_latency(route), self.overdue_after(route)].map(|delay| attempt.sent_at + delay)
-            });
+            let due_times =
+                message
+                    .in_flight()
+                    .filter(|(_, a)| !a.cancelled)
+                    .flat_map(|(_, attempt)| {
+                        let route = self.endpoints[&attempt.endpoint].route;
+                        [self.p95_latency(route), self.overdue_after(route)]
+                            .map(|delay| attempt.sent_at + delay)
+                    });
             return due_times
                 .filter(|due| *due > self.now)
                 .min()
@@ -141,11 +205,21 @@
         }
         let ready = self.min_over_routes(message.destination, RouteState::ready_at);
         let ready = ready.unwrap_or(Nanos::MAX).max(message.not_before);
-        if ready > self.now { ready.min(last) } else { (self.now + RECHECK_INTERVAL).min(last) }
+        if ready > self.now {
+            ready.min(last)
+        } else {
+            (self.now + RECHECK_INTERVAL).min(last)
+        }
     }
 
-    fn min_over_routes(&self, of: DestinationId, value: impl Fn(&RouteState) -> Nanos) -> Option<Nanos> {
+    fn min_over_routes(
+        &self,
+        of: DestinationId,
+        value: impl Fn(&RouteState) -> Nanos,
+    ) -> Option<Nanos> {
         let endpoints = self.endpoints_of.get(&of)?.iter();
-        endpoints.map(|endpoint| value(&self.routes[&self.endpoints[endpoint].route])).min()
+        endpoints
+            .map(|endpoint| value(&self.routes[&self.endpoints[endpoint].route]))
+            .min()
     }
 }
--- a/crates/policy/src/policy/endpoints.rs
+++ b/crates/policy/src/policy/endpoints.rs
@@ -20,22 +20,45 @@
 
 impl Policy {
     pub(super) fn update_endpoint(&mut self, entry: &EndpointEntry) {
-        let Some(kind) = self.settings.kinds.get(entry.kind.0) else { return };
-        let &EndpointEntry { endpoint: id, destination, zone, kind: kind_id, .. } = entry;
-        let route = RouteKey { destination, endpoint: kind.per_endpoint.then_some(id) };
+        let Some(kind) = self.settings.kinds.get(entry.kind.0) else {
+            return;
+        };
+        let &EndpointEntry {
+            endpoint: id,
+            destination,
+            zone,
+            kind: kind_id,
+            ..
+        } = entry;
+        let route = RouteKey {
+            destination,
+            endpoint: kind.per_endpoint.then_some(id),
+        };
         if !self.endpoints.contains_key(&id) {
             self.endpoints_of.entry(destination).or_default().push(id);
         }
         let serves_route = |e: &Endpoint| e.route == route && e.state == EndpointState::Active;
-        let siblings = self.endpoints_of[&destination].iter().filter_map(|id| self.endpoints.get(id));
+        let siblings = self.endpoints_of[&destination]
+            .iter()
+            .filter_map(|id| self.endpoints.get(id));
         let route_was_unserved = !siblings.into_iter().any(serves_route);
-        let new = Endpoint { destination, zone, kind: kind_id, route, ..Endpoint::default() };
+        let new = Endpoint {
+            destination,
+            zone,
+            kind: kind_id,
+            route,
+            ..Endpoint::default()
+        };
         let endpoint = self.endpoints.entry(id).or_insert(new);
         // Active again after draining: restarted and cold. Without other active endpoints, so is its route.
-        let was_restarted = endpoint.state == EndpointState::Draining && entry.state == EndpointState::Active;
+        let was_restarted =
+            endpoint.state == EndpointState::Draining && entry.state == EndpointState::Active;
         endpoint.state = entry.state;
         let route = self.routes.entry(route).or_default();
-        let rate_limit = self.settings.weight_meaning.rate_limit(entry.weight, APPROXIMATE_WEIGHT_ERROR);
+        let rate_limit = self
+            .settings
+            .weight_meaning
+            .rate_limit(entry.weight, APPROXIMATE_WEIGHT_ERROR);
         route.rate_limit = rate_limit.filter(|limit| *limit > 0.0).or(route.rate_limit);
         if was_restarted && route_was_unserved {
             route.recovering_since = Some(self.now);
@@ -48,24 +71,46 @@
         if self.endpoints.values().any(departed) {
             self.endpoints.retain(|_, endpoint| !departed(endpoint));
             let kept = &self.endpoints;
-            self.endpoints_of.values_mut().for_each(|ids| ids.retain(|id| kept.contains_key(id)));
-            self.routes.retain(|key, _| key.endpoint.is_none_or(|id| kept.contains_key(&id)));
+            self.endpoints_of
+                .values_mut()
+                .for_each(|ids| ids.retain(|id| kept.contains_key(id)));
+            self.routes
+                .retain(|key, _| key.endpoint.is_none_or(|id| kept.contains_key(&id)));
         }
     }
 
     /// A Retry-After applies at once; the rest is used only for a route to which nothing was sent yet.
     pub(super) fn apply_gossip(&mut self, gossip: &GossipedState) {
-        let key = RouteKey { destination: gossip.destination, endpoint: gossip.endpoint };
-        let mut endpoints = self.endpoints_of.get(&gossip.destination).into_iter().flatten().copied();
-        let Some(endpoint) = endpoints.find(|id| self.endpoints[id].route == key) else { return };
-        let route = self.routes.get_mut(&key).expect("each listed endpoint has a route");
+        let key = RouteKey {
+            destination: gossip.destination,
+            endpoint: gossip.endpoint,
+        };
+        let mut endpoints = self
+            .endpoints_of
+            .get(&gossip.destination)
+            .into_iter()
+            .flatten()
+            .copied();
+        let Some(endpoint) = endpoints.find(|id| self.endpoints[id].route == key) else {
+            return;
+        };
+        let route = self
+            .routes
+            .get_mut(&key)
+            .expect("each listed endpoint has a route");
         let retry_after = gossip.remaining_retry_after;
-        route.retry_after_until = route.retry_after_until.max(self.now.saturating_add(retry_after));
+        route.retry_after_until = route
+            .retry_after_until
+            .max(self.now.saturating_add(retry_after));
         if route.last_sent_at.is_some() || route.latencies.has_priors() {
             return;
         }
-        route.pacing_interval.raise_to(gossip.pacing_interval.min(MAX_PACING_INTERVAL));
-        route.rate_limit = route.rate_limit.or(gossip.rate_limit.filter(|limit| *limit > 0.0));
+        route
+            .pacing_interval
+            .raise_to(gossip.pacing_interval.min(MAX_PACING_INTERVAL));
+        route.rate_limit = route
+            .rate_limit
+            .or(gossip.rate_limit.filter(|limit| *limit > 0.0));
         for latency in gossip.latencies.iter().take(LatencyWindow::CAPACITY / 2) {
             route.latencies.record(*latency);
             self.pooled_latencies.record(*latency);
@@ -90,17 +135,27 @@
 
     /// Whether an endpoint is avoided now: its route is down, rejects all calls, or is in backoff.
     pub fn is_avoided(&self, endpoint: EndpointId) -> bool {
-        let route = self.endpoints.get(&endpoint).and_then(|endpoint| self.routes.get(&endpoint.route));
+        let route = self
+            .endpoints
+            .get(&endpoint)
+            .and_then(|endpoint| self.routes.get(&endpoint.route));
         route.is_some_and(|route| route.is_half_open() || route.backoff_until > self.now)
     }
 
     /// Own observations of up to `max_routes` routes after `after`, in order, as of the latest turn; and the
     /// `after` of the next page, if any. Gossip is left out, except a Retry-After at a route called here too.
     pub fn observations(
-        &self, now: Nanos, after: Option<(DestinationId, Option<EndpointId>)>, max_routes: usize,
-    ) -> (Vec<Observation>, Option<(DestinationId, Option<EndpointId>)>) {
+        &self,
+        now: Nanos,
+        after: Option<(DestinationId, Option<EndpointId>)>,
+        max_routes: usize,
+    ) -> (
+        Vec<Observation>,
+        Option<(DestinationId, Option<EndpointId>)>,
+    ) {
         let read = |key, route: &RouteState| route.observe(key, now, &self.settings);
-        let (observations, last) = read_page(&self.routes, after.map(RouteKey::from), max_routes, read);
+        let (observations, last) =
+            read_page(&self.routes, after.map(RouteKey::from), max_routes, read);
         (observations, last.map(RouteKey::into))
     }
 }
--- a/crates/policy/src/policy/messages.rs
+++ b/crates/policy/src/policy/messages.rs
@@ -34,7 +34,10 @@
 
 impl Message {
     pub(super) fn in_flight(&self) -> impl Iterator<Item = (usize, &Attempt)> {
-        self.attempts.iter().enumerate().filter(|(_, attempt)| attempt.outcome.is_none())
+        self.attempts
+            .iter()
+            .enumerate()
+            .filter(|(_, attempt)| attempt.outcome.is_none())
     }
 
     pub(super) fn is_idle(&self) -> bool {
@@ -56,7 +59,9 @@
 
     /// The first attempt that may have run, as no outcome proves that it never ran.
     pub(super) fn first_run(&self) -> Option<&Attempt> {
-        self.attempts.iter().find(|attempt| attempt.outcome.is_none_or(|outcome| !outcome.never_ran()))
+        self.attempts
+            .iter()
+            .find(|attempt| attempt.outcome.is_none_or(|outcome| !outcome.never_ran()))
     }
 }
 
@@ -66,7 +71,9 @@
     }
 
     pub(super) fn message_mut(&mut self, id: MessageId) -> &mut Message {
-        self.messages.get_mut(&id).expect("the caller passes the id of a stored message")
+        self.messages
+            .get_mut(&id)
+            .expect("the caller passes the id of a stored message")
     }
 
     pub(super) fn accept(&mut self, id: MessageId, mut message: Message) {
@@ -81,21 +88,48 @@
     }
 
     /// Accepts a message of an earlier process. Its first attempt stands for all attempts that may have run.
-    pub(super) fn resume(&mut self, id: MessageId, message: Message, attempts: u32, ran_at: Option<Nanos>) {
-        let Message { destination, deadline, .. } = message;
+    pub(super) fn resume(
+        &mut self,
+        id: MessageId,
+        message: Message,
+        attempts: u32,
+        ran_at: Option<Nanos>,
+    ) {
+        let Message {
+            destination,
+            deadline,
+            ..
+        } = message;
         self.accept(id, message);
-        let Some(message) = self.messages.get_mut(&id) else { return };
-        for number in 0..attempts.min(self.settings.max_attempts).max(u32::from(ran_at.is_some())) {
+        let Some(message) = self.messages.get_mut(&id) else {
+            return;
+        };
+        for number in 0..attempts
+            .min(self.settings.max_attempts)
+            .max(u32::from(ran_at.is_some()))
+        {
             let sent_at = ran_at.filter(|_| number == 0);
-            let outcome = Some(if sent_at.is_some() { Outcome::ConnectionLost } else { Outcome::NotSent });
+            let outcome = Some(if sent_at.is_some() {
+                Outcome::ConnectionLost
+            } else {
+                Outcome::NotSent
+            });
             // Its endpoint and zone are no longer known, so no zone is sure to drop a second delivery.
             let (endpoint, sent_at) = (EndpointId(u32::MAX), sent_at.unwrap_or(0));
-            message.attempts.push(Attempt { endpoint, sent_at, outcome, ..Attempt::default() });
+            message.attempts.push(Attempt {
+                endpoint,
+                sent_at,
+                outcome,
+                ..Attempt::default()
+            });
         }
         // Senders killed together restart together: first sends are spread over at most half the time left.
         let end = self.retry_deadline(&self.messages[&id]).min(deadline);
-        let fair_interval = self.min_over_routes(destination, |route| route.fair_interval(&self.settings));
-        let longest = fair_interval.unwrap_or(0).min(end.saturating_sub(self.now) / 2);
+        let fair_interval =
+            self.min_over_routes(destination, |route| route.fair_interval(&self.settings));
+        let longest = fair_interval
+            .unwrap_or(0)
+            .min(end.saturating_sub(self.now) / 2);
         let delay = longest as f64 * self.random.unit();
         self.message_mut(id).not_before = self.now + delay as Nanos;
     }
@@ -107,8 +141,13 @@
     /// Whether another attempt at an endpoint cannot take effect in addition to one that may have run.
     pub(super) fn may_retry_at(&self, message: &Message, endpoint: &Endpoint) -> bool {
         let idempotency = self.class_of(message).idempotency;
-        let per_zone = matches!(idempotency, Idempotency::IdempotencyKey { per_zone: true, .. });
-        let in_zone = message.first_run().is_none_or(|first| !per_zone || first.zone == Some(endpoint.zone));
+        let per_zone = matches!(
+            idempotency,
+            Idempotency::IdempotencyKey { per_zone: true, .. }
+        );
+        let in_zone = message
+            .first_run()
+            .is_none_or(|first| !per_zone || first.zone == Some(endpoint.zone));
         self.now < self.retry_deadline(message) && in_zone
     }
 
@@ -118,23 +157,33 @@
         match (message.first_run(), self.class_of(message).idempotency) {
             (None, _) | (_, Idempotency::Idempotent) => Nanos::MAX,
             (_, Idempotency::NonIdempotent) => 0,
-            (Some(first), Idempotency::IdempotencyKey { window, .. }) => first.sent_at + used_part(window),
+            (Some(first), Idempotency::IdempotencyKey { window, .. }) => {
+                first.sent_at + used_part(window)
+            }
         }
     }
 
     /// Whether a message is the first of its ordering key, and is not held back by the key's quiet period.
     pub(super) fn is_next_in_order(&self, id: MessageId, message: &Message) -> bool {
-        let is_paused = |key| message.attempts.is_empty() && self.ordering_queues.is_paused(key, self.now);
-        message.key.is_none_or(|key| self.ordering_queues.is_first(key, &id) && !is_paused(key))
+        let is_paused =
+            |key| message.attempts.is_empty() && self.ordering_queues.is_paused(key, self.now);
+        message
+            .key
+            .is_none_or(|key| self.ordering_queues.is_first(key, &id) && !is_paused(key))
     }
 
     pub(super) fn finish(&mut self, id: MessageId, actions: &mut Vec<Action>) {
-        let Some(message) = self.messages.get_mut(&id) else { return };
+        let Some(message) = self.messages.get_mut(&id) else {
+            return;
+        };
         message.finished = true;
         for (number, attempt) in message.attempts.iter_mut().enumerate() {
             if self.settings.may_cancel && attempt.outcome.is_none() && !attempt.cancelled {
                 attempt.cancelled = true;
-                actions.push(Action::Cancel { id, attempt: number as u32 });
+                actions.push(Action::Cancel {
+                    id,
+                    attempt: number as u32,
+                });
             }
         }
         self.release_ordering_key(id);
@@ -142,7 +191,10 @@
 
     pub(super) fn release_ordering_key(&mut self, id: MessageId) {
         let message = &self.messages[&id];
-        if let Some(key) = message.key.filter(|_| message.finished && message.is_idle()) {
+        if let Some(key) = message
+            .key
+            .filter(|_| message.finished && message.is_idle())
+        {
             self.ordering_queues.remove(key, &id, self.now);
         }
     }
@@ -151,39 +203,59 @@
     pub(super) fn shed_load(&mut self, actions: &mut Vec<Action>) {
         let mut ending: Vec<MessageId> = Vec::new();
         let mut waiting: BTreeMap<DestinationId, Vec<(f64, MessageId)>> = BTreeMap::new();
-        for (id, message) in self.messages.iter().filter(|(_, message)| message.is_waiting()) {
+        for (id, message) in self
+            .messages
+            .iter()
+            .filter(|(_, message)| message.is_waiting())
+        {
             if self.is_undeliverable(message) {
                 ending.push(*id);
             } else if !message.is_resumed_unsent() {
-                waiting.entry(message.destination).or_default().push((self.value_at_risk(message), *id));
+                waiting
+                    .entry(message.destination)
+                    .or_default()
+                    .push((self.value_at_risk(message), *id));
             }
         }
         let max_open_messages = self.settings.max_open_messages;
         let share_of_limit = |share: f64| (max_open_messages as f64 * share) as usize;
         let max_waiting = share_of_limit(MAX_WAITING_SHARE).max(1);
-        let open = self.messages.values().filter(|message| !message.finished).count() - ending.len();
+        let open = self
+            .messages
+            .values()
+            .filter(|message| !message.finished)
+            .count()
+            - ending.len();
         let missing = (open + share_of_limit(FREE_SHARE) + 1).saturating_sub(max_open_messages);
         for values in waiting.values_mut() {
             let excess_over = |limit: usize| values.len().saturating_sub(limit);
-            let excess = missing.min(excess_over(max_waiting / 2)).max(excess_over(max_waiting));
+            let excess = missing
+                .min(excess_over(max_waiting / 2))
+                .max(excess_over(max_waiting));
             values.sort_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1)));
             ending.extend(values.iter().take(excess).map(|(_, id)| *id));
         }
-        ending.into_iter().for_each(|id| self.reject_or_fail(id, actions));
+        ending
+            .into_iter()
+            .for_each(|id| self.reject_or_fail(id, actions));
     }
 
     /// Whether no further attempt can deliver the message before its deadline.
     fn is_undeliverable(&self, message: &Message) -> bool {
         let margin = 2 * self.settings.turn_interval.max(RECHECK_INTERVAL);
         let route_opens_at = |route: &RouteState| route.backoff_until.max(route.retry_after_until);
-        let opens_at = self.min_over_routes(message.destination, route_opens_at).unwrap_or(0);
+        let opens_at = self
+            .min_over_routes(message.destination, route_opens_at)
+            .unwrap_or(0);
         let may_retry = self.has_attempts_left(message) && self.now < self.retry_deadline(message);
         !may_retry || opens_at.max(self.now) + margin >= message.deadline
     }
 
     fn reject_or_fail(&mut self, id: MessageId, actions: &mut Vec<Action>) {
         let message = &self.messages[&id];
-        if self.class_of(message).idempotency.covers_all_endpoints() || message.first_run().is_none() {
+        if self.class_of(message).idempotency.covers_all_endpoints()
+            || message.first_run().is_none()
+        {
             let retry_after = self.advise_retry_after(message.destination);
             actions.push(Action::Reject { id, retry_after });
         } else {
@@ -195,11 +267,17 @@
     /// Retry-After for a client: when a route is likely to accept the message, up to what clients follow.
     fn advise_retry_after(&mut self, destination: DestinationId) -> Option<Nanos> {
         // Clients rejected together return at different times, and none before the route opens.
-        let opens_at = self.min_over_routes(destination, RouteState::ready_at).unwrap_or(0);
+        let opens_at = self
+            .min_over_routes(destination, RouteState::ready_at)
+            .unwrap_or(0);
         let delay = opens_at.saturating_sub(self.now).max(MAX_PACING_INTERVAL);
         let spread = self.random.unit();
         let longest = self.settings.max_retry_after?;
-        let least = if delay < longest { delay } else { longest * 3 / 4 };
+        let least = if delay < longest {
+            delay
+        } else {
+            longest * 3 / 4
+        };
         let most = longest.min(delay + delay / 4);
         Some(least + ((most - least) as f64 * spread) as Nanos)
     }
--- a/crates/policy/src/policy/route.rs
+++ b/crates/policy/src/policy/route.rs
@@ -68,9 +68,13 @@
     pub(super) fn record_success(&mut self, now: Nanos, sent_at: Nanos, settings: &Settings) {
         let step = self.pacing_step(settings);
         // The longest interval suits slow partners: at a call a second, a fast one's backlog would expire.
-        let decrease =
-            if self.pacing_interval.get() > 2 * step { FAST_PACING_DECREASE } else { PACING_DECREASE };
-        self.pacing_interval.decrease(decrease, step.min(MAX_PACING_INTERVAL) / 4);
+        let decrease = if self.pacing_interval.get() > 2 * step {
+            FAST_PACING_DECREASE
+        } else {
+            PACING_DECREASE
+        };
+        self.pacing_interval
+            .decrease(decrease, step.min(MAX_PACING_INTERVAL) / 4);
         let returned = self.is_down() || self.is_backing_off_on_suspicion();
         self.outcome_history.record_success();
         self.consecutive_rejections = 0;
@@ -84,8 +88,14 @@
         self.suspicion = 0.0;
     }
 
-    pub(super) fn record_rejection(&mut self, now: Nanos, retries: &mut SuccessRate, settings: &Settings) {
-        self.pacing_interval.increase(now, self.pacing_step(settings), MAX_PACING_INTERVAL);
+    pub(super) fn record_rejection(
+        &mut self,
+        now: Nanos,
+        retries: &mut SuccessRate,
+        settings: &Settings,
+    ) {
+        self.pacing_interval
+            .increase(now, self.pacing_step(settings), MAX_PACING_INTERVAL);
         if self.consecutive_rejections == 0 {
             self.rejecting_since = now;
         } else {
@@ -95,7 +105,10 @@
     }
 
     pub(super) fn has_recovered(&self, now: Nanos, settings: &Settings) -> bool {
-        !self.is_down() && self.recovering_since.is_none_or(|since| now >= since + settings.recovery.duration)
+        !self.is_down()
+            && self
+                .recovering_since
+                .is_none_or(|since| now >= since + settings.recovery.duration)
     }
 
     /// Calls that may be sent in an overload window. With many senders, the share of each is far below 1.
@@ -108,15 +121,22 @@
     pub(super) fn budget_after(&self, elapsed: Nanos, settings: &Settings) -> f64 {
         let recovery = &settings.recovery;
         // Without a known rate limit, a single call says nothing about a rate.
-        let interval = self.rate_limit.map_or(recovery.duration, |_| self.fair_interval(settings));
+        let interval = self
+            .rate_limit
+            .map_or(recovery.duration, |_| self.fair_interval(settings));
         let fair_calls = recovery.overload_window as f64 / interval.max(1) as f64;
-        BUDGET_UTILIZATION * recovery.overload_factor * recovery.capacity_share(elapsed) * fair_calls
+        BUDGET_UTILIZATION
+            * recovery.overload_factor
+            * recovery.capacity_share(elapsed)
+            * fair_calls
     }
 
     /// Interval of this sender's calls at its fair share of the rate limit; if unknown, by fleet size.
     pub(super) fn fair_interval(&self, settings: &Settings) -> Nanos {
         let default = (PACING_STEP * Nanos::from(settings.senders)).min(MAX_PACING_INTERVAL);
-        self.rate_limit.map_or(default, |limit| (settings.senders as f64 / limit * 1e9) as Nanos)
+        self.rate_limit.map_or(default, |limit| {
+            (settings.senders as f64 / limit * 1e9) as Nanos
+        })
     }
 
     /// Interval of sends at which all senders together keep to a budget; a few recovery durations are enough.
@@ -126,12 +146,15 @@
     }
 
     pub(super) fn ready_at(&self) -> Nanos {
-        let paced = self.last_sent_at.map_or(0, |sent_at| sent_at + self.pacing_interval.get());
+        let paced = self
+            .last_sent_at
+            .map_or(0, |sent_at| sent_at + self.pacing_interval.get());
         paced.max(self.retry_after_until).max(self.backoff_until)
     }
 
     fn pacing_step(&self, settings: &Settings) -> Nanos {
-        self.rate_limit.map_or(PACING_STEP, |_| self.fair_interval(settings) / 2)
+        self.rate_limit
+            .map_or(PACING_STEP, |_| self.fair_interval(settings) / 2)
     }
 
     fn outage(&self, now: Nanos, settings: &Settings) -> Option<Outage> {
@@ -148,7 +171,12 @@
         (elapsed < settings.recovery.duration).then_some(Outage::Recovering { elapsed })
     }
 
-    pub(super) fn observe(&self, key: RouteKey, now: Nanos, settings: &Settings) -> Option<Observation> {
+    pub(super) fn observe(
+        &self,
+        key: RouteKey,
+        now: Nanos,
+        settings: &Settings,
+    ) -> Option<Observation> {
         let outage = self.outage(now, settings);
         let (successful_calls, rejected_calls) = self.call_counts.decayed_to(now);
         Some(Observation {
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -23,7 +23,12 @@
         senders: 1,
         zone: ZoneId(0),
         zone_prices: vec![0.0, 0.0],
-        kinds: vec![DestinationKind { per_endpoint: false }, DestinationKind { per_endpoint: true }],
+        kinds: vec![
+            DestinationKind {
+                per_endpoint: false,
+            },
+            DestinationKind { per_endpoint: true },
+        ],
         classes,
         decay: Decay::Halving,
         weight_meaning: EndpointWeights::Nominal,
@@ -93,20 +98,25 @@
 
     /// Sends a complete endpoint list. Each entry is an endpoint, its destination, zone and destination kind.
     pub fn list_endpoints(&mut self, endpoints: &[(u32, u64, usize, usize)]) {
-        let entry = |&(endpoint, destination, zone, kind): &(u32, u64, usize, usize)| EndpointEntry {
-            endpoint: EndpointId(endpoint),
-            zone: ZoneId(zone),
-            kind: KindId(kind),
-            destination: DestinationId(destination),
-            state: EndpointState::Active,
-            weight: 20.0,
-        };
+        let entry =
+            |&(endpoint, destination, zone, kind): &(u32, u64, usize, usize)| EndpointEntry {
+                endpoint: EndpointId(endpoint),
+                zone: ZoneId(zone),
+                kind: KindId(kind),
+                destination: DestinationId(destination),
+                state: EndpointState::Active,
+                weight: 20.0,
+            };
         self.turn(&[Event::EndpointList(endpoints.iter().map(entry).collect())]);
     }
 
     /// The event of a new message, whose deadline is `time_left` from now.
     pub fn new_message(
-        &mut self, destination: u64, class: usize, time_left: Nanos, key: Option<u64>,
+        &mut self,
+        destination: u64,
+        class: usize,
+        time_left: Nanos,
+        key: Option<u64>,
     ) -> Event {
         self.latest_id += 1;
         Event::MessageAccepted {
@@ -126,16 +136,32 @@
         (id, actions)
     }
 
-    pub fn end_attempt(&mut self, id: MessageId, attempt: u32, outcome: Outcome, took: Nanos) -> Vec<Action> {
+    pub fn end_attempt(
+        &mut self,
+        id: MessageId,
+        attempt: u32,
+        outcome: Outcome,
+        took: Nanos,
+    ) -> Vec<Action> {
         let finished = outcome == Outcome::Success;
-        self.turn(&[Event::AttemptEnded { id, attempt, outcome, took, finished }])
+        self.turn(&[Event::AttemptEnded {
+            id,
+            attempt,
+            outcome,
+            took,
+            finished,
+        }])
     }
 
     /// Sends messages that succeed, so that the destination's latency is known.
     pub fn warm_up(&mut self, destination: u64, class: usize, count: usize, took: Nanos) {
         for _ in 0..count {
             let (id, actions) = self.accept(destination, class);
-            assert_eq!(sends(&actions).len(), 1, "a healthy destination is sent to at once");
+            assert_eq!(
+                sends(&actions).len(),
+                1,
+                "a healthy destination is sent to at once"
+            );
             self.now += took;
             self.end_attempt(id, 0, Outcome::Success, took);
         }
@@ -145,18 +171,27 @@
 /// Message, endpoint and timeout of each send.
 pub fn sends(actions: &[Action]) -> Vec<(MessageId, EndpointId, Nanos)> {
     let send = |a: &Action| match a {
-        Action::Send { id, endpoint, timeout, .. } => Some((*id, *endpoint, *timeout)),
+        Action::Send {
+            id,
+            endpoint,
+            timeout,
+            ..
+        } => Some((*id, *endpoint, *timeout)),
         _ => None,
     };
     actions.iter().filter_map(send).collect()
 }
 
 pub fn is_rejected(actions: &[Action], id: MessageId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Reject { id: i, .. } if *i == id))
+    actions
+        .iter()
+        .any(|a| matches!(a, Action::Reject { id: i, .. } if *i == id))
 }
 
 pub fn is_failed(actions: &[Action], id: MessageId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Fail { id: i } if *i == id))
+    actions
+        .iter()
+        .any(|a| matches!(a, Action::Fail { id: i } if *i == id))
 }
 
 pub const IDEMPOTENT: Idempotency = Idempotency::Idempotent;
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -11,7 +11,10 @@
     sender.warm_up(1, 0, 20, 100 * MS);
     let (id, first) = sender.accept(1, 0);
     let first = sends(&first)[0].1;
-    assert!(sends(&sender.advance(90 * MS)).is_empty(), "no hedge before p95");
+    assert!(
+        sends(&sender.advance(90 * MS)).is_empty(),
+        "no hedge before p95"
+    );
     let hedges = sends(&sender.advance(500 * MS));
     assert_eq!(hedges.len(), 1, "one hedge and no more");
     assert_ne!(hedges[0].1, first);
@@ -60,7 +63,10 @@
     for _ in 0..3 {
         sender.accept(1, 0);
     }
-    assert!(sends(&sender.advance(350 * MS)).is_empty(), "three slow calls at once mean a slow destination");
+    assert!(
+        sends(&sender.advance(350 * MS)).is_empty(),
+        "three slow calls at once mean a slow destination"
+    );
 }
 
 #[test]
@@ -80,9 +86,14 @@
         sender.end_attempt(id, attempt, OVERLOADED, 0);
     }
     assert_eq!(intervals[0], 0, "the first call is not paced");
-    assert!(intervals[3] > intervals[1], "the interval grows: {intervals:?}");
     assert!(
-        intervals.iter().all(|interval| *interval <= 1000 * MS + 10 * MS),
+        intervals[3] > intervals[1],
+        "the interval grows: {intervals:?}"
+    );
+    assert!(
+        intervals
+            .iter()
+            .all(|interval| *interval <= 1000 * MS + 10 * MS),
         "the interval has a limit: {intervals:?}"
     );
 }
@@ -93,7 +104,9 @@
     // second for ten seconds.
     let mut sender = two_endpoints(vec![class(Idempotency::NonIdempotent)]);
     sender.warm_up(1, 0, 20, 100 * MS);
-    let backlog: Vec<Event> = (0..30).map(|_| sender.new_message(1, 0, 20 * S, None)).collect();
+    let backlog: Vec<Event> = (0..30)
+        .map(|_| sender.new_message(1, 0, 20 * S, None))
+        .collect();
     let mut in_flight = sends(&sender.turn(&backlog));
     let mut success_times: Vec<Nanos> = Vec::new();
     let mut rejections = 0;
@@ -101,17 +114,31 @@
         sender.now += 5 * MS;
         let mut events = vec![Event::Wake];
         for (id, ..) in std::mem::take(&mut in_flight) {
-            let outcome = if rejections < 8 { OVERLOADED } else { Outcome::Success };
+            let outcome = if rejections < 8 {
+                OVERLOADED
+            } else {
+                Outcome::Success
+            };
             rejections += 1;
             success_times.extend((outcome == Outcome::Success).then_some(sender.now));
             let (attempt, finished) = (sender.attempts[&id.0] - 1, outcome == Outcome::Success);
             let took = 100 * MS;
-            events.push(Event::AttemptEnded { id, attempt, outcome, took, finished });
+            events.push(Event::AttemptEnded {
+                id,
+                attempt,
+                outcome,
+                took,
+                finished,
+            });
         }
         in_flight = sends(&sender.turn(&events));
         assert!(sender.now < 60 * S, "the calls succeed in time");
     }
-    assert!(success_times[7] - success_times[0] < S, "{} ms", (success_times[7] - success_times[0]) / MS);
+    assert!(
+        success_times[7] - success_times[0] < S,
+        "{} ms",
+        (success_times[7] - success_times[0]) / MS
+    );
 }
 
 #[test]
@@ -138,7 +165,12 @@
 
 #[test]
 fn a_non_idempotent_message_that_may_have_run_fails_at_once_and_is_not_retried() {
-    for outcome in [Outcome::Failure, Outcome::TimedOut, Outcome::ConnectionLost, Outcome::Cancelled] {
+    for outcome in [
+        Outcome::Failure,
+        Outcome::TimedOut,
+        Outcome::ConnectionLost,
+        Outcome::Cancelled,
+    ] {
         let mut sender = two_endpoints(vec![class(Idempotency::NonIdempotent)]);
         let (id, _) = sender.accept(1, 0);
         sender.now += 100 * MS;
@@ -162,7 +194,10 @@
 
 #[test]
 fn a_message_with_an_idempotency_key_is_retried_in_its_zone_and_window_and_then_fails() {
-    let keyed = Idempotency::IdempotencyKey { per_zone: true, window: 6 * S };
+    let keyed = Idempotency::IdempotencyKey {
+        per_zone: true,
+        window: 6 * S,
+    };
     let mut sender = two_endpoints(vec![class(keyed)]);
     let (id, actions) = sender.accept(1, 0);
     let (first, sent) = (sends(&actions)[0].1, sender.now);
@@ -171,7 +206,10 @@
     let mut actions = sender.end_attempt(id, 0, Outcome::ConnectionLost, 100 * MS);
     loop {
         if let Some((_, endpoint, _)) = sends(&actions).first() {
-            assert_eq!(*endpoint, first, "another zone would not drop a second delivery");
+            assert_eq!(
+                *endpoint, first,
+                "another zone would not drop a second delivery"
+            );
             assert!(sender.now < sent + 6 * S);
             last = sender.now;
             let attempt = sender.attempts[&id.0] - 1;
@@ -214,15 +252,32 @@
     let mut sender = TestSender::new(settings(vec![class(IDEMPOTENT)]));
     sender.list_endpoints(&[(0, 1, 0, 0), (1, 1, 1, 0), (2, 2, 0, 1), (3, 2, 1, 1)]);
     let (id, _) = sender.accept(1, 0);
-    sender.end_attempt(id, 0, Outcome::Overloaded { retry_after: 700 * MS }, 0);
+    sender.end_attempt(
+        id,
+        0,
+        Outcome::Overloaded {
+            retry_after: 700 * MS,
+        },
+        0,
+    );
     sender.accept(1, 0);
     assert!(sends(&sender.advance(690 * MS)).is_empty());
     assert!(!sends(&sender.advance(800 * MS)).is_empty());
     let (id, actions) = sender.accept(2, 0);
     let first = sends(&actions)[0].1;
-    let again = sender.end_attempt(id, 0, Outcome::Overloaded { retry_after: 700 * MS }, 0);
+    let again = sender.end_attempt(
+        id,
+        0,
+        Outcome::Overloaded {
+            retry_after: 700 * MS,
+        },
+        0,
+    );
     let again = [again, sender.advance(600 * MS)].concat();
-    let other = sends(&again).into_iter().find(|s| s.0 == id).expect("the other route is used");
+    let other = sends(&again)
+        .into_iter()
+        .find(|s| s.0 == id)
+        .expect("the other route is used");
     assert_ne!(other.1, first);
 }
 
@@ -231,12 +286,18 @@
     let mut ordered = class(Idempotency::NonIdempotent);
     ordered.ordered = true;
     let mut sender = two_endpoints(vec![ordered]);
-    let (a, b) = (sender.new_message(1, 0, 20 * S, Some(5)), sender.new_message(1, 0, 20 * S, Some(5)));
+    let (a, b) = (
+        sender.new_message(1, 0, 20 * S, Some(5)),
+        sender.new_message(1, 0, 20 * S, Some(5)),
+    );
     let first = sends(&sender.turn(&[a, b]));
     assert_eq!(first.len(), 1);
     assert!(sends(&sender.advance(300 * MS)).is_empty());
     sender.end_attempt(first[0].0, 0, Outcome::TimedOut, 300 * MS);
-    assert!(sends(&sender.advance(290 * MS)).is_empty(), "the key is in its quiet period");
+    assert!(
+        sends(&sender.advance(290 * MS)).is_empty(),
+        "the key is in its quiet period"
+    );
     assert_eq!(sends(&sender.advance(50 * MS)).len(), 1);
 }
 
@@ -246,11 +307,17 @@
     let event = sender.new_message(7, 0, 500 * MS, None);
     sender.turn(&[event]);
     let actions = sender.advance(500 * MS);
-    assert!(is_rejected(&actions, MessageId(1)), "no endpoint is known, so it is rejected in time");
+    assert!(
+        is_rejected(&actions, MessageId(1)),
+        "no endpoint is known, so it is rejected in time"
+    );
     let event = sender.new_message(1, 0, 300 * MS, None);
     let id = sends(&sender.turn(&[event]))[0].0;
     sender.now += 300 * MS;
-    assert!(is_rejected(&sender.end_attempt(id, 0, Outcome::TimedOut, 300 * MS), id));
+    assert!(is_rejected(
+        &sender.end_attempt(id, 0, Outcome::TimedOut, 300 * MS),
+        id
+    ));
 }
 
 #[test]
@@ -258,8 +325,18 @@
     // Guards against keeping a client waiting until the deadline if nothing can be sent before it.
     let mut sender = two_endpoints(vec![class(IDEMPOTENT)]);
     let (id, _) = sender.accept(1, 0);
-    let actions = sender.end_attempt(id, 0, Outcome::Overloaded { retry_after: 30 * S }, 5 * MS);
-    assert!(is_rejected(&actions, id), "its 20 s end before the Retry-After of 30 s: {actions:?}");
+    let actions = sender.end_attempt(
+        id,
+        0,
+        Outcome::Overloaded {
+            retry_after: 30 * S,
+        },
+        5 * MS,
+    );
+    assert!(
+        is_rejected(&actions, id),
+        "its 20 s end before the Retry-After of 30 s: {actions:?}"
+    );
     assert!(
         is_rejected(&sender.accept(1, 0).1, MessageId(id.0 + 1)),
         "and so is a message that is accepted now"
@@ -287,7 +364,10 @@
     let (lost, _) = sender.accept(1, 0);
     sender.now += 5 * MS;
     sender.warm_up(1, 0, 1, 100 * MS);
-    assert!(sender.advance(1500 * MS).contains(&Action::Cancel { id: lost, attempt: 0 }));
+    assert!(sender.advance(1500 * MS).contains(&Action::Cancel {
+        id: lost,
+        attempt: 0
+    }));
 }
 
 #[test]
@@ -296,19 +376,31 @@
     let mut shed = 0;
     for _ in 0..90 {
         let (_, actions) = sender.accept(1, 0);
-        shed += actions.iter().filter(|a| matches!(a, Action::Reject { .. })).count();
+        shed += actions
+            .iter()
+            .filter(|a| matches!(a, Action::Reject { .. }))
+            .count();
     }
-    assert!((20..40).contains(&shed), "{shed} of 90 were shed, with a limit of 100");
+    assert!(
+        (20..40).contains(&shed),
+        "{shed} of 90 were shed, with a limit of 100"
+    );
 }
 
 #[test]
 fn unknown_and_repeated_events_change_nothing() {
     let mut sender = two_endpoints(vec![class(IDEMPOTENT)]);
-    assert!(sender.end_attempt(MessageId(99), 0, Outcome::Success, 0).is_empty());
+    assert!(
+        sender
+            .end_attempt(MessageId(99), 0, Outcome::Success, 0)
+            .is_empty()
+    );
     let (id, _) = sender.accept(1, 0);
     sender.end_attempt(id, 0, Outcome::Success, 50 * MS);
     assert!(sends(&sender.end_attempt(id, 0, Outcome::Failure, 50 * MS)).is_empty());
-    assert!(sends(&sender.turn(&[Event::ClientLeft(id), Event::ClientLeft(MessageId(98))])).is_empty());
+    assert!(
+        sends(&sender.turn(&[Event::ClientLeft(id), Event::ClientLeft(MessageId(98))])).is_empty()
+    );
     let (id, _) = sender.accept(1, 0);
     assert!(sends(&sender.end_attempt(id, 7, Outcome::Failure, 0)).is_empty());
 }
@@ -317,15 +409,19 @@
 fn idle_connections_are_kept_without_an_idle_timeout() {
     // Guards settings without an idle timeout: the longest duration overflowed when it was added to an
     // instant.
-    let mut sender =
-        TestSender::new(Settings { idle_timeout: Nanos::MAX, ..settings(vec![class(IDEMPOTENT)]) });
+    let mut sender = TestSender::new(Settings {
+        idle_timeout: Nanos::MAX,
+        ..settings(vec![class(IDEMPOTENT)])
+    });
     sender.list_endpoints(&[(0, 1, 0, 0)]);
     sender.warm_up(1, 0, 1, 100 * MS);
     let (id, actions) = sender.accept(1, 0);
     assert_eq!(sends(&actions).len(), 1);
     sender.now += 100 * MS;
     assert!(
-        !sender.end_attempt(id, 0, Outcome::Success, 100 * MS).contains(&Action::CloseIdle(EndpointId(0)))
+        !sender
+            .end_attempt(id, 0, Outcome::Success, 100 * MS)
+            .contains(&Action::CloseIdle(EndpointId(0)))
     );
 }
 
@@ -333,8 +429,18 @@
 fn an_error_for_invalid_settings_names_the_setting() {
     let mut no_calls = settings(vec![class(IDEMPOTENT)]);
     no_calls.max_in_flight = 0;
-    assert!(Policy::new(no_calls, 1).unwrap_err().to_string().contains("max_in_flight"));
-    assert!(Policy::new(settings(vec![]), 1).unwrap_err().to_string().contains("classes"));
+    assert!(
+        Policy::new(no_calls, 1)
+            .unwrap_err()
+            .to_string()
+            .contains("max_in_flight")
+    );
+    assert!(
+        Policy::new(settings(vec![]), 1)
+            .unwrap_err()
+            .to_string()
+            .contains("classes")
+    );
 }
 
 /// The files of the decision module: all that `deploy/balancer.toml` lists under `policy`.
@@ -351,15 +457,28 @@
 #[test]
 fn each_file_of_the_module_has_at_most_300_lines_of_at_most_110_columns() {
     // A file that is missing here would not be counted.
-    let submodules = std::fs::read_dir(format!("{}/src/policy", env!("CARGO_MANIFEST_DIR"))).unwrap();
-    assert_eq!(submodules.count() + 1, MODULE.len(), "each file of the module is listed");
+    let submodules =
+        std::fs::read_dir(format!("{}/src/policy", env!("CARGO_MANIFEST_DIR"))).unwrap();
+    assert_eq!(
+        submodules.count() + 1,
+        MODULE.len(),
+        "each file of the module is listed"
+    );
     let deploy = include_str!("../../../deploy/balancer.toml");
-    assert!(MODULE.iter().all(|file| deploy.contains(&format!("\"crates/policy/src/{file}\""))));
-    let read = |file: &str| std::fs::read_to_string(format!("{}/src/{file}", env!("CARGO_MANIFEST_DIR")));
+    assert!(
+        MODULE
+            .iter()
+            .all(|file| deploy.contains(&format!("\"crates/policy/src/{file}\"")))
+    );
+    let read =
+        |file: &str| std::fs::read_to_string(format!("{}/src/{file}", env!("CARGO_MANIFEST_DIR")));
     let texts = MODULE.map(|file| read(file).unwrap());
     for (file, text) in MODULE.iter().zip(&texts) {
         let lines = text.lines().count();
-        assert!(lines <= 300, "{file} has {lines} lines: each file of the module has one job");
+        assert!(
+            lines <= 300,
+            "{file} has {lines} lines: each file of the module has one job"
+        );
     }
     let text: String = texts.concat();
     assert!(text.lines().all(|l| l.chars().count() <= 110));
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -15,7 +15,9 @@
         max_retry_after: Some(3 * S),
         ..settings(vec![class(Idempotency::Idempotent)])
     };
-    let mut senders: Vec<TestSender> = (1..=FLEET).map(|seed| TestSender::seeded(set(), seed)).collect();
+    let mut senders: Vec<TestSender> = (1..=FLEET)
+        .map(|seed| TestSender::seeded(set(), seed))
+        .collect();
     let listed: Vec<_> = (0..endpoints).map(|e| (e, 1, 0, 0)).collect();
     for sender in &mut senders {
         sender.list_endpoints(&listed);
@@ -29,7 +31,12 @@
     times.sort_unstable();
     times
         .iter()
-        .map(|start| times.iter().filter(|time| **time >= *start && **time < *start + window).count())
+        .map(|start| {
+            times
+                .iter()
+                .filter(|time| **time >= *start && **time < *start + window)
+                .count()
+        })
         .max()
         .unwrap_or(0)
 }
@@ -68,8 +75,14 @@
         .zip(&ends)
         .map(|(at, end)| at.checked_sub(*end).expect("no send before the end"))
         .collect();
-    println!("after the end of the Retry-After, ms: {:?}", after.iter().map(|a| a / MS).collect::<Vec<_>>());
-    assert!(max_in_window(after, 20 * MS) as u64 <= FLEET / 2, "at most half of the senders return together");
+    println!(
+        "after the end of the Retry-After, ms: {:?}",
+        after.iter().map(|a| a / MS).collect::<Vec<_>>()
+    );
+    assert!(
+        max_in_window(after, 20 * MS) as u64 <= FLEET / 2,
+        "at most half of the senders return together"
+    );
 }
 
 #[test]
@@ -79,11 +92,18 @@
         let mut advised = Vec::new();
         for sender in &mut senders {
             let (id, _) = sender.accept(1, 0);
-            let mut actions =
-                sender.end_attempt(id, 0, Outcome::Overloaded { retry_after: partner_retry_after }, 5 * MS);
+            let mut actions = sender.end_attempt(
+                id,
+                0,
+                Outcome::Overloaded {
+                    retry_after: partner_retry_after,
+                },
+                5 * MS,
+            );
             // These messages have no time left after the Retry-After, so that nothing can be sent.
-            let late: Vec<Event> =
-                (0..4).map(|_| sender.new_message(1, 0, partner_retry_after.min(S), None)).collect();
+            let late: Vec<Event> = (0..4)
+                .map(|_| sender.new_message(1, 0, partner_retry_after.min(S), None))
+                .collect();
             actions.extend(sender.turn(&late));
             let advice = |a: &Action| match a {
                 Action::Reject { retry_after, .. } => *retry_after,
@@ -93,10 +113,20 @@
             assert!(advice.len() >= 4, "{actions:?}");
             advised.extend(advice);
         }
-        assert!(advised.iter().all(|t| (least..=3 * S).contains(t)), "{advised:?}");
+        assert!(
+            advised.iter().all(|t| (least..=3 * S).contains(t)),
+            "{advised:?}"
+        );
         let most = max_in_window(advised.clone(), 20 * MS);
-        println!("{} clients advised, at most {most} within 20 ms", advised.len());
-        assert!(most * 4 <= advised.len(), "{most} of {} get the same: {advised:?}", advised.len());
+        println!(
+            "{} clients advised, at most {most} within 20 ms",
+            advised.len()
+        );
+        assert!(
+            most * 4 <= advised.len(),
+            "{most} of {} get the same: {advised:?}",
+            advised.len()
+        );
     }
 }
 
@@ -106,12 +136,19 @@
     for sender in &mut senders {
         let ids: Vec<MessageId> = (0..5).map(|_| sender.accept(1, 0).0).collect();
         sender.now += 50 * MS;
-        ids.into_iter().for_each(|id| drop(sender.end_attempt(id, 0, Outcome::Unreachable, 50 * MS)));
+        ids.into_iter()
+            .for_each(|id| drop(sender.end_attempt(id, 0, Outcome::Unreachable, 50 * MS)));
     }
     let sent = next_sends(&mut senders, 8 * S);
-    println!("first probes, ms: {:?}", sent.iter().map(|a| a / MS).collect::<Vec<_>>());
+    println!(
+        "first probes, ms: {:?}",
+        sent.iter().map(|a| a / MS).collect::<Vec<_>>()
+    );
     assert_eq!(sent.len() as u64, FLEET, "all senders probe");
-    assert!(max_in_window(sent, 20 * MS) as u64 <= FLEET / 2, "at most half of the senders probe together");
+    assert!(
+        max_in_window(sent, 20 * MS) as u64 <= FLEET / 2,
+        "at most half of the senders probe together"
+    );
 }
 
 #[test]
@@ -143,7 +180,10 @@
 
 #[test]
 fn senders_that_start_together_spread_their_first_calls_over_the_endpoints_and_send_no_hedges() {
-    let set = || Settings { senders: FLEET as u32, ..settings(vec![class(Idempotency::Idempotent)]) };
+    let set = || Settings {
+        senders: FLEET as u32,
+        ..settings(vec![class(Idempotency::Idempotent)])
+    };
     let mut by_endpoint: BTreeMap<u32, usize> = BTreeMap::new();
     let mut hedges = Vec::new();
     for seed in 1..=FLEET {
@@ -154,16 +194,29 @@
         let from = sender.now;
         while sender.now < from + 900 * MS {
             sender.now += 5 * MS;
-            hedges.extend(sends(&sender.turn(&[Event::Wake])).iter().map(|_| sender.now - from));
+            hedges.extend(
+                sends(&sender.turn(&[Event::Wake]))
+                    .iter()
+                    .map(|_| sender.now - from),
+            );
         }
         sender.end_attempt(id, 0, Outcome::Success, 900 * MS);
     }
-    println!("first calls by endpoint: {by_endpoint:?}; hedges of unanswered first calls: {}", hedges.len());
+    println!(
+        "first calls by endpoint: {by_endpoint:?}; hedges of unanswered first calls: {}",
+        hedges.len()
+    );
     assert!(
-        by_endpoint.len() == 3 && by_endpoint.values().all(|count| count * 3 <= FLEET as usize * 2),
+        by_endpoint.len() == 3
+            && by_endpoint
+                .values()
+                .all(|count| count * 3 <= FLEET as usize * 2),
         "{by_endpoint:?}"
     );
-    assert!(hedges.is_empty(), "no latency is known yet that could set a hedge delay: {hedges:?}");
+    assert!(
+        hedges.is_empty(),
+        "no latency is known yet that could set a hedge delay: {hedges:?}"
+    );
 }
 
 /// Sends messages to a healthy destination for 20 s, beside a flood to another destination, which never
@@ -185,15 +238,28 @@
             end > sender.now
         });
         for (id, attempt, healthy) in due {
-            let outcome = if healthy { Outcome::Success } else { Outcome::TimedOut };
+            let outcome = if healthy {
+                Outcome::Success
+            } else {
+                Outcome::TimedOut
+            };
             succeeded += usize::from(healthy && open.remove(&id).is_some());
-            events.push(Event::AttemptEnded { id, attempt, outcome, took: 100 * MS, finished: healthy });
+            events.push(Event::AttemptEnded {
+                id,
+                attempt,
+                outcome,
+                took: 100 * MS,
+                finished: healthy,
+            });
         }
-        for (destination, message_time_left) in
-            (0..flood).map(|_| (2, time_left)).chain((step % 20 == 0).then_some((1, 8 * S)))
+        for (destination, message_time_left) in (0..flood)
+            .map(|_| (2, time_left))
+            .chain((step % 20 == 0).then_some((1, 8 * S)))
         {
             let event = sender.new_message(destination, 0, message_time_left, None);
-            let Event::MessageAccepted { id, .. } = event else { unreachable!() };
+            let Event::MessageAccepted { id, .. } = event else {
+                unreachable!()
+            };
             // As in the sender, the limit is checked before the module sees the new messages.
             if open.len() < max_open {
                 open.insert(id, destination);
@@ -204,7 +270,12 @@
         }
         for action in sender.turn(&events) {
             match action {
-                Action::Send { id, endpoint, timeout, .. } => {
+                Action::Send {
+                    id,
+                    endpoint,
+                    timeout,
+                    ..
+                } => {
                     let (healthy, attempt) = (endpoint.0 < 2, sender.attempts[&id.0] - 1);
                     in_flight.push((
                         sender.now + if healthy { 100 * MS } else { timeout },
@@ -231,7 +302,10 @@
 fn assert_others_are_not_affected(flood: usize, time_left: Nanos) {
     let (mut with, mut without) = ((0, 0), (0, 0));
     for seed in 1..=4 {
-        let (a, b) = (run_beside_flood(seed, flood, time_left), run_beside_flood(seed, 0, time_left));
+        let (a, b) = (
+            run_beside_flood(seed, flood, time_left),
+            run_beside_flood(seed, 0, time_left),
+        );
         with = (with.0 + a.0, with.1 + a.1);
         without = (without.0 + b.0, without.1 + b.1);
     }
@@ -239,7 +313,10 @@
         "{flood} every 5 ms, {} ms left: succeeded, not accepted {with:?}, without {without:?}",
         time_left / MS
     );
-    assert!(with.0 * 100 >= without.0 * 95, "other destinations lose messages: {with:?} of {without:?}");
+    assert!(
+        with.0 * 100 >= without.0 * 95,
+        "other destinations lose messages: {with:?} of {without:?}"
+    );
 }
 
 #[test]
--- a/crates/policy/tests/gossip.rs
+++ b/crates/policy/tests/gossip.rs
@@ -28,7 +28,12 @@
 
 /// Accepts a message every `interval` and ends each call with `outcome` after 50 ms. Returns the times of the
 /// sends.
-fn send_times(sender: &mut TestSender, duration: Nanos, interval: Nanos, outcome: Outcome) -> Vec<Nanos> {
+fn send_times(
+    sender: &mut TestSender,
+    duration: Nanos,
+    interval: Nanos,
+    outcome: Outcome,
+) -> Vec<Nanos> {
     let mut in_flight = Vec::<(Nanos, MessageId, u32)>::new();
     let (mut sent, mut next_message) = (Vec::new(), sender.now);
     let until = sender.now + duration;
@@ -48,7 +53,13 @@
         for (id, attempt) in due {
             let finished = outcome == Outcome::Success;
             let took = 50 * MS;
-            events.push(Event::AttemptEnded { id, attempt, outcome, took, finished });
+            events.push(Event::AttemptEnded {
+                id,
+                attempt,
+                outcome,
+                took,
+                finished,
+            });
         }
         for (id, ..) in sends(&sender.turn(&events)) {
             sent.push(sender.now);
@@ -60,12 +71,19 @@
 
 #[test]
 fn a_gossiped_retry_after_applies_until_its_end() {
-    let mut sender = new_sender(GossipedState { remaining_retry_after: 3 * S, ..gossip_on(1) });
+    let mut sender = new_sender(GossipedState {
+        remaining_retry_after: 3 * S,
+        ..gossip_on(1)
+    });
     let (id, actions) = sender.accept(1, 0);
     assert!(sends(&actions).is_empty());
     assert!(sends(&sender.advance(2_990 * MS)).is_empty());
     assert_eq!(sends(&sender.advance(50 * MS))[0].0, id);
-    assert_eq!(sends(&sender.accept(2, 0).1).len(), 1, "it does not apply to another destination");
+    assert_eq!(
+        sends(&sender.accept(2, 0).1).len(),
+        1,
+        "it does not apply to another destination"
+    );
 }
 
 #[test]
@@ -90,24 +108,45 @@
 fn after_gossip_of_an_outage_a_sender_probes_once_and_keeps_to_the_slow_start_budget() {
     // The rate limit is 20 a second, which is 40 calls in two seconds. A partner that has just returned can
     // take a fifth of that, rising to a third, and fails at twice as much.
-    let without_gossip = send_times(&mut new_sender(gossip_on(1)), 3 * S, 40 * MS, Outcome::Success);
+    let without_gossip = send_times(
+        &mut new_sender(gossip_on(1)),
+        3 * S,
+        40 * MS,
+        Outcome::Success,
+    );
     let with_gossip = send_times(
-        &mut new_sender(GossipedState { outage: Some(Outage::Unresponsive), ..gossip_on(1) }),
+        &mut new_sender(GossipedState {
+            outage: Some(Outage::Unresponsive),
+            ..gossip_on(1)
+        }),
         3 * S,
         40 * MS,
         Outcome::Success,
     );
-    let within =
-        |sent: &[Nanos], duration: Nanos| sent.iter().filter(|at| **at <= 100 * S + duration).count();
-    assert!(within(&without_gossip, 2 * S) > 40, "without gossip the partner is overloaded");
-    assert!(within(&with_gossip, 200 * MS) <= 1, "the sender starts with a single probe");
-    assert!((2..=25).contains(&within(&with_gossip, 2 * S)), "{with_gossip:?}");
+    let within = |sent: &[Nanos], duration: Nanos| {
+        sent.iter().filter(|at| **at <= 100 * S + duration).count()
+    };
+    assert!(
+        within(&without_gossip, 2 * S) > 40,
+        "without gossip the partner is overloaded"
+    );
+    assert!(
+        within(&with_gossip, 200 * MS) <= 1,
+        "the sender starts with a single probe"
+    );
+    assert!(
+        (2..=25).contains(&within(&with_gossip, 2 * S)),
+        "{with_gossip:?}"
+    );
 }
 
 #[test]
 fn after_gossip_of_a_rejecting_partner_it_is_not_overloaded_at_the_end_of_its_retry_after() {
-    let rejecting =
-        GossipedState { remaining_retry_after: 4 * S, outage: Some(Outage::Rejecting), ..gossip_on(1) };
+    let rejecting = GossipedState {
+        remaining_retry_after: 4 * S,
+        outage: Some(Outage::Rejecting),
+        ..gossip_on(1)
+    };
     let sent = send_times(&mut new_sender(rejecting), 6 * S, 40 * MS, Outcome::Success);
     assert!(sent.iter().all(|at| *at >= 104 * S));
     // At most twice what the partner can take in the two seconds after its Retry-After.
@@ -117,7 +156,10 @@
 #[test]
 fn after_gossip_of_a_recovery_a_sender_keeps_to_the_recovery_ramp() {
     let sent_after = |elapsed: Nanos| {
-        let gossip = GossipedState { outage: Some(Outage::Recovering { elapsed }), ..gossip_on(1) };
+        let gossip = GossipedState {
+            outage: Some(Outage::Recovering { elapsed }),
+            ..gossip_on(1)
+        };
         send_times(&mut new_sender(gossip), 2 * S, 40 * MS, Outcome::Success).len()
     };
     assert!(sent_after(0) <= 25, "{}", sent_after(0));
@@ -140,40 +182,65 @@
         send_times(&mut sender, 4 * S, 100 * MS, Outcome::Unreachable);
         send_times(&mut sender, 2 * S, 25 * MS, Outcome::Success).len()
     };
-    let known = GossipedState { latencies: vec![50 * MS; 12], ..gossip_on(1) };
+    let known = GossipedState {
+        latencies: vec![50 * MS; 12],
+        ..gossip_on(1)
+    };
     assert!(sent_after_return(Some(known)) <= sent_after_return(None));
 }
 
 #[test]
 fn a_gossiped_pacing_interval_applies_from_the_first_call_and_falls_with_successes() {
     let sent = send_times(
-        &mut new_sender(GossipedState { pacing_interval: 400 * MS, ..gossip_on(1) }),
+        &mut new_sender(GossipedState {
+            pacing_interval: 400 * MS,
+            ..gossip_on(1)
+        }),
         4 * S,
         100 * MS,
         Outcome::Success,
     );
     assert!(sent[1] - sent[0] >= 200 * MS);
     let last = sent.len() - 1;
-    assert!(sent[last] - sent[last - 1] <= 110 * MS, "the pacing interval is 0 again");
+    assert!(
+        sent[last] - sent[last - 1] <= 110 * MS,
+        "the pacing interval is 0 again"
+    );
 }
 
 #[test]
 fn gossiped_latencies_set_the_hedge_delay_until_own_latencies_replace_them() {
-    let sender = |latencies: Vec<Nanos>| new_sender(GossipedState { latencies, ..gossip_on(1) });
+    let sender = |latencies: Vec<Nanos>| {
+        new_sender(GossipedState {
+            latencies,
+            ..gossip_on(1)
+        })
+    };
     let hedges = |sender: &mut TestSender, duration: Nanos| {
         sender.accept(1, 0);
         sends(&sender.advance(duration)).len()
     };
     assert_eq!(hedges(&mut sender(vec![40 * MS; 12]), 35 * MS), 0);
-    assert_eq!(hedges(&mut sender(vec![40 * MS; 12]), 50 * MS), 1, "a hedge at the gossiped p95");
+    assert_eq!(
+        hedges(&mut sender(vec![40 * MS; 12]), 50 * MS),
+        1,
+        "a hedge at the gossiped p95"
+    );
     let mut sender = sender(vec![40 * MS; 12]);
     sender.warm_up(1, 0, 12, 90 * MS);
-    assert_eq!(hedges(&mut sender, 80 * MS), 0, "twelve own latencies have replaced the gossiped ones");
+    assert_eq!(
+        hedges(&mut sender, 80 * MS),
+        0,
+        "twelve own latencies have replaced the gossiped ones"
+    );
 }
 
 #[test]
 fn gossiped_latencies_that_are_too_low_are_corrected_within_a_few_calls() {
-    let mut sender = new_sender(GossipedState { latencies: vec![20 * MS; 12], ..gossip_on(1) });
+    let mut sender = new_sender(GossipedState {
+        latencies: vec![20 * MS; 12],
+        ..gossip_on(1)
+    });
     let mut hedged = 0;
     for _ in 0..12 {
         let (id, actions) = sender.accept(1, 0);
@@ -187,7 +254,10 @@
 
 #[test]
 fn gossip_on_an_unlisted_route_is_ignored() {
-    let mut sender = new_sender(GossipedState { remaining_retry_after: 10 * S, ..gossip_on(77) });
+    let mut sender = new_sender(GossipedState {
+        remaining_retry_after: 10 * S,
+        ..gossip_on(77)
+    });
     sender.turn(&[Event::Gossip(GossipedState {
         endpoint: Some(EndpointId(0)),
         remaining_retry_after: 10 * S,
@@ -208,10 +278,18 @@
     sender.end_attempt(id, 0, Outcome::Overloaded { retry_after: 4 * S }, 10 * MS);
     sender.now += S;
     let (observations, next) = sender.policy.observations(sender.now, None, 100);
-    assert_eq!((observations.len(), next), (1, None), "nothing was sent to the other destination");
+    assert_eq!(
+        (observations.len(), next),
+        (1, None),
+        "nothing was sent to the other destination"
+    );
     let observation = &observations[0];
     assert_eq!(
-        (observation.destination, observation.endpoint, observation.since_last_call),
+        (
+            observation.destination,
+            observation.endpoint,
+            observation.since_last_call
+        ),
         (DestinationId(1), None, S)
     );
     assert!(
@@ -225,8 +303,15 @@
             && observation.rejected_calls > 0.9,
         "{observation:?}"
     );
-    assert_eq!(observation.outage, Some(Outage::Rejecting), "a Retry-After this long means an outage");
-    assert_eq!(observation.rate_limit, None, "there is no rate limit during an outage");
+    assert_eq!(
+        observation.outage,
+        Some(Outage::Rejecting),
+        "a Retry-After this long means an outage"
+    );
+    assert_eq!(
+        observation.rate_limit, None,
+        "there is no rate limit during an outage"
+    );
 }
 
 #[test]
@@ -247,11 +332,17 @@
 fn pages_of_observations_together_contain_every_called_route() {
     let mut sender = TestSender::new(settings(vec![class(IDEMPOTENT)]));
     sender.list_endpoints(&(0..25).map(|d| (d, u64::from(d), 0, 0)).collect::<Vec<_>>());
-    (0..25).filter(|d| d % 3 != 0).for_each(|d| sender.warm_up(d, 0, 1, 10 * MS));
+    (0..25)
+        .filter(|d| d % 3 != 0)
+        .for_each(|d| sender.warm_up(d, 0, 1, 10 * MS));
     let (mut after, mut all, mut pages) = (None, Vec::new(), 0);
     loop {
         let (observations, next) = sender.policy.observations(sender.now, after, 4);
-        all.extend(observations.iter().map(|observation| observation.destination.0));
+        all.extend(
+            observations
+                .iter()
+                .map(|observation| observation.destination.0),
+        );
         pages += 1;
         if next.is_none() {
             break;
--- a/crates/policy/tests/many.rs
+++ b/crates/policy/tests/many.rs
@@ -32,7 +32,9 @@
         .collect();
     let (mut random_state, mut latest_id, mut calls) = (9u64, 0u64, vec![]);
     let mut random_below = move |bound: usize| {
-        random_state = random_state.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        random_state = random_state
+            .wrapping_mul(6364136223846793005)
+            .wrapping_add(1442695040888963407);
         (random_state >> 33) as usize % bound
     };
     let (outage_start, outage_end) = (5 * S, 15 * S);
@@ -41,12 +43,20 @@
         // The load is eight tenths of the rate limit. One message in two is accepted by a busy sender.
         let mut new_messages = BTreeMap::new();
         if random_below(100) < 40 {
-            let index = if random_below(2) == 0 { random_below(busy) } else { random_below(SENDERS) };
+            let index = if random_below(2) == 0 {
+                random_below(busy)
+            } else {
+                random_below(SENDERS)
+            };
             latest_id += 1;
             new_messages.insert(index, latest_id);
         }
         for (index, sender) in senders.iter_mut().enumerate() {
-            let mut events = if step == 0 { vec![Event::EndpointList(vec![entry(0, 1)])] } else { vec![] };
+            let mut events = if step == 0 {
+                vec![Event::EndpointList(vec![entry(0, 1)])]
+            } else {
+                vec![]
+            };
             events.extend(new_messages.get(&index).map(|id| Event::MessageAccepted {
                 id: MessageId(*id),
                 destination: DestinationId(1),
@@ -54,12 +64,19 @@
                 deadline: now + 20 * S,
                 key: None,
             }));
-            let (ended, remaining): (Vec<_>, Vec<_>) = sender.in_flight.iter().partition(|d| d.0 <= now);
+            let (ended, remaining): (Vec<_>, Vec<_>) =
+                sender.in_flight.iter().partition(|d| d.0 <= now);
             sender.in_flight = remaining;
             for (_, id, attempt, outcome) in ended {
                 sender.observed_outage |= outcome != Outcome::Success;
                 let finished = outcome == Outcome::Success;
-                events.push(Event::AttemptEnded { id, attempt, outcome, took: 100 * MS, finished });
+                events.push(Event::AttemptEnded {
+                    id,
+                    attempt,
+                    outcome,
+                    took: 100 * MS,
+                    finished,
+                });
             }
             events.push(Event::Wake);
             let mut actions = Vec::new();
@@ -67,8 +84,14 @@
             for (id, _, _) in sends(&actions) {
                 let attempt = sender.attempts.entry(id.0).or_insert(0);
                 let down = (outage_start..outage_end).contains(&now);
-                let outcome = if down { Outcome::Unreachable } else { Outcome::Success };
-                sender.in_flight.push((now + 100 * MS, id, *attempt, outcome));
+                let outcome = if down {
+                    Outcome::Unreachable
+                } else {
+                    Outcome::Success
+                };
+                sender
+                    .in_flight
+                    .push((now + 100 * MS, id, *attempt, outcome));
                 *attempt += 1;
                 if now >= outage_end {
                     calls.push(((now - outage_end) as f64 / 1e9, sender.observed_outage));
@@ -83,9 +106,15 @@
 fn many_senders_together_do_not_overload_a_returning_partner() {
     for busy in [SENDERS, SENDERS / 10] {
         let calls = calls_after_return(busy);
-        assert!(calls.iter().any(|c| c.1), "senders that observed the outage call again");
+        assert!(
+            calls.iter().any(|c| c.1),
+            "senders that observed the outage call again"
+        );
         for from in (0..100).map(|tenth| tenth as f64 / 10.0) {
-            let within: Vec<_> = calls.iter().filter(|c| (from..from + 2.0).contains(&c.0)).collect();
+            let within: Vec<_> = calls
+                .iter()
+                .filter(|c| (from..from + 2.0).contains(&c.0))
+                .collect();
             let observers = within.iter().filter(|c| c.1).count();
             // An overload is more than factor x present capacity x window, of which two thirds or more come
             // from senders that observed the outage.
@@ -103,16 +132,30 @@
 /// Runs one of many senders, with a partner that fails for 5 s and then returns. Returns the times of its
 /// calls.
 fn send_times_of_one_sender(senders: u32, duration: Nanos) -> Vec<Nanos> {
-    let mut sender = TestSender::new(Settings { senders, ..settings(vec![class(Idempotency::Idempotent)]) });
-    sender.turn(&[Event::EndpointList(vec![EndpointEntry { weight: 60.0, ..entry(0, 1) }])]);
+    let mut sender = TestSender::new(Settings {
+        senders,
+        ..settings(vec![class(Idempotency::Idempotent)])
+    });
+    sender.turn(&[Event::EndpointList(vec![EndpointEntry {
+        weight: 60.0,
+        ..entry(0, 1)
+    }])]);
     sender.warm_up(1, 0, 8, 50 * MS);
     let (start, mut sent, mut is_waiting) = (sender.now, vec![], false);
     while sender.now < start + duration {
         // There is always one waiting message.
-        let actions = if is_waiting { sender.advance(5 * MS) } else { sender.accept(1, 0).1 };
+        let actions = if is_waiting {
+            sender.advance(5 * MS)
+        } else {
+            sender.accept(1, 0).1
+        };
         is_waiting = !actions.iter().any(|a| matches!(a, Action::Reject { .. }));
         sender.now += MS;
-        let outcome = if sender.now < start + 5 * S { Outcome::Unreachable } else { Outcome::Success };
+        let outcome = if sender.now < start + 5 * S {
+            Outcome::Unreachable
+        } else {
+            Outcome::Success
+        };
         for (id, _, _) in sends(&actions) {
             sent.push(sender.now - start);
             sender.end_attempt(id, sender.attempts[&id.0] - 1, outcome, MS);
@@ -132,7 +175,10 @@
     // Guards against leaving a returned partner idle. Each of many senders may send it one call and a
     // fraction in a window, and the fractions are a third of its capacity. A sender that learns late of the
     // return would also lag behind to the end of the ramp.
-    let set = Settings { senders, ..settings(vec![class(Idempotency::Idempotent)]) };
+    let set = Settings {
+        senders,
+        ..settings(vec![class(Idempotency::Idempotent)])
+    };
     let sent = send_times_of_one_sender(senders, 60 * S);
     let last_failure = *sent.iter().rfind(|time| **time < 5 * S).unwrap();
     let first_success = *sent.iter().find(|time| **time >= 5 * S).unwrap();
@@ -140,14 +186,18 @@
     // starts half way between the last failure and the first success.
     let ramp = set.recovery;
     let ramp_start = first_success - ((first_success - last_failure) / 2).min(ramp.overload_window);
-    let capacity_share =
-        |time: Nanos| (0.2 + 0.8 * (time.saturating_sub(ramp_start) as f64 / ramp.duration as f64)).min(1.0);
-    let budget_rate =
-        |time: Nanos| 0.8 * ramp.overload_factor * 60.0 / f64::from(senders) * capacity_share(time) / 1e9;
+    let capacity_share = |time: Nanos| {
+        (0.2 + 0.8 * (time.saturating_sub(ramp_start) as f64 / ramp.duration as f64)).min(1.0)
+    };
+    let budget_rate = |time: Nanos| {
+        0.8 * ramp.overload_factor * 60.0 / f64::from(senders) * capacity_share(time) / 1e9
+    };
     let steps = (first_success..ramp_start + ramp.duration).step_by(MS as usize);
     let budget: f64 = steps.map(|time| budget_rate(time) * MS as f64).sum();
-    let within =
-        sent.iter().filter(|time| (first_success..ramp_start + ramp.duration).contains(*time)).count() as f64;
+    let within = sent
+        .iter()
+        .filter(|time| (first_success..ramp_start + ramp.duration).contains(*time))
+        .count() as f64;
     println!(
         "{senders} senders: failed until {last_failure}, back at {first_success}: {within} of {budget:.1}"
     );
@@ -161,8 +211,15 @@
     sender.turn(&[Event::EndpointList(vec![entry(0, 1), entry(1, 2)])]);
     let (id, _) = sender.accept(1, 0);
     sender.end_attempt(id, 0, Outcome::Unreachable, 0);
-    assert!(sends(&sender.advance(4 * S)).is_empty(), "all senders that observed it would return at once");
-    assert_eq!(sends(&sender.accept(2, 0).1).len(), 1, "other destinations are not affected");
+    assert!(
+        sends(&sender.advance(4 * S)).is_empty(),
+        "all senders that observed it would return at once"
+    );
+    assert_eq!(
+        sends(&sender.accept(2, 0).1).len(),
+        1,
+        "other destinations are not affected"
+    );
     sender.advance(26 * S);
     assert_eq!(
         sends(&sender.accept(1, 0).1).len(),
@@ -199,7 +256,9 @@
 #[test]
 fn first_attempts_are_paced_where_retries_after_rejections_fail() {
     let mut sender = TestSender::new(sparse_traffic());
-    sender.turn(&[Event::EndpointList((0..60).map(|n| entry(n, u64::from(n))).collect())]);
+    sender.turn(&[Event::EndpointList(
+        (0..60).map(|n| entry(n, u64::from(n))).collect(),
+    )]);
     for destination in 0..59 {
         for _ in 0..2 {
             let (id, actions) = sender.accept(destination, 0);
@@ -215,7 +274,10 @@
     sender.end_attempt(id, 0, Outcome::Success, 100 * MS);
     let (_, actions) = sender.accept(59, 0);
     let sent = sends(&[actions, sender.advance(3 * S)].concat());
-    assert!(sent.is_empty(), "a second call would use up the share of others");
+    assert!(
+        sent.is_empty(),
+        "a second call would use up the share of others"
+    );
 }
 
 #[rstest]
@@ -226,28 +288,47 @@
 // Three rejected calls that were in flight together count as one rejection.
 #[case::fleet_with_three_in_flight(300, 3, 5_000)]
 fn a_rejected_sender_backs_off_for_its_fair_interval_on_average(
-    #[case] senders: u32, #[case] calls: usize, #[case] mean_ms: u64,
+    #[case] senders: u32,
+    #[case] calls: usize,
+    #[case] mean_ms: u64,
 ) {
     // Guards a partner whose rate limit counts rejected calls: one call a second from each sender of a fleet
     // keeps it rejecting all, though each sender has observed only one or two rejections. A rejected call
     // uses up one share, so a backoff of two shares gave up one too many.
     let mut backoffs = vec![];
     for seed in 0..20 {
-        let set = Settings { senders, ..settings(vec![class(Idempotency::Idempotent)]) };
+        let set = Settings {
+            senders,
+            ..settings(vec![class(Idempotency::Idempotent)])
+        };
         let mut sender = TestSender::seeded(set, seed);
-        sender.turn(&[Event::EndpointList(vec![EndpointEntry { weight: 60.0, ..entry(0, 1) }])]);
+        sender.turn(&[Event::EndpointList(vec![EndpointEntry {
+            weight: 60.0,
+            ..entry(0, 1)
+        }])]);
         let in_flight: Vec<_> = (0..calls).map(|_| sender.accept(1, 0).0).collect();
         sender.now += MS;
-        in_flight.into_iter().for_each(|id| drop(sender.end_attempt(id, 0, OVERLOADED, MS)));
+        in_flight
+            .into_iter()
+            .for_each(|id| drop(sender.end_attempt(id, 0, OVERLOADED, MS)));
         let from = sender.now;
         while sends(&sender.advance(20 * MS)).is_empty() && sender.now < from + 19 * S {}
         backoffs.push((sender.now - from) / MS);
     }
-    let (least, most) = (*backoffs.iter().min().unwrap(), *backoffs.iter().max().unwrap());
+    let (least, most) = (
+        *backoffs.iter().min().unwrap(),
+        *backoffs.iter().max().unwrap(),
+    );
     let mean = backoffs.iter().sum::<u64>() / backoffs.len() as u64;
     println!("{senders} senders: {least} to {most} ms, mean {mean}");
-    assert!(mean > mean_ms * 3 / 4 && mean < mean_ms * 5 / 4, "{backoffs:?}");
-    assert!(most - least > mean_ms / 10, "spread by their seeds: {backoffs:?}");
+    assert!(
+        mean > mean_ms * 3 / 4 && mean < mean_ms * 5 / 4,
+        "{backoffs:?}"
+    );
+    assert!(
+        most - least > mean_ms / 10,
+        "spread by their seeds: {backoffs:?}"
+    );
 }
 
 #[rstest]
@@ -255,14 +336,25 @@
 #[case::too_large_to_count(1e300)]
 fn extreme_weights_do_not_stop_a_sender(#[case] weight: f64) {
     // Guards against weights from discovery that lead to times beyond the range of any clock.
-    let mut sender =
-        TestSender::new(Settings { senders: 300, ..settings(vec![class(Idempotency::Idempotent)]) });
+    let mut sender = TestSender::new(Settings {
+        senders: 300,
+        ..settings(vec![class(Idempotency::Idempotent)])
+    });
     // A clock that counts from 1970 has used a tenth of its range.
     sender.now = 1_800_000_000 * S;
-    let list = (0..9).map(|n| EndpointEntry { weight, ..entry(n, u64::from(n)) }).collect();
+    let list = (0..9)
+        .map(|n| EndpointEntry {
+            weight,
+            ..entry(n, u64::from(n))
+        })
+        .collect();
     sender.turn(&[Event::EndpointList(list)]);
-    let (id, destination, class, deadline) =
-        (MessageId(900), DestinationId(0), ClassId(0), sender.now + 12 * S);
+    let (id, destination, class, deadline) = (
+        MessageId(900),
+        DestinationId(0),
+        ClassId(0),
+        sender.now + 12 * S,
+    );
     sender.turn(&[Event::MessageResumed {
         id,
         destination,
@@ -274,18 +366,29 @@
     for round in 0..9 {
         for destination in 0..9 {
             let (id, actions) = sender.accept(destination, 0);
-            for (sent, _, _) in
-                sends(&[actions, sender.advance(S)].concat()).into_iter().filter(|s| s.0 == id)
+            for (sent, _, _) in sends(&[actions, sender.advance(S)].concat())
+                .into_iter()
+                .filter(|s| s.0 == id)
             {
-                let (attempt, outcome) =
-                    (sender.attempts[&sent.0] - 1, if round < 8 { OVERLOADED } else { Outcome::Success });
+                let (attempt, outcome) = (
+                    sender.attempts[&sent.0] - 1,
+                    if round < 8 {
+                        OVERLOADED
+                    } else {
+                        Outcome::Success
+                    },
+                );
                 sender.end_attempt(sent, attempt, outcome, MS);
             }
             sender.turn(&[Event::ClientLeft(id)]);
         }
         sender.now += 40 * S;
     }
-    assert!(sender.attempts.len() >= 9, "each destination is called: {:?}", sender.attempts);
+    assert!(
+        sender.attempts.len() >= 9,
+        "each destination is called: {:?}",
+        sender.attempts
+    );
 }
 
 #[rstest]
@@ -295,19 +398,36 @@
 // Half of the rest of the idempotency window: 4.5 s from the first attempt, 2 s ago.
 #[case::within_an_idempotency_window(300, 1_250, Some(2 * S))]
 fn resumed_messages_of_a_fleet_are_spread_over_the_fair_interval(
-    #[case] senders: u32, #[case] most_ms: u64, #[case] ran_ago: Option<Nanos>,
+    #[case] senders: u32,
+    #[case] most_ms: u64,
+    #[case] ran_ago: Option<Nanos>,
 ) {
     // Guards partners against seven in ten senders that were killed together and restart at the same instant,
     // each with its open messages.
-    let idempotency_key = Idempotency::IdempotencyKey { per_zone: false, window: 5 * S + 300 * MS };
+    let idempotency_key = Idempotency::IdempotencyKey {
+        per_zone: false,
+        window: 5 * S + 300 * MS,
+    };
     let mut delays = vec![];
     for seed in 0..40 {
-        let mut sender =
-            TestSender::seeded(Settings { senders, ..settings(vec![class(idempotency_key)]) }, seed);
+        let mut sender = TestSender::seeded(
+            Settings {
+                senders,
+                ..settings(vec![class(idempotency_key)])
+            },
+            seed,
+        );
         sender.now = 100 * S;
-        sender.turn(&[Event::EndpointList(vec![EndpointEntry { weight: 60.0, ..entry(0, 1) }])]);
-        let (id, destination, class, deadline) =
-            (MessageId(1), DestinationId(1), ClassId(0), sender.now + 12 * S);
+        sender.turn(&[Event::EndpointList(vec![EndpointEntry {
+            weight: 60.0,
+            ..entry(0, 1)
+        }])]);
+        let (id, destination, class, deadline) = (
+            MessageId(1),
+            DestinationId(1),
+            ClassId(0),
+            sender.now + 12 * S,
+        );
         let may_have_run_since = ran_ago.map(|ago| sender.now - ago);
         let (from, attempts) = (sender.now, u32::from(may_have_run_since.is_some()));
         let mut sent = sends(&sender.turn(&[Event::MessageResumed {
@@ -321,11 +441,22 @@
         while sent.is_empty() && sender.now < deadline {
             sent = sends(&sender.advance(5 * MS));
         }
-        assert_eq!(sent.len(), 1, "it is sent, after {} ms", (sender.now - from) / MS);
+        assert_eq!(
+            sent.len(),
+            1,
+            "it is sent, after {} ms",
+            (sender.now - from) / MS
+        );
         delays.push((sender.now - from) / MS);
     }
     delays.sort_unstable();
     println!("{senders} senders: {delays:?} ms");
-    assert!(delays[39] <= most_ms + 50, "at most {most_ms} ms: {delays:?}");
-    assert!(delays[20] > most_ms / 4 && delays[39] - delays[0] > most_ms / 2, "spread: {delays:?}");
+    assert!(
+        delays[39] <= most_ms + 50,
+        "at most {most_ms} ms: {delays:?}"
+    );
+    assert!(
+        delays[20] > most_ms / 4 && delays[39] - delays[0] > most_ms / 2,
+        "spread: {delays:?}"
+    );
 }
--- a/crates/policy/tests/outages.rs
+++ b/crates/policy/tests/outages.rs
@@ -33,7 +33,10 @@
         }
     }
     let (id, _, _) = probe.expect("a probe is sent");
-    assert!(sends(&sender.advance(100 * MS)).is_empty(), "nothing else while a probe is in flight");
+    assert!(
+        sends(&sender.advance(100 * MS)).is_empty(),
+        "nothing else while a probe is in flight"
+    );
     let attempt = sender.attempts[&id.0] - 1;
     let mut actions = sender.end_attempt(id, attempt, Outcome::Success, 100 * MS);
     let mut count = 0.0;
@@ -47,7 +50,10 @@
     }
     let (factor, capacity_share, window_s) = (2.0, 0.2 + 0.8 * 0.2, 2.0);
     let budget = factor * capacity_share * 20.0 * window_s;
-    assert!(count > 2.0 && count <= budget, "{count} sent within the window, {budget} allowed");
+    assert!(
+        count > 2.0 && count <= budget,
+        "{count} sent within the window, {budget} allowed"
+    );
 }
 
 #[test]
@@ -78,7 +84,10 @@
     }
     let (factor, capacity_share, window_s) = (2.0, 0.2 + 0.8 * 0.2, 2.0);
     let budget = factor * capacity_share * 20.0 * window_s / 3.0;
-    assert!(count > 2.0 && count <= budget, "{count} sent within the window, {budget} allowed");
+    assert!(
+        count > 2.0 && count <= budget,
+        "{count} sent within the window, {budget} allowed"
+    );
 }
 
 #[test]
@@ -102,7 +111,10 @@
 
 #[test]
 fn stale_connections_are_no_outage_and_a_non_idempotent_message_on_one_is_not_retried() {
-    let mut sender = two_endpoints(vec![class(Idempotency::Idempotent), class(Idempotency::NonIdempotent)]);
+    let mut sender = two_endpoints(vec![
+        class(Idempotency::Idempotent),
+        class(Idempotency::NonIdempotent),
+    ]);
     sender.warm_up(1, 0, 10, 100 * MS);
     for _ in 0..12 {
         let (id, actions) = sender.accept(1, 0);
@@ -115,12 +127,18 @@
         sender.end_attempt(id, 1, Outcome::Success, 100 * MS);
     }
     let (id, _) = sender.accept(1, 1);
-    assert!(is_failed(&sender.end_attempt(id, 0, Outcome::StaleConnection, MS), id), "it may have run");
+    assert!(
+        is_failed(&sender.end_attempt(id, 0, Outcome::StaleConnection, MS), id),
+        "it may have run"
+    );
 }
 
 #[test]
 fn lost_connections_are_no_outage_but_unreachable_endpoints_are() {
-    let mut sender = two_endpoints(vec![class(Idempotency::Idempotent), class(Idempotency::NonIdempotent)]);
+    let mut sender = two_endpoints(vec![
+        class(Idempotency::Idempotent),
+        class(Idempotency::NonIdempotent),
+    ]);
     sender.warm_up(1, 0, 20, 100 * MS);
     for _ in 0..10 {
         let (id, actions) = sender.accept(1, 0);
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -53,15 +53,25 @@
 }
 
 fn random_settings(random: &mut TestRandom) -> Settings {
-    let ordered = MessageClass { ordered: true, deadline: 12 * S, ..class(Idempotency::NonIdempotent) };
+    let ordered = MessageClass {
+        ordered: true,
+        deadline: 12 * S,
+        ..class(Idempotency::NonIdempotent)
+    };
     let per_zone = random.below(2) == 0;
     let mut set = settings(vec![
         class(Idempotency::Idempotent),
-        class(Idempotency::IdempotencyKey { per_zone, window: (2 + random.below(8)) * S }),
+        class(Idempotency::IdempotencyKey {
+            per_zone,
+            window: (2 + random.below(8)) * S,
+        }),
         ordered,
         MessageClass {
             ordered: true,
-            ..class(Idempotency::IdempotencyKey { per_zone: false, window: 5 * S })
+            ..class(Idempotency::IdempotencyKey {
+                per_zone: false,
+                window: 5 * S,
+            })
         },
     ]);
     set.may_hedge = random.below(3) > 0;
@@ -71,25 +81,58 @@
     set
 }
 
-fn check_send(set: &Settings, messages: &BTreeMap<u64, TrackedMessage>, id: u64, index: usize, now: Nanos) {
+fn check_send(
+    set: &Settings,
+    messages: &BTreeMap<u64, TrackedMessage>,
+    id: u64,
+    index: usize,
+    now: Nanos,
+) {
     let message = &messages[&id];
-    assert!(!message.finished && now <= message.deadline, "the message was sent after its end");
+    assert!(
+        !message.finished && now <= message.deadline,
+        "the message was sent after its end"
+    );
     assert_eq!(DESTINATIONS[index], message.destination);
     assert!(message.attempts.len() < set.max_attempts as usize);
-    let in_flight = message.attempts.iter().any(|attempt| attempt.outcome.is_none());
-    assert!(set.may_hedge || !in_flight, "two attempts in flight at once");
-    let first_run = message.attempts.iter().find(|attempt| attempt.outcome.is_none_or(|o| !o.never_ran()));
+    let in_flight = message
+        .attempts
+        .iter()
+        .any(|attempt| attempt.outcome.is_none());
+    assert!(
+        set.may_hedge || !in_flight,
+        "two attempts in flight at once"
+    );
+    let first_run = message
+        .attempts
+        .iter()
+        .find(|attempt| attempt.outcome.is_none_or(|o| !o.never_ran()));
     match (set.classes[message.class].idempotency, first_run) {
         (Idempotency::Idempotent, _) | (_, None) => {}
-        (Idempotency::NonIdempotent, Some(_)) => panic!("a non-idempotent message may take effect twice"),
+        (Idempotency::NonIdempotent, Some(_)) => {
+            panic!("a non-idempotent message may take effect twice")
+        }
         (Idempotency::IdempotencyKey { per_zone, window }, Some(first)) => {
-            assert!(now <= first.sent_at + window, "sent after the idempotency window");
-            assert!(!per_zone || first.endpoint % 2 == index % 2, "sent to another zone");
+            assert!(
+                now <= first.sent_at + window,
+                "sent after the idempotency window"
+            );
+            assert!(
+                !per_zone || first.endpoint % 2 == index % 2,
+                "sent to another zone"
+            );
         }
     }
-    for (_, earlier) in messages.range(..id).filter(|(_, e)| message.key.is_some() && e.key == message.key) {
+    for (_, earlier) in messages
+        .range(..id)
+        .filter(|(_, e)| message.key.is_some() && e.key == message.key)
+    {
         assert!(
-            earlier.finished && earlier.attempts.iter().all(|attempt| attempt.outcome.is_some()),
+            earlier.finished
+                && earlier
+                    .attempts
+                    .iter()
+                    .all(|attempt| attempt.outcome.is_some()),
             "sent out of order"
         );
         assert!(
@@ -107,14 +150,24 @@
     let mut draining = [false; 6];
     let mut retry_after_until = [0; 6];
     let (mut now, mut next_id, mut all) = (S, 0u64, Vec::new());
-    let mut events =
-        vec![Event::EndpointList((0..6).map(|index| entry(index, EndpointState::Active)).collect())];
+    let mut events = vec![Event::EndpointList(
+        (0..6)
+            .map(|index| entry(index, EndpointState::Active))
+            .collect(),
+    )];
     for _ in 0..6000 {
-        now += 5 * MS + if random.below(400) == 0 { random.below(2000) * MS } else { 0 };
+        now += 5 * MS
+            + if random.below(400) == 0 {
+                random.below(2000) * MS
+            } else {
+                0
+            };
         let mut new_retry_afters = Vec::new();
         for (id, message) in &mut messages {
             for number in 0..message.attempts.len() {
-                if message.attempts[number].outcome.is_some() || message.attempts[number].ends_at > now {
+                if message.attempts[number].outcome.is_some()
+                    || message.attempts[number].ends_at > now
+                {
                     continue;
                 }
                 let index = message.attempts[number].endpoint;
@@ -123,10 +176,16 @@
                     1 => Outcome::Unreachable,
                     2 => Outcome::ConnectionLost,
                     3 => Outcome::TimedOut,
-                    4 | 5 => Outcome::Overloaded { retry_after: random.below(2) * random.below(900) * MS },
+                    4 | 5 => Outcome::Overloaded {
+                        retry_after: random.below(2) * random.below(900) * MS,
+                    },
                     _ => Outcome::Success,
                 };
-                let outcome = if now >= message.deadline { Outcome::TimedOut } else { outcome };
+                let outcome = if now >= message.deadline {
+                    Outcome::TimedOut
+                } else {
+                    outcome
+                };
                 message.attempts[number].outcome = Some(outcome);
                 message.finished |= outcome == Outcome::Success;
                 if matches!(outcome, Outcome::TimedOut | Outcome::ConnectionLost) {
@@ -135,14 +194,24 @@
                 if let Outcome::Overloaded { retry_after } = outcome {
                     new_retry_afters.push((index, now + retry_after));
                 }
-                let (id, attempt, took) =
-                    (MessageId(*id), number as u32, now - message.attempts[number].sent_at);
-                events.push(Event::AttemptEnded { id, attempt, outcome, took, finished: message.finished });
+                let (id, attempt, took) = (
+                    MessageId(*id),
+                    number as u32,
+                    now - message.attempts[number].sent_at,
+                );
+                events.push(Event::AttemptEnded {
+                    id,
+                    attempt,
+                    outcome,
+                    took,
+                    finished: message.finished,
+                });
             }
         }
         if random.below(8) == 0 {
             let (destination, class) = (1 + random.below(3), random.below(4) as usize);
-            let deadline = now + set.classes[class].deadline - random.below(2) * random.below(9000) * MS;
+            let deadline =
+                now + set.classes[class].deadline - random.below(2) * random.below(9000) * MS;
             let key = (class >= 2).then(|| random.below(4));
             events.push(Event::MessageAccepted {
                 id: MessageId(next_id),
@@ -152,15 +221,26 @@
                 key: key.map(KeyId),
             });
             let (attempts, finished, quiet_until) = (vec![], false, 0);
-            let message =
-                TrackedMessage { destination, class, deadline, key, attempts, finished, quiet_until };
+            let message = TrackedMessage {
+                destination,
+                class,
+                deadline,
+                key,
+                attempts,
+                finished,
+                quiet_until,
+            };
             messages.insert(next_id, message);
             next_id += 1;
         }
         if random.below(600) == 0 {
             let index = random.below(6) as usize;
             draining[index] = !draining[index];
-            let state = if draining[index] { EndpointState::Draining } else { EndpointState::Active };
+            let state = if draining[index] {
+                EndpointState::Draining
+            } else {
+                EndpointState::Active
+            };
             events.push(Event::EndpointChanges(vec![entry(index, state)]));
         }
         events.push(Event::Wake);
@@ -170,12 +250,18 @@
         let mut calls: BTreeMap<usize, u64> = BTreeMap::new();
         for action in &actions {
             match action {
-                Action::Send { id, endpoint, timeout, .. } => {
+                Action::Send {
+                    id,
+                    endpoint,
+                    timeout,
+                    ..
+                } => {
                     let index = endpoint.0 as usize;
                     assert!(!draining[index], "sent to a draining endpoint");
                     assert!(now >= retry_after_until[index], "sent during a Retry-After");
                     check_send(&set, &messages, id.0, index, now);
-                    let ends_at = now + (*timeout).min(20 * MS + random.below(max_call_ms(seed)) * MS);
+                    let ends_at =
+                        now + (*timeout).min(20 * MS + random.below(max_call_ms(seed)) * MS);
                     let message = messages.get_mut(&id.0).unwrap();
                     message.attempts.push(TrackedAttempt {
                         endpoint: index,
@@ -188,26 +274,39 @@
                 Action::Cancel { id, attempt } => {
                     assert!(set.may_cancel);
                     let message = messages.get_mut(&id.0).unwrap();
-                    let (number, took) =
-                        (*attempt as usize, now - message.attempts[*attempt as usize].sent_at);
+                    let (number, took) = (
+                        *attempt as usize,
+                        now - message.attempts[*attempt as usize].sent_at,
+                    );
                     if message.attempts[number].outcome.is_none() {
                         message.attempts[number].outcome = Some(Outcome::Cancelled);
                         message.quiet_until = now + 5 * MS + set.key_quiet_period;
                         let (id, outcome) = (*id, Outcome::Cancelled);
                         let (attempt, finished) = (*attempt, message.finished);
-                        events.push(Event::AttemptEnded { id, attempt, outcome, took, finished });
+                        events.push(Event::AttemptEnded {
+                            id,
+                            attempt,
+                            outcome,
+                            took,
+                            finished,
+                        });
                     }
                 }
                 Action::Reject { id, .. } => {
                     let message = messages.get_mut(&id.0).unwrap();
-                    let ran =
-                        message.attempts.iter().any(|attempt| attempt.outcome.is_none_or(|o| !o.never_ran()));
+                    let ran = message
+                        .attempts
+                        .iter()
+                        .any(|attempt| attempt.outcome.is_none_or(|o| !o.never_ran()));
                     let safe_to_retry = match set.classes[message.class].idempotency {
                         Idempotency::Idempotent => true,
                         Idempotency::NonIdempotent => !ran,
                         Idempotency::IdempotencyKey { per_zone, .. } => !ran || !per_zone,
                     };
-                    assert!(safe_to_retry && !message.finished, "an unsafe rejection or a second answer");
+                    assert!(
+                        safe_to_retry && !message.finished,
+                        "an unsafe rejection or a second answer"
+                    );
                     message.finished = true;
                 }
                 Action::Fail { id } => {
@@ -220,15 +319,18 @@
         }
         // The turn that receives a Retry-After may still send. It binds from the next turn on.
         for (index, until) in new_retry_afters {
-            for other in (0..6)
-                .filter(|o| *o == index || (KINDS[index] == 0 && DESTINATIONS[*o] == DESTINATIONS[index]))
-            {
+            for other in (0..6).filter(|o| {
+                *o == index || (KINDS[index] == 0 && DESTINATIONS[*o] == DESTINATIONS[index])
+            }) {
                 retry_after_until[other] = retry_after_until[other].max(until);
             }
         }
         let overdue = |message: &TrackedMessage| {
             !message.finished
-                && message.attempts.iter().all(|attempt| attempt.outcome.is_some())
+                && message
+                    .attempts
+                    .iter()
+                    .all(|attempt| attempt.outcome.is_some())
                 && now > message.deadline
         };
         assert!(!messages.values().any(overdue), "no final answer in time");
@@ -246,9 +348,15 @@
 fn random_events_violate_no_safety_rule() {
     let mut sent = 0;
     for seed in 1..=6 {
-        sent += run_random_events(seed).iter().filter(|a| matches!(a, Action::Send { .. })).count();
+        sent += run_random_events(seed)
+            .iter()
+            .filter(|a| matches!(a, Action::Send { .. }))
+            .count();
     }
-    assert!(sent > 1000, "only {sent} sends, which is too few for the test to show anything");
+    assert!(
+        sent > 1000,
+        "only {sent} sends, which is too few for the test to show anything"
+    );
 }
 
 #[test]
@@ -257,10 +365,18 @@
 }
 
 fn resumed(
-    sender: &mut TestSender, id: u64, class: usize, attempts: u32, may_have_run_since: Option<Nanos>,
+    sender: &mut TestSender,
+    id: u64,
+    class: usize,
+    attempts: u32,
+    may_have_run_since: Option<Nanos>,
 ) -> Vec<Action> {
-    let (id, destination, class, deadline) =
-        (MessageId(id), DestinationId(1), ClassId(class), sender.now + 10 * S);
+    let (id, destination, class, deadline) = (
+        MessageId(id),
+        DestinationId(1),
+        ClassId(class),
+        sender.now + 10 * S,
+    );
     let first_actions = sender.turn(&[Event::MessageResumed {
         id,
         destination,
@@ -275,8 +391,14 @@
 
 #[test]
 fn a_resumed_message_keeps_its_idempotency_and_its_attempt_count() {
-    let keyed = Idempotency::IdempotencyKey { per_zone: false, window: 6 * S };
-    let mut sender = TestSender::new(settings(vec![class(Idempotency::NonIdempotent), class(keyed)]));
+    let keyed = Idempotency::IdempotencyKey {
+        per_zone: false,
+        window: 6 * S,
+    };
+    let mut sender = TestSender::new(settings(vec![
+        class(Idempotency::NonIdempotent),
+        class(keyed),
+    ]));
     sender.now = 100 * S;
     sender.list_endpoints(&[(0, 1, 0, 0)]);
     let sent_at = Some(sender.now - 2 * S);
@@ -285,9 +407,17 @@
         is_failed(&actions, MessageId(1)) && sends(&actions).is_empty(),
         "non-idempotent, and it may have run"
     );
-    assert_eq!(sends(&resumed(&mut sender, 2, 0, 3, None)).len(), 1, "non-idempotent, and it never ran");
+    assert_eq!(
+        sends(&resumed(&mut sender, 2, 0, 3, None)).len(),
+        1,
+        "non-idempotent, and it never ran"
+    );
     sender.end_attempt(MessageId(2), 3, Outcome::Success, MS);
-    assert_eq!(sends(&resumed(&mut sender, 3, 1, 1, sent_at)).len(), 1, "inside its idempotency window");
+    assert_eq!(
+        sends(&resumed(&mut sender, 3, 1, 1, sent_at)).len(),
+        1,
+        "inside its idempotency window"
+    );
     sender.end_attempt(MessageId(3), 1, Outcome::Success, MS);
     let long_ago = Some(sender.now - 7 * S);
     let actions = resumed(&mut sender, 4, 1, 1, long_ago);
@@ -296,7 +426,10 @@
         "outside its idempotency window"
     );
     let actions = resumed(&mut sender, 5, 1, 6, sent_at);
-    assert!(is_rejected(&actions, MessageId(5)) && sends(&actions).is_empty(), "no attempts are left");
+    assert!(
+        is_rejected(&actions, MessageId(5)) && sends(&actions).is_empty(),
+        "no attempts are left"
+    );
 }
 
 #[test]
@@ -307,9 +440,15 @@
     let end = sender.now + S;
     sender.turn(&[Event::ShutdownDeadline(end)]);
     let sent = sends(&sender.accept(1, 0).1);
-    assert!(sent.len() == 1 && sender.now + sent[0].2 <= end, "its timeout ends at the shutdown deadline");
+    assert!(
+        sent.len() == 1 && sender.now + sent[0].2 <= end,
+        "its timeout ends at the shutdown deadline"
+    );
     sender.now += 700 * MS;
-    assert!(sends(&sender.accept(1, 0).1).is_empty(), "the 300 ms left are shorter than a call");
+    assert!(
+        sends(&sender.accept(1, 0).1).is_empty(),
+        "the 300 ms left are shorter than a call"
+    );
 }
 
 #[test]
@@ -318,7 +457,10 @@
     sender.list_endpoints(&[(0, 1, 0, 0)]);
     let (id, _) = sender.accept(1, 0);
     let actions = sender.end_attempt(id, 0, Outcome::AttemptsExhausted, MS);
-    assert!(is_rejected(&actions, id) && sends(&actions).is_empty(), "it never ran, and none can follow");
+    assert!(
+        is_rejected(&actions, id) && sends(&actions).is_empty(),
+        "it never ran, and none can follow"
+    );
 }
 
 /// Number of calls that a partner with two endpoints and 60 waiting messages is sent within the overload
@@ -333,10 +475,19 @@
     sender.warm_up(1, 0, 10, 50 * MS);
     let drained_endpoints = if drained { &[0, 1][..] } else { &[] };
     set_state(&mut sender, drained_endpoints, EndpointState::Draining);
-    let waiting: Vec<Event> = (0..60).map(|_| sender.new_message(1, 0, 60 * S, None)).collect();
+    let waiting: Vec<Event> = (0..60)
+        .map(|_| sender.new_message(1, 0, 60 * S, None))
+        .collect();
     let mut sent = sender.turn(&waiting);
-    assert!(!drained || sends(&sent).is_empty(), "nothing is sent to a draining endpoint");
-    sent.extend(set_state(&mut sender, drained_endpoints, EndpointState::Active));
+    assert!(
+        !drained || sends(&sent).is_empty(),
+        "nothing is sent to a draining endpoint"
+    );
+    sent.extend(set_state(
+        &mut sender,
+        drained_endpoints,
+        EndpointState::Active,
+    ));
     let until = sender.now + 2 * S;
     let mut count = 0;
     while sender.now < until {
@@ -360,7 +511,10 @@
     let drained = calls_sent_in_overload_window(true);
     println!("sent in 2 s: {drained} after a drain, {undrained} without one");
     assert!(drained > 0 && drained as f64 <= 1.5 * budget, "{drained}");
-    assert!(undrained > 2 * drained, "{undrained}: only the drain limits the calls");
+    assert!(
+        undrained > 2 * drained,
+        "{undrained}: only the drain limits the calls"
+    );
 }
 
 #[test]
@@ -371,7 +525,11 @@
         let (mut all, mut avoided) = (Vec::new(), 0);
         for number in 0..40 {
             let (_, actions) = sender.accept(1, 0);
-            let outcome = if number < 8 { Outcome::Unreachable } else { Outcome::Success };
+            let outcome = if number < 8 {
+                Outcome::Unreachable
+            } else {
+                Outcome::Success
+            };
             sender.now += 300 * MS;
             for (id, _, _) in sends(&actions) {
                 all.extend(sender.end_attempt(id, sender.attempts[&id.0] - 1, outcome, 20 * MS));
@@ -379,7 +537,10 @@
             all.extend(actions);
             if ask {
                 avoided += u32::from(sender.policy.is_avoided(EndpointId(0)));
-                assert!(!sender.policy.is_avoided(EndpointId(1)) && !sender.policy.is_avoided(EndpointId(9)));
+                assert!(
+                    !sender.policy.is_avoided(EndpointId(1))
+                        && !sender.policy.is_avoided(EndpointId(9))
+                );
             }
         }
         (all, avoided)
