--- a/crates/policy/src/policy/endpoints.rs
+++ b/crates/policy/src/policy/endpoints.rs
@@ -5,20 +5,26 @@
 /// Factor by which an approximate weight may be higher than the true rate limit.
 const APPROXIMATE_WEIGHT_ERROR: f64 = 1.5;
 
+/// State of an endpoint.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(super) struct Endpoint {
     pub(super) destination: DestinationId,
     pub(super) zone: ZoneId,
     pub(super) kind: KindId,
+    /// State in the endpoint list. An endpoint that is not in the list is [`EndpointState::Removed`].
     pub(super) state: EndpointState,
+    /// The route that the endpoint belongs to.
     pub(super) route: RouteKey,
-    pub(super) smoothed_latency: SmoothedLatency, // of successful calls
+    /// Moving average of the latencies of successful calls.
+    pub(super) smoothed_latency: SmoothedLatency,
     pub(super) consecutive_failures: u32,
+    /// Number of attempts in flight.
     pub(super) in_flight: usize,
     pub(super) connection: ConnectionUse,
 }
 
 impl Policy {
+    /// Applies an entry of the endpoint list. An entry with an unknown destination kind is ignored.
     pub(super) fn update_endpoint(&mut self, entry: &EndpointEntry) {
         let Some(kind) = self.settings.kinds.get(entry.kind.0) else {
             return;
@@ -30,31 +36,34 @@
             kind: kind_id,
             ..
         } = entry;
-        let route = RouteKey {
+        let route_key = RouteKey {
             destination,
             endpoint: kind.per_endpoint.then_some(id),
         };
         if !self.endpoints.contains_key(&id) {
             self.endpoints_of.entry(destination).or_default().push(id);
         }
-        let serves_route = |e: &Endpoint| e.route == route && e.state == EndpointState::Active;
-        let siblings = self.endpoints_of[&destination]
+        let serves_route = |endpoint: &Endpoint| {
+            endpoint.route == route_key && endpoint.state == EndpointState::Active
+        };
+        let mut destination_endpoints = self.endpoints_of[&destination]
             .iter()
             .filter_map(|id| self.endpoints.get(id));
-        let route_was_unserved = !siblings.into_iter().any(serves_route);
-        let new = Endpoint {
+        let route_was_unserved = !destination_endpoints.any(serves_route);
+        let new_endpoint = Endpoint {
             destination,
             zone,
             kind: kind_id,
-            route,
+            route: route_key,
             ..Endpoint::default()
         };
-        let endpoint = self.endpoints.entry(id).or_insert(new);
-        // Active again after draining: restarted and cold. Without other active endpoints, so is its route.
+        let endpoint = self.endpoints.entry(id).or_insert(new_endpoint);
+        // An endpoint that is active again after draining was restarted and is cold. Its route is cold as
+        // well if it has no other active endpoint.
         let was_restarted =
             endpoint.state == EndpointState::Draining && entry.state == EndpointState::Active;
         endpoint.state = entry.state;
-        let route = self.routes.entry(route).or_default();
+        let route = self.routes.entry(route_key).or_default();
         let rate_limit = self
             .settings
             .weight_meaning
@@ -65,11 +74,14 @@
         }
     }
 
-    /// Forgets removed endpoints that have nothing in flight, since endpoints are replaced all day long.
+    /// Deletes the state of removed endpoints that have no attempt in flight. Endpoints are replaced all day,
+    /// so that the state would otherwise grow without limit.
     pub(super) fn remove_departed_endpoints(&mut self) {
-        let departed = |e: &Endpoint| e.state == EndpointState::Removed && e.in_flight == 0;
-        if self.endpoints.values().any(departed) {
-            self.endpoints.retain(|_, endpoint| !departed(endpoint));
+        let has_departed = |endpoint: &Endpoint| {
+            endpoint.state == EndpointState::Removed && endpoint.in_flight == 0
+        };
+        if self.endpoints.values().any(has_departed) {
+            self.endpoints.retain(|_, endpoint| !has_departed(endpoint));
             let kept = &self.endpoints;
             self.endpoints_of
                 .values_mut()
@@ -79,9 +91,10 @@
         }
     }
 
-    /// A Retry-After applies at once; the rest is used only for a route to which nothing was sent yet.
+    /// Applies what other senders observed of a route. Its Retry-After applies at once; the rest is used only
+    /// if this sender has neither called the route nor received gossip with latencies of it.
     pub(super) fn apply_gossip(&mut self, gossip: &GossipedState) {
-        let key = RouteKey {
+        let route_key = RouteKey {
             destination: gossip.destination,
             endpoint: gossip.endpoint,
         };
@@ -91,12 +104,12 @@
             .into_iter()
             .flatten()
             .copied();
-        let Some(endpoint) = endpoints.find(|id| self.endpoints[id].route == key) else {
+        let Some(endpoint) = endpoints.find(|id| self.endpoints[id].route == route_key) else {
             return;
         };
         let route = self
             .routes
-            .get_mut(&key)
+            .get_mut(&route_key)
             .expect("each listed endpoint has a route");
         let retry_after = gossip.remaining_retry_after;
         route.retry_after_until = route
@@ -142,8 +155,11 @@
         route.is_some_and(|route| route.is_half_open() || route.backoff_until > self.now)
     }
 
-    /// Own observations of up to `max_routes` routes after `after`, in order, as of the latest turn; and the
-    /// `after` of the next page, if any. Gossip is left out, except a Retry-After at a route called here too.
+    /// Returns one page of this sender's own observations, as of the latest turn, in the order of the routes.
+    /// The page covers up to `max_routes` routes, starting with the first one that follows `after`. If more
+    /// routes follow, the second value is the `after` of the next page.
+    ///
+    /// Gossip is left out, except for the Retry-After of a route that this sender has called as well.
     pub fn observations(
         &self,
         now: Nanos,
@@ -153,9 +169,9 @@
         Vec<Observation>,
         Option<(DestinationId, Option<EndpointId>)>,
     ) {
-        let read = |key, route: &RouteState| route.observe(key, now, &self.settings);
-        let (observations, last) =
-            read_page(&self.routes, after.map(RouteKey::from), max_routes, read);
-        (observations, last.map(RouteKey::into))
+        let observe = |key, route: &RouteState| route.observe(key, now, &self.settings);
+        let (observations, next_after) =
+            read_page(&self.routes, after.map(RouteKey::from), max_routes, observe);
+        (observations, next_after.map(RouteKey::into))
     }
 }
--- a/crates/policy/src/policy/messages.rs
+++ b/crates/policy/src/policy/messages.rs
@@ -2,37 +2,50 @@
 
 use super::*;
 
-/// Share of an idempotency window in which attempts start. The rest is for the way into the endpoint's queue.
+/// Share of the idempotency window in which attempts may start. The rest is left for the way into the
+/// endpoint's queue.
 const IDEMPOTENCY_WINDOW_SHARE: f64 = 0.85;
 /// Largest share of [`Settings::max_open_messages`] that may wait for one destination.
 const MAX_WAITING_SHARE: f64 = 0.6;
-/// Share of the same limit that is kept free until the next turn: a flood brings several messages a turn.
+/// Share of [`Settings::max_open_messages`] that is kept free until the next turn, as a flood brings several
+/// messages a turn.
 const FREE_SHARE: f64 = 0.06;
 
+/// State of an attempt.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(super) struct Attempt {
     pub(super) endpoint: EndpointId,
-    pub(super) zone: Option<ZoneId>, // `None` for an attempt of an earlier process
+    /// `None` for an attempt of an earlier process.
+    pub(super) zone: Option<ZoneId>,
     pub(super) sent_at: Nanos,
-    pub(super) outcome: Option<Outcome>, // `None` while in flight
-    pub(super) cancelled: bool,          // an `Action::Cancel` was returned
-    pub(super) overdue: bool,            // already recorded as timed out, though still in flight
+    /// `None` while in flight.
+    pub(super) outcome: Option<Outcome>,
+    /// Whether an [`Action::Cancel`] was returned.
+    pub(super) cancelled: bool,
+    /// Whether the attempt was recorded as timed out before it ended.
+    pub(super) overdue: bool,
 }
 
+/// State of a message.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(super) struct Message {
     pub(super) destination: DestinationId,
     pub(super) class: ClassId,
     pub(super) deadline: Nanos,
-    pub(super) key: Option<KeyId>, // the ordering key, if the class is ordered
+    /// Set only if the class is ordered.
+    pub(super) ordering_key: Option<KeyId>,
     pub(super) attempts: Vec<Attempt>,
-    pub(super) not_before: Nanos, // earliest start of the next attempt
+    /// Earliest start of the next attempt.
+    pub(super) not_before: Nanos,
     pub(super) hedged: bool,
-    pub(super) attempts_exhausted: bool, // an attempt ended with `Outcome::AttemptsExhausted`
-    pub(super) finished: bool,           // it has its final answer, or needs none
+    /// Whether an attempt ended with [`Outcome::AttemptsExhausted`].
+    pub(super) attempts_exhausted: bool,
+    /// Whether the message has its final answer, or needs none.
+    pub(super) finished: bool,
 }
 
 impl Message {
+    /// The attempts in flight, with their numbers.
     pub(super) fn in_flight(&self) -> impl Iterator<Item = (usize, &Attempt)> {
         self.attempts
             .iter()
@@ -40,25 +53,29 @@
             .filter(|(_, attempt)| attempt.outcome.is_none())
     }
 
+    /// Whether no attempt is in flight.
     pub(super) fn is_idle(&self) -> bool {
         self.in_flight().next().is_none()
     }
 
+    /// Whether the message waits, and its next attempt may start now.
     pub(super) fn is_ready(&self, now: Nanos) -> bool {
         self.is_waiting() && self.not_before <= now
     }
 
+    /// Whether the message needs an attempt and has none in flight.
     pub(super) fn is_waiting(&self) -> bool {
         !self.finished && self.is_idle()
     }
 
-    /// Only resumed messages have a `not_before` without an attempt.
+    /// Whether an earlier process accepted the message and never sent it. Only such messages have a
+    /// `not_before` without having had an attempt.
     pub(super) fn is_resumed_unsent(&self) -> bool {
         self.attempts.is_empty() && self.not_before > 0
     }
 
-    /// The first attempt that may have run, as no outcome proves that it never ran.
-    pub(super) fn first_run(&self) -> Option<&Attempt> {
+    /// The first attempt that may have run: it has no outcome that proves that it never ran.
+    pub(super) fn first_possible_run(&self) -> Option<&Attempt> {
         self.attempts
             .iter()
             .find(|attempt| attempt.outcome.is_none_or(|outcome| !outcome.never_ran()))
@@ -76,61 +93,54 @@
             .expect("the caller passes the id of a stored message")
     }
 
+    /// Stores a new message. It is ignored if its id is already in use or its class is unknown.
     pub(super) fn accept(&mut self, id: MessageId, mut message: Message) {
         if message.class.0 >= self.settings.classes.len() || self.messages.contains_key(&id) {
             return;
         }
-        message.key = message.key.filter(|_| self.class_of(&message).ordered);
-        if let Some(key) = message.key {
+        let is_ordered = self.class_of(&message).ordered;
+        message.ordering_key = message.ordering_key.filter(|_| is_ordered);
+        if let Some(key) = message.ordering_key {
             self.ordering_queues.push(key, id);
         }
         self.messages.insert(id, message);
     }
 
-    /// Accepts a message of an earlier process. Its first attempt stands for all attempts that may have run.
+    /// Accepts a message of an earlier process. Its first attempt represents all attempts that may have run.
     pub(super) fn resume(
         &mut self,
         id: MessageId,
         message: Message,
         attempts: u32,
-        ran_at: Option<Nanos>,
+        may_have_run_since: Option<Nanos>,
     ) {
-        let Message {
-            destination,
-            deadline,
-            ..
-        } = message;
+        let (destination, deadline) = (message.destination, message.deadline);
         self.accept(id, message);
         let Some(message) = self.messages.get_mut(&id) else {
             return;
         };
-        for number in 0..attempts
-            .min(self.settings.max_attempts)
-            .max(u32::from(ran_at.is_some()))
-        {
-            let sent_at = ran_at.filter(|_| number == 0);
-            let outcome = Some(if sent_at.is_some() {
-                Outcome::ConnectionLost
-            } else {
-                Outcome::NotSent
-            });
-            // Its endpoint and zone are no longer known, so no zone is sure to drop a second delivery.
-            let (endpoint, sent_at) = (EndpointId(u32::MAX), sent_at.unwrap_or(0));
+        let at_least = u32::from(may_have_run_since.is_some());
+        let attempts = attempts.min(self.settings.max_attempts).max(at_least);
+        for number in 0..attempts {
+            let possible_run = may_have_run_since.filter(|_| number == 0);
+            let outcome = possible_run.map_or(Outcome::NotSent, |_| Outcome::ConnectionLost);
+            // The endpoint and zone are unknown, so that no zone is sure to drop a second delivery.
             message.attempts.push(Attempt {
-                endpoint,
-                sent_at,
-                outcome,
+                endpoint: EndpointId(u32::MAX),
+                sent_at: possible_run.unwrap_or(0),
+                outcome: Some(outcome),
                 ..Attempt::default()
             });
         }
-        // Senders killed together restart together: first sends are spread over at most half the time left.
+        // Senders killed together restart together. Their first sends are spread over the fair interval, but
+        // over no more than half of the time left.
         let end = self.retry_deadline(&self.messages[&id]).min(deadline);
         let fair_interval =
             self.min_over_routes(destination, |route| route.fair_interval(&self.settings));
-        let longest = fair_interval
+        let longest_delay = fair_interval
             .unwrap_or(0)
             .min(end.saturating_sub(self.now) / 2);
-        let delay = longest as f64 * self.random.unit();
+        let delay = longest_delay as f64 * self.random.unit();
         self.message_mut(id).not_before = self.now + delay as Nanos;
     }
 
@@ -138,7 +148,7 @@
         !message.attempts_exhausted && message.attempts.len() < self.settings.max_attempts as usize
     }
 
-    /// Whether another attempt at an endpoint cannot take effect in addition to one that may have run.
+    /// Whether an attempt at an endpoint is safe: it cannot take effect in addition to an earlier attempt.
     pub(super) fn may_retry_at(&self, message: &Message, endpoint: &Endpoint) -> bool {
         let idempotency = self.class_of(message).idempotency;
         let per_zone = matches!(
@@ -146,15 +156,18 @@
             Idempotency::IdempotencyKey { per_zone: true, .. }
         );
         let in_zone = message
-            .first_run()
+            .first_possible_run()
             .is_none_or(|first| !per_zone || first.zone == Some(endpoint.zone));
         self.now < self.retry_deadline(message) && in_zone
     }
 
-    /// Latest start of another attempt: after it, a second delivery could take effect.
+    /// Latest start of another attempt. If it started later, the message could take effect a second time.
     pub(super) fn retry_deadline(&self, message: &Message) -> Nanos {
         let used_part = |window: Nanos| (window as f64 * IDEMPOTENCY_WINDOW_SHARE) as Nanos;
-        match (message.first_run(), self.class_of(message).idempotency) {
+        match (
+            message.first_possible_run(),
+            self.class_of(message).idempotency,
+        ) {
             (None, _) | (_, Idempotency::Idempotent) => Nanos::MAX,
             (_, Idempotency::NonIdempotent) => 0,
             (Some(first), Idempotency::IdempotencyKey { window, .. }) => {
@@ -163,15 +176,17 @@
         }
     }
 
-    /// Whether a message is the first of its ordering key, and is not held back by the key's quiet period.
+    /// Whether a message is the first of its ordering key, and its first attempt would not be in the key's
+    /// quiet period. A message without a key is always next.
     pub(super) fn is_next_in_order(&self, id: MessageId, message: &Message) -> bool {
         let is_paused =
             |key| message.attempts.is_empty() && self.ordering_queues.is_paused(key, self.now);
         message
-            .key
+            .ordering_key
             .is_none_or(|key| self.ordering_queues.is_first(key, &id) && !is_paused(key))
     }
 
+    /// Ends a message that has its final answer or needs none, and cancels its attempts in flight.
     pub(super) fn finish(&mut self, id: MessageId, actions: &mut Vec<Action>) {
         let Some(message) = self.messages.get_mut(&id) else {
             return;
@@ -189,19 +204,18 @@
         self.release_ordering_key(id);
     }
 
+    /// Lets the next message of an ordering key follow, if this one is finished and has nothing in flight.
     pub(super) fn release_ordering_key(&mut self, id: MessageId) {
         let message = &self.messages[&id];
-        if let Some(key) = message
-            .key
-            .filter(|_| message.finished && message.is_idle())
-        {
+        let is_released = message.finished && message.is_idle();
+        if let Some(key) = message.ordering_key.filter(|_| is_released) {
             self.ordering_queues.remove(key, &id, self.now);
         }
     }
 
     /// Ends messages that can no longer be delivered, and sheds load where too many wait for one destination.
     pub(super) fn shed_load(&mut self, actions: &mut Vec<Action>) {
-        let mut ending: Vec<MessageId> = Vec::new();
+        let mut to_end: Vec<MessageId> = Vec::new();
         let mut waiting: BTreeMap<DestinationId, Vec<(f64, MessageId)>> = BTreeMap::new();
         for (id, message) in self
             .messages
@@ -209,7 +223,7 @@
             .filter(|(_, message)| message.is_waiting())
         {
             if self.is_undeliverable(message) {
-                ending.push(*id);
+                to_end.push(*id);
             } else if !message.is_resumed_unsent() {
                 waiting
                     .entry(message.destination)
@@ -220,42 +234,42 @@
         let max_open_messages = self.settings.max_open_messages;
         let share_of_limit = |share: f64| (max_open_messages as f64 * share) as usize;
         let max_waiting = share_of_limit(MAX_WAITING_SHARE).max(1);
-        let open = self
-            .messages
-            .values()
-            .filter(|message| !message.finished)
-            .count()
-            - ending.len();
-        let missing = (open + share_of_limit(FREE_SHARE) + 1).saturating_sub(max_open_messages);
-        for values in waiting.values_mut() {
-            let excess_over = |limit: usize| values.len().saturating_sub(limit);
-            let excess = missing
+        let unfinished = self.messages.values().filter(|message| !message.finished);
+        let open = unfinished.count() - to_end.len();
+        let surplus = (open + share_of_limit(FREE_SHARE) + 1).saturating_sub(max_open_messages);
+        for messages in waiting.values_mut() {
+            let excess_over = |limit: usize| messages.len().saturating_sub(limit);
+            // Each destination sheds what exceeds its limit, and the surplus down to half of its limit.
+            let shed_count = surplus
                 .min(excess_over(max_waiting / 2))
                 .max(excess_over(max_waiting));
-            values.sort_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1)));
-            ending.extend(values.iter().take(excess).map(|(_, id)| *id));
+            messages.sort_by(|(a_value, a_id), (b_value, b_id)| {
+                a_value.total_cmp(b_value).then(b_id.cmp(a_id))
+            });
+            to_end.extend(messages.iter().take(shed_count).map(|(_, id)| *id));
         }
-        ending
+        to_end
             .into_iter()
             .for_each(|id| self.reject_or_fail(id, actions));
     }
 
-    /// Whether no further attempt can deliver the message before its deadline.
+    /// Whether no further attempt is allowed, or none could start early enough before the deadline.
     fn is_undeliverable(&self, message: &Message) -> bool {
         let margin = 2 * self.settings.turn_interval.max(RECHECK_INTERVAL);
         let route_opens_at = |route: &RouteState| route.backoff_until.max(route.retry_after_until);
         let opens_at = self
             .min_over_routes(message.destination, route_opens_at)
             .unwrap_or(0);
-        let may_retry = self.has_attempts_left(message) && self.now < self.retry_deadline(message);
-        !may_retry || opens_at.max(self.now) + margin >= message.deadline
+        let may_send_again =
+            self.has_attempts_left(message) && self.now < self.retry_deadline(message);
+        !may_send_again || opens_at.max(self.now) + margin >= message.deadline
     }
 
+    /// Gives a message its final answer: a rejection if the client may safely retry, else a failure.
     fn reject_or_fail(&mut self, id: MessageId, actions: &mut Vec<Action>) {
         let message = &self.messages[&id];
-        if self.class_of(message).idempotency.covers_all_endpoints()
-            || message.first_run().is_none()
-        {
+        let idempotency = self.class_of(message).idempotency;
+        if idempotency.covers_all_endpoints() || message.first_possible_run().is_none() {
             let retry_after = self.advise_retry_after(message.destination);
             actions.push(Action::Reject { id, retry_after });
         } else {
@@ -264,7 +278,8 @@
         self.finish(id, actions);
     }
 
-    /// Retry-After for a client: when a route is likely to accept the message, up to what clients follow.
+    /// Retry-After for a client: the time until a route is likely to accept the message, limited to the
+    /// longest Retry-After that clients follow.
     fn advise_retry_after(&mut self, destination: DestinationId) -> Option<Nanos> {
         // Clients rejected together return at different times, and none before the route opens.
         let opens_at = self
@@ -272,13 +287,9 @@
             .unwrap_or(0);
         let delay = opens_at.saturating_sub(self.now).max(MAX_PACING_INTERVAL);
         let spread = self.random.unit();
-        let longest = self.settings.max_retry_after?;
-        let least = if delay < longest {
-            delay
-        } else {
-            longest * 3 / 4
-        };
-        let most = longest.min(delay + delay / 4);
-        Some(least + ((most - least) as f64 * spread) as Nanos)
+        let limit = self.settings.max_retry_after?;
+        let shortest = if delay < limit { delay } else { limit * 3 / 4 };
+        let longest = limit.min(delay + delay / 4);
+        Some(shortest + ((longest - shortest) as f64 * spread) as Nanos)
     }
 }
--- a/crates/policy/src/policy/outcomes.rs
+++ b/crates/policy/src/policy/outcomes.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl Policy {
+    /// Processes an [`Event::AttemptEnded`]. It is ignored if the attempt is unknown or has already ended.
     pub(super) fn end_attempt(&mut self, event: &Event, actions: &mut Vec<Action>) {
         let Event::AttemptEnded {
             id,
@@ -29,7 +30,8 @@
             return;
         };
         endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
-        // Partners accept few connections, idle ones included: one that is unlikely to be reused is closed.
+        // Partners accept few connections, including idle ones: a connection that is unlikely to be reused is
+        // closed.
         if endpoint.in_flight == 0 && !endpoint.connection.is_reused() {
             actions.push(Action::CloseIdle(endpoint_id));
         }
@@ -38,24 +40,23 @@
             return;
         };
         route.in_flight.end(&(id, number));
-        if let Some(key) = message.key.filter(|_| outcome.may_still_run()) {
+        if let Some(key) = message.ordering_key
+            && outcome.may_still_run()
+        {
             self.ordering_queues
                 .pause_until(key, self.now + self.settings.key_quiet_period);
         }
-        // An overdue attempt was already recorded as timed out.
+        // An overdue attempt was already recorded as timed out. A cancellation is not held against the route.
         let already_recorded = attempt.overdue && outcome == Outcome::TimedOut;
-        let recorded = if already_recorded {
+        let recorded_outcome = if already_recorded {
             Outcome::Cancelled
         } else {
             outcome
         };
-        self.record_outcome(endpoint_id, sent_at, recorded, Some(took));
+        self.record_outcome(endpoint_id, sent_at, recorded_outcome, Some(took));
         let jitter = 0.75 + 0.5 * self.random.unit();
-        let delay = self.retry_delay(
-            route_key,
-            self.messages[&id].attempts.len() as Nanos,
-            outcome,
-        );
+        let attempts = self.messages[&id].attempts.len() as Nanos;
+        let delay = self.retry_delay(route_key, attempts, outcome);
         self.message_mut(id).not_before = self.now + (delay as f64 * jitter) as Nanos;
         if finished {
             self.finish(id, actions);
@@ -63,6 +64,8 @@
         self.release_ordering_key(id);
     }
 
+    /// Updates the state of an endpoint and its route with the outcome of an attempt. `took` is the duration
+    /// of the attempt, and `None` while it is in flight.
     pub(super) fn record_outcome(
         &mut self,
         id: EndpointId,
@@ -81,7 +84,7 @@
         route.call_counts.count(outcome, now);
         match outcome {
             Outcome::Success => {
-                // Durations that include a stall of this process are not latencies.
+                // After a stall of this process, durations include the stall and are not latencies.
                 if let Some(took) = took.filter(|_| !self.stalled) {
                     route.latencies.record(took);
                     self.pooled_latencies.record(took);
@@ -94,17 +97,20 @@
                 route.record_success(now, sent_at, &self.settings);
             }
             Outcome::Overloaded { retry_after } => {
-                // Calls sent before the last increase cause no further one: they were not retries after it.
+                // Rejections of calls sent before the latest increase of the interval cause no further
+                // increase: these calls were not retries that followed it.
                 if sent_at >= route.pacing_interval.last_increase() {
                     route.record_rejection(now, retry_success_rate, &self.settings);
                 }
                 route.retry_after_until = route.retry_after_until.max(now + retry_after);
-                // A wait longer than a rate limit's means an outage: all senders would return at its end.
+                // A Retry-After that is too long for a rate limit means an outage. Without a backoff, all
+                // senders would return together at its end.
                 let is_outage = retry_after > self.settings.recovery.overload_window;
-                self.record_fault(id, if is_outage { SUSPICION_THRESHOLD } else { 0.0 });
+                let weight = if is_outage { SUSPICION_THRESHOLD } else { 0.0 };
+                self.record_fault(id, weight);
             }
-            // A partner that fails also refuses new connections. A lost connection without that is a network
-            // fault, and no outage from which the partner would return cold.
+            // In an outage, a partner also refuses new connections. A connection that is lost while the route
+            // still works is a network fault, and not an outage after which the partner would be cold.
             Outcome::ConnectionLost if !route.is_half_open() => endpoint.consecutive_failures += 1,
             Outcome::Failure
             | Outcome::Unreachable
@@ -115,20 +121,20 @@
                 // Healthy partners sometimes lose a call or respond with an error, but accept connections.
                 let is_connection_fault =
                     matches!(outcome, Outcome::Unreachable | Outcome::ConnectionLost);
-                self.record_fault(
-                    id,
-                    if is_connection_fault {
-                        SUSPICION_THRESHOLD
-                    } else {
-                        1.0
-                    },
-                );
+                let weight = if is_connection_fault {
+                    SUSPICION_THRESHOLD
+                } else {
+                    1.0
+                };
+                self.record_fault(id, weight);
             }
             _ => {}
         }
     }
 
-    /// Adds a fault to the suspicion of a route, and sets its backoff, circuit breaker and slow start.
+    /// Adds a fault with this weight to the suspicion of an endpoint's route, and sets the route's backoff
+    /// and slow start. While the circuit breaker is open, the backoff is at least the delay until the next
+    /// probe.
     pub(super) fn record_fault(&mut self, id: EndpointId, weight: f64) {
         let jitter = 0.5 + self.random.unit();
         let (now, settings, endpoint) = (self.now, &self.settings, &self.endpoints[&id]);
@@ -139,73 +145,79 @@
         route.suspicion += weight;
         route.last_fault_at = now;
         let max_backoff = route.budget_interval(route.budget_after(0, settings), settings);
-        // Rejected calls may use up a rate limit: the backoff grows with each, and as fewer retries succeed.
+        // Rejected calls may use up a rate limit: the backoff doubles with each, and grows as fewer retries
+        // succeed.
         let doublings = route.consecutive_rejections.saturating_sub(1).min(8);
-        let scarcity =
-            (INITIAL_RETRY_SUCCESS / self.retry_success_rate[endpoint.kind.0].get()).powi(2);
-        let after_rejections =
-            route.fair_interval(settings).saturating_mul(1 << doublings) as f64 * scarcity;
-        let suspected = route.suspicion >= SUSPICION_THRESHOLD;
-        let backoff = if suspected {
+        let retry_success_rate = self.retry_success_rate[endpoint.kind.0].get();
+        let low_success_factor = (INITIAL_RETRY_SUCCESS / retry_success_rate).powi(2);
+        let doubled_interval = route.fair_interval(settings).saturating_mul(1 << doublings);
+        let backoff_after_rejections = doubled_interval as f64 * low_success_factor;
+        let is_suspected = route.suspicion >= SUSPICION_THRESHOLD;
+        let backoff = if is_suspected {
             max_backoff
         } else {
-            max_backoff.min(after_rejections as Nanos)
+            max_backoff.min(backoff_after_rejections as Nanos)
         };
+        // The more senders share the capacity of a cold route, the longer the backoff of each.
         let many_senders = max_backoff > 2 * MAX_PROBE_DELAY;
-        if route.consecutive_rejections > 0 || (suspected && many_senders) {
-            let jitter = if route.retry_after_until > now {
-                jitter - 0.5
-            } else {
-                jitter
-            };
-            route.backoff_until =
-                now.max(route.retry_after_until) + (backoff as f64 * jitter) as Nanos;
+        if route.consecutive_rejections > 0 || (is_suspected && many_senders) {
+            let starts_later = route.retry_after_until > now;
+            let backoff_jitter = if starts_later { jitter - 0.5 } else { jitter };
+            let backoff_start = now.max(route.retry_after_until);
+            route.backoff_until = backoff_start + (backoff as f64 * backoff_jitter) as Nanos;
         }
         if !many_senders && route.retry_after_until > now + settings.recovery.overload_window {
-            // The route is cold when its Retry-After ends: few senders back off too briefly, and overload it.
+            // The route is cold when its Retry-After ends, and the short backoff of few senders would not
+            // keep them from overloading it.
             route.recovering_since = Some(route.retry_after_until);
         }
-        let rejects_long = now
-            >= route.rejecting_since + OUTAGE_REJECTION_WINDOWS * settings.recovery.overload_window;
-        let rejects_all = rejects_long && route.consecutive_rejections >= OUTAGE_REJECTIONS;
+        let outage_after = OUTAGE_REJECTION_WINDOWS * settings.recovery.overload_window;
+        let rejects_for_long = now >= route.rejecting_since + outage_after;
+        let rejects_all = rejects_for_long && route.consecutive_rejections >= OUTAGE_REJECTIONS;
         if route.is_down() {
-            let doublings =
-                (route.outcome_history.consecutive_failures() - BREAKER_FAILURES).min(4);
-            let delay = (FIRST_PROBE_DELAY << doublings).min(MAX_PROBE_DELAY);
-            route.backoff_until = route
-                .backoff_until
-                .max(now + (delay as f64 * jitter) as Nanos);
+            let failures_since_open =
+                route.outcome_history.consecutive_failures() - BREAKER_FAILURES;
+            let probe_delay =
+                (FIRST_PROBE_DELAY << failures_since_open.min(4)).min(MAX_PROBE_DELAY);
+            let next_probe_at = now + (probe_delay as f64 * jitter) as Nanos;
+            route.backoff_until = route.backoff_until.max(next_probe_at);
         } else if route.outcome_history.failures() >= SLOW_START_FAILURES || rejects_all {
-            // Paced calls are enough to probe a route that rejects; later ones keep to the slow-start budget.
+            // A route that rejects needs no probes other than its paced calls. The calls that follow keep to
+            // the slow-start budget.
             route.recovering_since = Some(now.max(route.retry_after_until));
         }
     }
 
+    /// Delay, without jitter, of the next attempt of a message that has had this number of attempts.
     fn retry_delay(&self, route: RouteKey, attempts: Nanos, outcome: Outcome) -> Nanos {
-        let typical = self.typical_latency(route);
-        let interval = self.routes[&route].pacing_interval.get().max(PACING_STEP);
+        let half_latency = self.typical_latency(route) / 2;
+        let pacing_interval = self.routes[&route].pacing_interval.get().max(PACING_STEP);
         match outcome {
             Outcome::Overloaded { .. } => {
-                (interval << (attempts - 1).min(4)).min(MAX_PACING_INTERVAL)
+                (pacing_interval << (attempts - 1).min(4)).min(MAX_PACING_INTERVAL)
             }
             Outcome::Failure | Outcome::Unreachable | Outcome::ConnectionLost => {
-                typical / 2 * attempts
+                half_latency * attempts
             }
-            Outcome::NotSent | Outcome::StaleConnection => typical / 2 * (attempts - 1),
+            Outcome::NotSent | Outcome::StaleConnection => half_latency * (attempts - 1),
             _ => 0,
         }
     }
 
-    /// Records overdue calls as timed out. Cancels a call that is lost, as a later one has succeeded, or that
-    /// keeps others waiting while in-flight slots run short. This may waste a call that is only very slow.
+    /// Records overdue calls as timed out. Cancels calls that are probably lost, as a later one has
+    /// succeeded, or that keep others waiting while in-flight slots run short. This may waste a call that is
+    /// only very slow.
     pub(super) fn handle_overdue_attempts(&mut self, actions: &mut Vec<Action>) {
-        let margin = usize::from(self.settings.max_in_flight > SMALL_IN_FLIGHT_LIMIT);
-        let others_wait = margin > 0
+        // Unless the in-flight limit is small, slots already run short when one is left, even if no message
+        // waits.
+        let spare_slots = usize::from(self.settings.max_in_flight > SMALL_IN_FLIGHT_LIMIT);
+        let others_may_wait = spare_slots > 0
             || self
                 .messages
                 .values()
                 .any(|message| message.is_ready(self.now));
-        let contended = self.in_flight + margin >= self.settings.max_in_flight && others_wait;
+        let slots_run_short =
+            self.in_flight + spare_slots >= self.settings.max_in_flight && others_may_wait;
         let in_flight = self.messages.iter().flat_map(|(id, message)| {
             let attempts = message
                 .in_flight()
@@ -220,7 +232,7 @@
             let overdue_after = self.overdue_after(self.endpoints[&endpoint].route);
             let newly_overdue = !attempt.overdue && self.now - sent_at > overdue_after;
             let cancel =
-                self.settings.may_cancel && self.should_cancel(message, attempt, contended);
+                self.settings.may_cancel && self.should_cancel(message, attempt, slots_run_short);
             if newly_overdue {
                 self.message_mut(id).attempts[number].overdue = true;
                 self.record_outcome(endpoint, sent_at, Outcome::TimedOut, None);
@@ -235,21 +247,31 @@
         }
     }
 
-    fn should_cancel(&self, message: &Message, attempt: &Attempt, contended: bool) -> bool {
+    /// Whether to cancel an attempt in flight. If a retry can follow, the attempt is cancelled once it is
+    /// overdue if it is lost or in the way of others, and as soon as it is slow if it is both. If none can
+    /// follow, it is cancelled only if it is in the way, and at twice the age at which it became overdue.
+    fn should_cancel(&self, message: &Message, attempt: &Attempt, slots_run_short: bool) -> bool {
         let endpoint = &self.endpoints[&attempt.endpoint];
         let route = &self.routes[&endpoint.route];
         let age = self.now - attempt.sent_at;
         let overdue_after = self.overdue_after(endpoint.route);
-        let lost = route.latest_success_sent_at > attempt.sent_at;
+        // A call that was sent later has succeeded.
+        let is_lost = route.latest_success_sent_at > attempt.sent_at;
         let older_in_flight = route.in_flight.any_in(..attempt.sent_at);
-        let expendable =
-            lost || older_in_flight || self.settings.max_in_flight <= SMALL_IN_FLIGHT_LIMIT;
+        let is_expendable =
+            is_lost || older_in_flight || self.settings.max_in_flight <= SMALL_IN_FLIGHT_LIMIT;
+        let is_in_the_way = slots_run_short && is_expendable;
         let can_retry = message.attempts.len() < self.settings.max_attempts as usize
             && self.may_retry_at(message, endpoint);
-        let overdue = age > overdue_after && (lost || (contended && expendable));
-        let replaceable =
-            age > 2 * self.p95_latency(endpoint.route) && (overdue || (lost && contended));
-        let given_up = contended && age > 2 * overdue_after && expendable;
-        !message.finished && if can_retry { replaceable } else { given_up }
+        let cancel_as_overdue = age > overdue_after && (is_lost || is_in_the_way);
+        let is_slow = age > 2 * self.p95_latency(endpoint.route);
+        let cancel_to_retry = is_slow && (cancel_as_overdue || (is_lost && slots_run_short));
+        let cancel_for_good = is_in_the_way && age > 2 * overdue_after;
+        let cancel = if can_retry {
+            cancel_to_retry
+        } else {
+            cancel_for_good
+        };
+        !message.finished && cancel
     }
 }
--- a/crates/policy/src/policy/route.rs
+++ b/crates/policy/src/policy/route.rs
@@ -1,4 +1,4 @@
-//! State of a route: pacing, circuit breaker, slow start after an outage, and the observations passed on.
+//! State of a route: pacing, circuit breaker, slow start after an outage, and observations for other senders.
 
 use super::*;
 
@@ -6,25 +6,33 @@
 pub(super) const PACING_STEP: Nanos = 50 * MILLISECOND;
 /// Longest pacing interval.
 pub(super) const MAX_PACING_INTERVAL: Nanos = 1000 * MILLISECOND;
-/// Relative decrease of the pacing interval by a success. Rejections, which use up limits, level at 1 in 17.
+/// Relative decrease of the pacing interval by a success. Each rejection doubles the interval, so that the
+/// share of rejections, which use up rate limits, levels out at 1 in 17.
 const PACING_DECREASE: f64 = 0.04;
-/// The same above two pacing steps, which are the sender's fair interval where a rate limit is known.
+/// Relative decrease of a pacing interval above two pacing steps. Where a rate limit is known, two steps are
+/// this sender's fair interval.
 const FAST_PACING_DECREASE: f64 = 0.5;
 /// Share of the slow-start budget that is used; the rest covers random variation and simultaneous calls.
 const BUDGET_UTILIZATION: f64 = 0.8;
-/// Longest backoff, in recovery durations. With 1, 200 senders returned from an outage too close together.
+/// Longest backoff, as a multiple of the recovery duration. With a multiple of 1, a fleet of 200 senders
+/// returned from an outage too close together.
 const MAX_BACKOFF_RECOVERIES: Nanos = 2;
 /// Consecutive failures that open the circuit breaker.
 pub(super) const BREAKER_FAILURES: u32 = 4;
 /// Failures among the last eight outcomes from which on sends keep to the slow-start budget.
 pub(super) const SLOW_START_FAILURES: u32 = 5;
-/// Consecutive rejections over this many overload windows mean an outage: a busy partner accepts some calls.
+/// Number of consecutive rejections that mean an outage if they last for [`OUTAGE_REJECTION_WINDOWS`]: a
+/// partner that is only busy accepts some calls.
 pub(super) const OUTAGE_REJECTIONS: u32 = 5;
+/// Number of overload windows that consecutive rejections have to last to mean an outage.
 pub(super) const OUTAGE_REJECTION_WINDOWS: Nanos = 2;
-/// Suspicion from which on a sender backs off to its share of a cold route's capacity. One loss is no outage.
+/// Suspicion from which on a sender backs off to its share of a cold route's capacity. A single call
+/// that fails or times out does not reach it, as it is no outage.
 pub(super) const SUSPICION_THRESHOLD: f64 = 2.0;
-/// Delay between single probes of a route whose circuit breaker is open, doubled up to the longest.
+/// Delay of the first probe of a route whose circuit breaker is open. One probe is sent at a time, and each
+/// one that fails doubles the delay.
 pub(super) const FIRST_PROBE_DELAY: Nanos = 500 * MILLISECOND;
+/// Longest delay between two probes of a route whose circuit breaker is open.
 pub(super) const MAX_PROBE_DELAY: Nanos = 2000 * MILLISECOND;
 
 /// State of a route: one endpoint or a whole destination, see [`DestinationKind`].
@@ -33,25 +41,39 @@
     /// Start of the recovery ramp, after an outage or partial failure. It is in the future while the
     /// Retry-After of an outage lasts. Until the ramp ends, sends keep to the slow-start budget.
     pub(super) recovering_since: Option<Nanos>,
-    pub(super) latencies: LatencyWindow, // of successful calls
-    pub(super) suspicion: f64,           // total weight of the faults since the latest success
+    /// Latencies of successful calls.
+    pub(super) latencies: LatencyWindow,
+    /// Total weight of the faults since the latest success.
+    pub(super) suspicion: f64,
     pub(super) last_fault_at: Nanos,
-    pub(super) backoff_until: Nanos, // set by faults, cleared by a success
-    pub(super) pacing_interval: AdaptiveInterval, // least time between two sends
+    /// End of the backoff, which is set by faults; 0 after a success.
+    pub(super) backoff_until: Nanos,
+    /// Least time between two sends.
+    pub(super) pacing_interval: AdaptiveInterval,
     pub(super) last_sent_at: Option<Nanos>,
-    pub(super) retry_after_until: Nanos, // end of the latest Retry-After
-    pub(super) rate_limit: Option<f64>,  // calls a second from all senders together
-    pub(super) recent_sends: SendWindow, // in the overload window
-    pub(super) outcome_history: OutcomeHistory, // successes and failures, without rejections
+    /// End of the Retry-After that ends last.
+    pub(super) retry_after_until: Nanos,
+    /// Rate limit, in calls a second from all senders together.
+    pub(super) rate_limit: Option<f64>,
+    /// Sends within the overload window.
+    pub(super) recent_sends: SendWindow,
+    /// Successes and failures. Rejections are not part of it.
+    pub(super) outcome_history: OutcomeHistory,
+    /// Number of rejections since the latest success, counting only those that increased the pacing interval.
     pub(super) consecutive_rejections: u32,
-    pub(super) rejecting_since: Nanos, // time of the first of the consecutive rejections
-    /// Of the successful calls, the one sent last: earlier calls that are still in flight may be lost.
+    /// Instant of the first of the consecutive rejections.
+    pub(super) rejecting_since: Nanos,
+    /// When the successful call that was sent last was sent. Calls sent before it that are still in flight
+    /// may be lost.
     pub(super) latest_success_sent_at: Nanos,
-    pub(super) call_counts: CallCounts, // for observations only
-    pub(super) in_flight: StartTimes<(MessageId, u32)>, // by message and number of the attempt
+    /// For observations only.
+    pub(super) call_counts: CallCounts,
+    /// Attempts in flight, by message and number of the attempt.
+    pub(super) in_flight: StartTimes<(MessageId, u32)>,
 }
 
 impl RouteState {
+    /// Whether the circuit breaker is open.
     pub(super) fn is_down(&self) -> bool {
         self.outcome_history.consecutive_failures() >= BREAKER_FAILURES
     }
@@ -61,37 +83,43 @@
         self.is_down() || self.consecutive_rejections >= BREAKER_FAILURES
     }
 
+    /// Whether the sender backs off, or has backed off, because it suspects an outage.
     pub(super) fn is_backing_off_on_suspicion(&self) -> bool {
         self.suspicion >= SUSPICION_THRESHOLD && self.backoff_until > 0
     }
 
+    /// Records the success of a call that was sent at `sent_at`. After an outage, the recovery ramp starts.
     pub(super) fn record_success(&mut self, now: Nanos, sent_at: Nanos, settings: &Settings) {
         let step = self.pacing_step(settings);
-        // The longest interval suits slow partners: at a call a second, a fast one's backlog would expire.
+        // The longest interval suits slow partners. At a fast one, the backlog would expire at a call a
+        // second, so that a long interval is decreased fast.
         let decrease = if self.pacing_interval.get() > 2 * step {
             FAST_PACING_DECREASE
         } else {
             PACING_DECREASE
         };
-        self.pacing_interval
-            .decrease(decrease, step.min(MAX_PACING_INTERVAL) / 4);
-        let returned = self.is_down() || self.is_backing_off_on_suspicion();
+        let min_interval = step.min(MAX_PACING_INTERVAL) / 4;
+        self.pacing_interval.decrease(decrease, min_interval);
+        let ends_outage = self.is_down() || self.is_backing_off_on_suspicion();
         self.outcome_history.record_success();
         self.consecutive_rejections = 0;
         self.backoff_until = 0;
         self.latest_success_sent_at = self.latest_success_sent_at.max(sent_at);
-        if returned {
-            // It returned since its last fault or the end of its Retry-After: half that time ago on average.
-            let elapsed = (now - self.last_fault_at.max(self.retry_after_until).min(now)) / 2;
+        if ends_outage {
+            // The route returned between its last fault, or the end of its Retry-After, and now: on average,
+            // half of this time ago.
+            let unavailable_until = self.last_fault_at.max(self.retry_after_until).min(now);
+            let elapsed = (now - unavailable_until) / 2;
             self.recovering_since = Some(now - elapsed.min(settings.recovery.overload_window));
         }
         self.suspicion = 0.0;
     }
 
+    /// Records a rejection. It counts as a failed retry unless it is the first since the latest success.
     pub(super) fn record_rejection(
         &mut self,
         now: Nanos,
-        retries: &mut SuccessRate,
+        retry_success_rate: &mut SuccessRate,
         settings: &Settings,
     ) {
         self.pacing_interval
@@ -99,11 +127,12 @@
         if self.consecutive_rejections == 0 {
             self.rejecting_since = now;
         } else {
-            retries.record_failure();
+            retry_success_rate.record_failure();
         }
         self.consecutive_rejections += 1;
     }
 
+    /// Whether the circuit breaker is closed and no recovery ramp is pending or in progress.
     pub(super) fn has_recovered(&self, now: Nanos, settings: &Settings) -> bool {
         !self.is_down()
             && self
@@ -111,16 +140,19 @@
                 .is_none_or(|since| now >= since + settings.recovery.duration)
     }
 
-    /// Calls that may be sent in an overload window. With many senders, the share of each is far below 1.
+    /// Slow-start budget: number of calls that this sender may send in an overload window. With many senders,
+    /// it is far below 1.
     pub(super) fn slow_start_budget(&self, now: Nanos, settings: &Settings) -> f64 {
         let recovering_since = self.recovering_since.filter(|_| !self.is_down());
         let elapsed = recovering_since.map_or(0, |since| now.saturating_sub(since));
         self.budget_after(elapsed, settings)
     }
 
+    /// Slow-start budget when the route has been recovering for `elapsed`.
     pub(super) fn budget_after(&self, elapsed: Nanos, settings: &Settings) -> f64 {
         let recovery = &settings.recovery;
-        // Without a known rate limit, a single call says nothing about a rate.
+        // If the rate limit is unknown, one call in a recovery duration is assumed: a single call says
+        // nothing about a rate.
         let interval = self
             .rate_limit
             .map_or(recovery.duration, |_| self.fair_interval(settings));
@@ -131,7 +163,8 @@
             * fair_calls
     }
 
-    /// Interval of this sender's calls at its fair share of the rate limit; if unknown, by fleet size.
+    /// Interval of this sender's calls at its fair share of the rate limit. If the limit is unknown, the
+    /// interval grows with the number of senders.
     pub(super) fn fair_interval(&self, settings: &Settings) -> Nanos {
         let default = (PACING_STEP * Nanos::from(settings.senders)).min(MAX_PACING_INTERVAL);
         self.rate_limit.map_or(default, |limit| {
@@ -139,38 +172,45 @@
         })
     }
 
-    /// Interval of sends at which all senders together keep to a budget; a few recovery durations are enough.
+    /// Interval between sends at which a sender keeps to its slow-start budget, so that all senders together
+    /// keep within the route's capacity. It is limited, as a few recovery durations are enough.
     pub(super) fn budget_interval(&self, budget: f64, settings: &Settings) -> Nanos {
         let interval = (settings.recovery.overload_window as f64 / budget.max(1e-9)) as Nanos;
         interval.min(MAX_BACKOFF_RECOVERIES * settings.recovery.duration)
     }
 
+    /// Earliest instant at which pacing, Retry-After and backoff allow a send.
     pub(super) fn ready_at(&self) -> Nanos {
-        let paced = self
+        let pacing_ends_at = self
             .last_sent_at
             .map_or(0, |sent_at| sent_at + self.pacing_interval.get());
-        paced.max(self.retry_after_until).max(self.backoff_until)
+        pacing_ends_at
+            .max(self.retry_after_until)
+            .max(self.backoff_until)
     }
 
+    /// First pacing interval after a rejection: half the fair interval, if the rate limit is known.
     fn pacing_step(&self, settings: &Settings) -> Nanos {
         self.rate_limit
             .map_or(PACING_STEP, |_| self.fair_interval(settings) / 2)
     }
 
+    /// The outage of the route, or the recovery from one, as reported to other senders.
     fn outage(&self, now: Nanos, settings: &Settings) -> Option<Outage> {
-        let suspected = self.is_backing_off_on_suspicion();
-        if self.is_down() || (suspected && self.consecutive_rejections == 0) {
+        let is_suspected = self.is_backing_off_on_suspicion();
+        if self.is_down() || (is_suspected && self.consecutive_rejections == 0) {
             return Some(Outage::Unresponsive);
         }
-        // The Retry-After of an outage has not ended, or everything is rejected.
-        let opens_later = self.recovering_since.is_some_and(|since| since > now);
-        if suspected || opens_later || self.consecutive_rejections >= OUTAGE_REJECTIONS {
+        // The Retry-After of an outage has not ended, or all calls are rejected.
+        let recovers_later = self.recovering_since.is_some_and(|since| since > now);
+        if is_suspected || recovers_later || self.consecutive_rejections >= OUTAGE_REJECTIONS {
             return Some(Outage::Rejecting);
         }
         let elapsed = now.saturating_sub(self.recovering_since?);
         (elapsed < settings.recovery.duration).then_some(Outage::Recovering { elapsed })
     }
 
+    /// This sender's observation of the route; `None` if it has sent no call to the route.
     pub(super) fn observe(
         &self,
         key: RouteKey,
