--- a/crates/policy/src/collections/adaptive_interval.rs
+++ b/crates/policy/src/collections/adaptive_interval.rs
@@ -27,13 +27,13 @@
         self.interval = self.interval.max(min);
     }
 
-    /// Doubles the interval, to at least `min` and at most `max`.
+    /// Doubles the interval, and limits the result to at least `min` and at most `max`.
     pub(crate) fn increase(&mut self, now: Nanos, min: Nanos, max: Nanos) {
         self.last_increase = now;
         self.interval = (self.interval * 2).max(min).min(max);
     }
 
-    /// Decreases the interval by this share (0 to 1) of itself, and sets it to 0 if it is then below `min`.
+    /// Decreases the interval by a share (0 to 1) of itself, and sets it to 0 if the result is below `min`.
     pub(crate) fn decrease(&mut self, share: f64, min: Nanos) {
         self.interval = (self.interval as f64 * (1.0 - share)) as Nanos;
         if self.interval < min {
--- a/crates/policy/src/collections/call_counts.rs
+++ b/crates/policy/src/collections/call_counts.rs
@@ -4,7 +4,7 @@
 
 use crate::interface::{Nanos, Outcome};
 
-/// Time in which a count decays to half: 20 s.
+/// Half-life of the counts: 20 s.
 const HALF_LIFE: Nanos = 20_000_000_000;
 
 /// Decaying counts of a route's calls. They are passed to other senders, and not used in decisions.
--- a/crates/policy/src/collections/connection_use.rs
+++ b/crates/policy/src/collections/connection_use.rs
@@ -1,4 +1,4 @@
-//! Tells whether calls follow each other soon enough to reuse a connection.
+//! Tracks whether calls follow each other soon enough to reuse a connection.
 
 use serde::{Deserialize, Serialize};
 
@@ -24,7 +24,7 @@
         self.last_use > 0 && now < self.last_use.saturating_add(idle_timeout)
     }
 
-    /// Whether the latest use came before the idle timeout had passed, or was the first use.
+    /// Whether the latest use reused an open connection, or was the first use.
     pub(crate) fn is_reused(&self) -> bool {
         self.is_reused
     }
--- a/crates/policy/src/collections/latency_window.rs
+++ b/crates/policy/src/collections/latency_window.rs
@@ -9,7 +9,7 @@
 
 use crate::interface::Nanos;
 
-/// The latest latencies, by age and by size.
+/// The latest latencies, kept by age and in ascending order.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct LatencyWindow {
     /// Oldest first.
@@ -49,16 +49,17 @@
         self.by_size.get(rank).copied().unwrap_or(0)
     }
 
-    /// The median. With fewer than `min_entries` entries, it is averaged with a default, which has the weight
-    /// of the missing entries.
+    /// The median. If the window has fewer than `min_entries` entries, the median is averaged with a default,
+    /// which has the weight of the missing entries.
     pub(crate) fn blended_median(&self, default: Nanos, min_entries: usize) -> Nanos {
         let min_entries = min_entries as Nanos;
         let present = min_entries.min(self.len() as Nanos);
         (self.quantile(0.5) * present + default * (min_entries - present)) / min_entries
     }
 
-    /// A quantile of this window if it has at least `min_entries` entries. Else that of the other window,
-    /// scaled from that window's median to `median`; `None` if the other window has too few entries as well.
+    /// A quantile of this window if it has at least `min_entries` entries. Otherwise the quantile of the
+    /// other window, scaled from the other window's median to `median`; `None` if that window also has too
+    /// few entries.
     pub(crate) fn quantile_or_scaled(
         &self,
         quantile: f64,
@@ -81,7 +82,7 @@
         self.by_age.len()
     }
 
-    /// Whether there is no entry.
+    /// Whether the window has no entries.
     pub(crate) fn is_empty(&self) -> bool {
         self.by_age.is_empty()
     }
--- a/crates/policy/src/collections/moving_average.rs
+++ b/crates/policy/src/collections/moving_average.rs
@@ -12,7 +12,7 @@
 pub(crate) struct SuccessRate(f64);
 
 impl SuccessRate {
-    /// A rate that starts from an assumed value.
+    /// Creates a rate that starts from an assumed value.
     pub(crate) fn new(assumed: f64) -> SuccessRate {
         SuccessRate(assumed)
     }
--- a/crates/policy/src/collections/outcome_history.rs
+++ b/crates/policy/src/collections/outcome_history.rs
@@ -2,7 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The last eight outcomes as a bit set: the newest is the lowest bit, and a set bit is a failure.
+/// The last eight outcomes, one in each bit. A set bit is a failure, and the lowest bit is the newest
+/// outcome.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct OutcomeHistory(u8);
 
--- a/crates/policy/src/collections/page.rs
+++ b/crates/policy/src/collections/page.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// Reads up to `max_entries` entries that follow the key `after`. Returns the results of `read`, and the last
-/// key that was read if more entries follow.
+/// Reads up to `max_entries` entries that follow the key `after`. Returns the results of `read`, and, if more
+/// entries follow, the last key that was read.
 ///
 /// Entries for which `read` returns `None` count towards the limit, so that each page costs the same.
 pub(crate) fn read_page<K: Ord + Copy, V, T>(
--- a/crates/policy/src/collections/wakeup_timer.rs
+++ b/crates/policy/src/collections/wakeup_timer.rs
@@ -14,7 +14,7 @@
         self.0.is_some_and(|due| now > due + tolerance)
     }
 
-    /// Clears the wake-up if it is due by an instant.
+    /// Clears the wake-up if it is due at the instant `by` or earlier.
     pub(crate) fn expire(&mut self, by: Nanos) {
         self.0 = self.0.filter(|due| *due > by);
     }
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -1,7 +1,8 @@
 //! Types that a sender exchanges with its [`Policy`](crate::Policy): settings, events and actions.
 //!
-//! All times are in nanoseconds. Instants are counted from an origin that the caller chooses, and never go
-//! back. Ids are integers that the caller assigns; an id has the same meaning for the lifetime of a policy.
+//! All times are in nanoseconds. Instants are counted from an origin that the caller chooses, and never
+//! decrease. Ids are integers that the caller assigns; an id has the same meaning for the lifetime of a
+//! policy.
 
 use serde::{Deserialize, Serialize};
 
@@ -231,9 +232,9 @@
         class: ClassId,
         /// Its deadline (an instant).
         deadline: Nanos,
-        /// How many attempts it has had. The next attempt has this number.
+        /// Number of attempts it has had, which is also the number of its next attempt.
         attempts: u32,
-        /// When the first attempt that may have run was sent; `None` if no attempt can have run.
+        /// Instant at which the first attempt that may have run was sent; `None` if no attempt can have run.
         may_have_run_since: Option<Nanos>,
     },
     /// Observations by other senders of a route that has an endpoint in the endpoint list.
@@ -270,7 +271,8 @@
         endpoint: EndpointId,
         /// Timeout of the attempt.
         timeout: Nanos,
-        /// Latest instant at which the attempt may start. A later one could take effect a second time.
+        /// Latest instant at which the attempt may start. If it started later, the message could take effect
+        /// a second time.
         latest_start: Nanos,
     },
     /// Cancel an attempt in flight.
@@ -280,7 +282,7 @@
         /// Number of the attempt.
         attempt: u32,
     },
-    /// Final answer: the message was not delivered, and the client may safely retry.
+    /// Final answer: no attempt has succeeded, and the client may safely retry.
     Reject {
         /// The message.
         id: MessageId,
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -101,7 +101,8 @@
     /// Linearly, down to [`MessageClass::late_weight_share`] at the deadline.
     #[default]
     Linear,
-    /// By half with each further latency objective, but not below [`MessageClass::late_weight_share`].
+    /// By half with each further latency objective that passes, but not below
+    /// [`MessageClass::late_weight_share`].
     Halving,
 }
 
@@ -113,7 +114,7 @@
     Ignored,
     /// The rate limit of the route, in calls a second from all senders together.
     Nominal,
-    /// The rate limit of the route, but up to half too high or too low.
+    /// An approximation of the rate limit of the route, which may be too high or too low by up to half.
     Approximate,
 }
 
@@ -131,15 +132,15 @@
 
 /// Recovery ramp: the load that a destination can take while it recovers from an outage.
 ///
-/// Its capacity rises linearly from `initial_share` to all of its full capacity within `duration`. It fails
-/// again if it is sent more than `overload_factor` times its present capacity for `overload_window`.
+/// Its capacity rises linearly from `initial_share` of its full capacity to all of it within `duration`. It
+/// fails again if it is sent more than `overload_factor` times its current capacity for `overload_window`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RecoveryRamp {
-    /// Multiple of the present capacity above which a recovering destination fails again.
+    /// Multiple of the current capacity above which a recovering destination fails again.
     pub overload_factor: f64,
     /// How long the overload has to last until the destination fails again, in nanoseconds.
     pub overload_window: Nanos,
-    /// Share (0 to 1) of the full capacity that the destination has at least when it starts to recover.
+    /// Least share (0 to 1) of its full capacity that the destination has when it starts to recover.
     pub initial_share: f64,
     /// Time from the start of the recovery until the destination has its full capacity again, in nanoseconds.
     pub duration: Nanos,
@@ -151,7 +152,7 @@
         self.overload_window > 0 && is_factor && is_share(self.initial_share)
     }
 
-    /// Share of its full capacity that a destination has at least, `elapsed` after it started to recover.
+    /// Least share of its full capacity that a destination has, `elapsed` after it started to recover.
     pub(crate) fn capacity_share(&self, elapsed: Nanos) -> f64 {
         let progress = (elapsed as f64 / self.duration.max(1) as f64).min(1.0);
         self.initial_share + (1.0 - self.initial_share) * progress
