--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -156,7 +156,7 @@
     let attempt = sender.attempts[&next[0].0.0] - 1;
     sender.now += 5 * MS;
     let actions = sender.end_attempt(next[0].0, attempt, Outcome::Success, 5 * MS);
-    // A step of 25 ms, less a tenth. Four times it, halved, would be 50.
+    // The first step of 25 ms, decreased by 4% to 24 ms. Four times the step, halved, would be 50 ms.
     assert!(
         !sends(&[actions, sender.advance(25 * MS)].concat()).is_empty(),
         "one increase, to the first step, and not four times it"
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -385,7 +385,7 @@
         attempts,
         may_have_run_since,
     }]);
-    // The fair interval of a lone sender at ten calls a second.
+    // The first send is delayed by up to the fair interval: 50 ms for a lone sender at 20 calls a second.
     [first_actions, sender.advance(100 * MS)].concat()
 }
 
--- a/crates/policy/tests/sparse.rs
+++ b/crates/policy/tests/sparse.rs
@@ -114,8 +114,8 @@
             .end_attempt(id, 0, Outcome::Success, 50 * MS)
             .contains(&close)
     };
-    // Guards against a handshake for every second call in a fleet in which each sender calls an endpoint every
-    // few seconds.
+    // Guards against a handshake for every second call in a fleet in which each sender calls an endpoint
+    // every few seconds.
     assert!(
         !once(&mut sender),
         "after a first call, the next one may well come within the idle timeout"
