--- a/crates/policy/src/collections/moving_average.rs
+++ b/crates/policy/src/collections/moving_average.rs
@@ -12,7 +12,7 @@
 pub(crate) struct SuccessRate(f64);
 
 impl SuccessRate {
-    /// A rate that starts from an assumed value.
+    /// Creates a rate that starts from an assumed value.
     pub(crate) fn new(assumed: f64) -> SuccessRate {
         SuccessRate(assumed)
     }
@@ -40,7 +40,11 @@
 impl SmoothedLatency {
     /// Adds a latency. The first one becomes the average.
     pub(crate) fn record(&mut self, latency: Nanos) {
-        self.0 = if self.0 == 0 { latency } else { (self.0 * 7 + latency) / 8 };
+        self.0 = if self.0 == 0 {
+            latency
+        } else {
+            (self.0 * 7 + latency) / 8
+        };
     }
 
     /// The average, or `None` before the first latency.
