--- a/crates/sender/src/error.rs
+++ b/crates/sender/src/error.rs
@@ -1,6 +1,10 @@
 //! The errors that prevent a sender from starting, from serving, or from passing its state to a successor.
 //!
 //! `Display` formats the one line that the user reads; it names the field, file or address at fault.
+//!
+//! The texts of [`EncodeState`](SenderError::EncodeState), [`TooManyConnections`](SenderError::TooManyConnections) and
+//! [`NotAccepting`](SenderError::NotAccepting) are also sent to the successor, as the reason why its request is
+//! refused. They are part of the takeover protocol and must not change.
 
 use std::net::SocketAddr;
 
@@ -56,7 +60,7 @@
     #[error("the state from the predecessor cannot be decoded: {0}")]
     DecodeState(postcard::Error),
     /// This process's state cannot be encoded for its successor.
-    #[error("the state cannot be encoded: {0}")]
+    #[error("{0}")]
     EncodeState(postcard::Error),
     /// The predecessor's state was decoded, but its sockets or its log cannot be used.
     #[error("the state from the predecessor cannot be restored: {0}")]
@@ -74,6 +78,6 @@
     #[error("{0} connections in use are too many to pass at once")]
     TooManyConnections(usize),
     /// The listener for clients is closed and cannot be passed to a successor.
-    #[error("the listener for clients is closed")]
+    #[error("takes no clients any more")]
     NotAccepting,
 }
