--- a/crates/sender/src/discovery/mod.rs
+++ b/crates/sender/src/discovery/mod.rs
@@ -97,7 +97,8 @@
     /// Applies one update of the list. Returns `None` if the object is not an update.
     ///
     /// If an entry cannot be read, neither its endpoint nor the version changes, so that the update is requested again.
-    /// Entries whose zone or kind is missing in the settings are exempt, as they would be received unchanged.
+    /// An entry whose zone or kind is missing in the settings, or that exceeds the limit on endpoints, is only skipped:
+    /// it would be received unchanged.
     pub fn apply(&mut self, json: &Value) -> Option<EndpointListChange> {
         let Some(update) = ListUpdate::parse(json) else {
             warn!(
--- a/crates/sender/src/discovery/watch_schedule.rs
+++ b/crates/sender/src/discovery/watch_schedule.rs
@@ -14,8 +14,8 @@
 /// The factor by which the backoff grows with each failure.
 const BACKOFF_GROWTH: f64 = 2.0;
 
-/// If a list is already known, the first watches at the discovery service are spread over this time per sender, in
-/// milliseconds, to reduce its load.
+/// If a list is already known, the first watches of all senders at the discovery service are spread over this time
+/// multiplied by the number of senders, in milliseconds, to reduce its load.
 const FIRST_WATCH_SPREAD_PER_SENDER: Millis = 60.0;
 /// Above this number of senders, each sender retries less often at the discovery service, in proportion to their
 /// number: the retries of many senders would keep a failed service down.
--- a/crates/sender/src/egress/attempt.rs
+++ b/crates/sender/src/egress/attempt.rs
@@ -79,7 +79,8 @@
         }
     }
 
-    /// The result of the attempt if it ends now, before the headers of a response were read.
+    /// The result of the attempt if it ends now. The endpoint and the end of the message, which follow from the headers
+    /// of a response, are not set.
     pub fn result(&self, outcome: Outcome, now: Millis) -> AttemptResult {
         AttemptResult {
             id: self.id,
--- a/crates/sender/src/egress/attempt_end.rs
+++ b/crates/sender/src/egress/attempt_end.rs
@@ -4,8 +4,8 @@
 use martenlatch_clock::Millis;
 use martenlatch_policy::interface::Outcome;
 
-/// A reused connection was stale before its new request if it ends within this time after the attempt has started and
-/// without a byte of a response, in milliseconds.
+/// A reused connection counts as stale, that is, as lost before the request, if it ends within this time after the start
+/// of the attempt and without a byte of a response. In milliseconds.
 pub(super) const STALE_DETECTION_WINDOW: Millis = 50.0;
 
 /// Why an attempt ended.
--- a/crates/sender/src/egress/connection_pool.rs
+++ b/crates/sender/src/egress/connection_pool.rs
@@ -75,9 +75,9 @@
             .collect()
     }
 
-    /// Takes the most recently used idle connection to the endpoint that still works, unless it became idle before
-    /// `earliest_idle_since`. A connection that the endpoint has closed is detected and removed here, before a request
-    /// is lost on it.
+    /// Takes the most recently used idle connection to the endpoint, and returns its slot. Returns `None` if there is
+    /// none, or if it became idle before `earliest_idle_since`. A connection that the endpoint has closed is detected
+    /// and removed here, before a request is lost on it, and the next one is tried.
     pub fn take_idle(
         &mut self,
         endpoint: EndpointId,
--- a/crates/sender/src/egress/connection_scarcity.rs
+++ b/crates/sender/src/egress/connection_scarcity.rs
@@ -13,7 +13,7 @@
 const DECAY: f64 = 0.9;
 /// Connections are scarce if at least this fraction of the requests on new connections is rejected...
 const MIN_REJECTED_SHARE_ON_NEW: f64 = 0.6;
-/// ...and at least this weighted number of them, so that it is not by chance...
+/// ...and at least this weighted number of them, to exclude chance...
 const MIN_REJECTIONS_ON_NEW: f64 = 2.0;
 /// ...and at most this fraction of the requests on reused connections.
 const MAX_REJECTED_SHARE_ON_REUSED: f64 = 0.2;
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Whether endpoints of the kind lack connections, so that an idle connection would exclude another sender.
+    /// Whether endpoints of the kind lack spare connections, so that an idle connection would exclude another sender.
     pub fn is_scarce(&self, kind: usize) -> bool {
         let Some(counts) = self.0.get(kind) else {
             return false;
--- a/crates/sender/src/egress/mod.rs
+++ b/crates/sender/src/egress/mod.rs
@@ -182,9 +182,9 @@
         Ok(slot)
     }
 
-    /// Begins the requests whose connections are established and that `permit` grants. `permit` records the attempt
-    /// first; an attempt without a record never runs. If it cannot be recorded now, it waits on its connection, so that
-    /// a brief failure of the state folder uses up no attempts.
+    /// Begins the requests that `permit` grants on established connections. `permit` records each attempt first, since
+    /// an attempt without a record must never run. An attempt that cannot be recorded now waits on its connection, so
+    /// that a brief failure of the state folder uses up no attempts.
     ///
     /// The attempt is not recorded before its connection is established: if the process was killed in between, a
     /// non-idempotent message would count as sent and end without an attempt.
@@ -290,8 +290,8 @@
     }
 
     /// Withdraws the requests of which no byte has been written and whose destination and endpoint match `predicate`:
-    /// the destination has asked for a backoff, or the endpoint is draining. Such a request must not be sent once its
-    /// connection is established.
+    /// the destination has asked for a backoff, or the endpoint is draining. A connection that is established later
+    /// must not carry such a request.
     pub fn cancel_unsent(&mut self, predicate: impl Fn(u64, EndpointId) -> bool, now: Millis) {
         let unsent = self.connections.find_slots(|connection| {
             connection.socket.written == 0
--- a/crates/sender/src/egress/tests/attempt_end.rs
+++ b/crates/sender/src/egress/tests/attempt_end.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 /// The end of an attempt whose request was sent completely on a new connection, which was lost without a response.
-fn lost() -> EndedAttempt {
+fn lost_attempt() -> EndedAttempt {
     EndedAttempt {
         cause: EndCause::ConnectionLost,
         connected: true,
@@ -20,34 +20,35 @@
 }
 
 #[rstest::rstest]
-#[case::sent(lost(), Outcome::ConnectionLost)]
-#[case::partly_sent(EndedAttempt { flushed: false, fully_sent: false, ..lost() }, Outcome::Unreachable)]
-#[case::not_established(EndedAttempt { connected: false, ..lost() }, Outcome::Unreachable)]
-#[case::last_byte_held_back(EndedAttempt { last_byte_held_back: true, ..lost() }, Outcome::NotSent)]
-#[case::confirmed(EndedAttempt { response_begun: true, status_line_is_200: true, ..lost() }, Outcome::Success)]
+#[case::sent(lost_attempt(), Outcome::ConnectionLost)]
+#[case::partly_sent(EndedAttempt { flushed: false, fully_sent: false, ..lost_attempt() }, Outcome::Unreachable)]
+#[case::not_established(EndedAttempt { connected: false, ..lost_attempt() }, Outcome::Unreachable)]
+#[case::last_byte_held_back(EndedAttempt { last_byte_held_back: true, ..lost_attempt() }, Outcome::NotSent)]
+#[case::confirmed(EndedAttempt { response_begun: true, status_line_is_200: true, ..lost_attempt() }, Outcome::Success)]
 #[case::confirmed_too_early(
-    EndedAttempt { cause: EndCause::SuccessStatusLine, flushed: false, fully_sent: false, status_line_is_200: true, ..lost() },
+    EndedAttempt { cause: EndCause::SuccessStatusLine, flushed: false, fully_sent: false, status_line_is_200: true, ..lost_attempt() },
     Outcome::NotSent)]
-#[case::timed_out(EndedAttempt { cause: EndCause::TimedOut, ..lost() }, Outcome::TimedOut)]
+#[case::timed_out(EndedAttempt { cause: EndCause::TimedOut, ..lost_attempt() }, Outcome::TimedOut)]
 #[case::timed_out_in_a_response(
-    EndedAttempt { cause: EndCause::TimedOut, response_begun: true, ..lost() }, Outcome::Failure)]
-#[case::malformed(EndedAttempt { cause: EndCause::MalformedResponse, ..lost() }, Outcome::Failure)]
-#[case::cancelled(EndedAttempt { cause: EndCause::Cancelled, ..lost() }, Outcome::Cancelled)]
-#[case::withdrawn(EndedAttempt { cause: EndCause::Withdrawn, flushed: false, ..lost() }, Outcome::NotSent)]
-#[case::stale(EndedAttempt { idle_before: Some(9.0), ..lost() }, Outcome::StaleConnection)]
-#[case::stale_and_partly_sent(EndedAttempt { idle_before: Some(9.0), flushed: false, ..lost() }, Outcome::NotSent)]
+    EndedAttempt { cause: EndCause::TimedOut, response_begun: true, ..lost_attempt() }, Outcome::Failure)]
+#[case::malformed(EndedAttempt { cause: EndCause::MalformedResponse, ..lost_attempt() }, Outcome::Failure)]
+#[case::cancelled(EndedAttempt { cause: EndCause::Cancelled, ..lost_attempt() }, Outcome::Cancelled)]
+#[case::withdrawn(EndedAttempt { cause: EndCause::Withdrawn, flushed: false, ..lost_attempt() }, Outcome::NotSent)]
+#[case::stale(EndedAttempt { idle_before: Some(9.0), ..lost_attempt() }, Outcome::StaleConnection)]
+#[case::stale_and_partly_sent(EndedAttempt { idle_before: Some(9.0), flushed: false, ..lost_attempt() }, Outcome::NotSent)]
 #[case::reused_but_lost_later(
-    EndedAttempt { idle_before: Some(9.0), ended_at: 100.0 + STALE_DETECTION_WINDOW, ..lost() }, Outcome::ConnectionLost)]
+    EndedAttempt { idle_before: Some(9.0), ended_at: 100.0 + STALE_DETECTION_WINDOW, ..lost_attempt() }, Outcome::ConnectionLost)]
 #[case::reused_but_lost_in_a_response(
-    EndedAttempt { idle_before: Some(9.0), response_begun: true, ..lost() }, Outcome::ConnectionLost)]
+    EndedAttempt { idle_before: Some(9.0), response_begun: true, ..lost_attempt() }, Outcome::ConnectionLost)]
 fn the_outcome_follows_from_the_bytes_written_and_received(
     #[case] end: EndedAttempt,
     #[case] outcome: Outcome,
 ) {
     let classification = end.classify();
     assert_eq!(classification.outcome, outcome);
-    let lost = end.cause == EndCause::ConnectionLost;
-    assert_eq!(classification.connection_lost, lost);
-    let stale = lost && end.idle_before.is_some() && !end.response_begun && end.ended_at < 150.0;
+    let connection_lost = end.cause == EndCause::ConnectionLost;
+    assert_eq!(classification.connection_lost, connection_lost);
+    let stale =
+        connection_lost && end.idle_before.is_some() && !end.response_begun && end.ended_at < 150.0;
     assert_eq!(classification.stale_after, stale.then_some(9.0));
 }
--- a/crates/sender/src/egress/tests/connection_reuse.rs
+++ b/crates/sender/src/egress/tests/connection_reuse.rs
@@ -24,12 +24,12 @@
         let mut peer = fixture.accept();
         fixture.step_all(0.0);
         respond(&mut peer);
-        assert_eq!(fixture.outcome(5.0), Outcome::Success);
+        assert_eq!(fixture.wait_for_outcome(5.0), Outcome::Success);
         start_and_send(&mut fixture, true, 105.0);
         peer.read_exact(&mut [0; 2]).unwrap();
         drop(peer);
         assert_eq!(
-            fixture.outcome(106.0),
+            fixture.wait_for_outcome(106.0),
             Outcome::StaleConnection,
             "the connection had been idle for 100 ms"
         );
@@ -38,7 +38,7 @@
     let mut peer = fixture.accept();
     fixture.step_all(1_000.0);
     respond(&mut peer);
-    assert_eq!(fixture.outcome(1_000.0), Outcome::Success);
+    assert_eq!(fixture.wait_for_outcome(1_000.0), Outcome::Success);
     for (must_not_be_lost, idle_time, opened) in
         [(true, 79.0, 3), (false, 200.0, 3), (true, 90.0, 4)]
     {
@@ -49,7 +49,7 @@
         );
         if opened == 3 {
             respond(&mut peer);
-            assert_eq!(fixture.outcome(1_000.0), Outcome::Success);
+            assert_eq!(fixture.wait_for_outcome(1_000.0), Outcome::Success);
         }
     }
 }
@@ -72,7 +72,7 @@
         }
         peer.read_exact(&mut [0]).unwrap();
         peer.write_all(SUCCESS_RESPONSE).unwrap();
-        assert_eq!(fixture.outcome(6.0), Outcome::Success);
+        assert_eq!(fixture.wait_for_outcome(6.0), Outcome::Success);
         let pool = &fixture.egress.connections;
         assert_eq!(
             (pool.slots.len(), pool.idle.len()),
@@ -110,7 +110,7 @@
     fixture.egress.sent_messages.clear();
     peer.read_exact(&mut [0; 2]).unwrap();
     peer.write_all(response).unwrap();
-    fixture.outcome(0.0);
+    fixture.wait_for_outcome(0.0);
     (peer, fixture.egress.connections.idle.len())
 }
 
--- a/crates/sender/src/egress/tests/last_byte.rs
+++ b/crates/sender/src/egress/tests/last_byte.rs
@@ -24,14 +24,14 @@
     peer.read_exact(&mut [0; 5]).unwrap();
     if !last_byte_sent {
         drop(peer);
-        return fixture.outcome(now);
+        return fixture.wait_for_outcome(now);
     }
     let later = now + LAST_BYTE_DELAY;
     assert!(egress.next_deadline() <= later, "the last byte is due");
     egress.expire_timeouts(later);
     peer.read_exact(&mut [0]).unwrap();
     drop(peer);
-    fixture.outcome(later)
+    fixture.wait_for_outcome(later)
 }
 
 #[test]
--- a/crates/sender/src/egress/tests/mod.rs
+++ b/crates/sender/src/egress/tests/mod.rs
@@ -77,7 +77,7 @@
         self.egress.start(request, address, now);
     }
 
-    /// The endpoint's side of the next connection.
+    /// Accepts the next connection as the endpoint.
     fn accept(&self) -> TcpStream {
         self.listener.accept().unwrap().0
     }
@@ -87,7 +87,7 @@
     }
 
     /// Handles all connections until an attempt ends, and returns its outcome.
-    fn outcome(&mut self, now: Millis) -> Outcome {
+    fn wait_for_outcome(&mut self, now: Millis) -> Outcome {
         while self.egress.results.is_empty() {
             self.step_all(now);
         }
--- a/crates/sender/src/egress/timeouts.rs
+++ b/crates/sender/src/egress/timeouts.rs
@@ -34,8 +34,8 @@
         }
     }
 
-    /// The cause with which a connection at its time limit is closed: an attempt that waits on an established
-    /// connection to be recorded was not delayed by the endpoint.
+    /// The cause with which a connection at its time limit is closed. An attempt that still waits to be recorded on an
+    /// established connection was not delayed by the endpoint, so it does not count as timed out.
     fn timeout_cause(&self, slot: usize) -> EndCause {
         let awaits_permission = self
             .connections
