--- a/crates/sender/src/peer_service/datagrams.rs
+++ b/crates/sender/src/peer_service/datagrams.rs
@@ -21,8 +21,8 @@
             match self.sockets.udp.recv_from(&mut bytes) {
                 Ok((length, _)) => self.handle_datagram(&bytes[..length], now),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return false,
-                // Such an error reports that an earlier datagram of this sender reached a closed port. There may be
-                // more datagrams to read.
+                // The system reports that an earlier datagram of this sender reached a closed port. There may be more
+                // datagrams to read.
                 Err(_) => {}
             }
         }
--- a/crates/sender/src/peer_service/mod.rs
+++ b/crates/sender/src/peer_service/mod.rs
@@ -114,8 +114,8 @@
         Ok(service)
     }
 
-    /// Whether a query to a seed is running and the time for learning has not passed. As soon as no seed is left to
-    /// query, this is false.
+    /// Whether a query to a seed is running and the time for learning has not passed. This is false as soon as the last
+    /// query has ended, for example because no seed could be reached.
     pub fn is_learning(&self, now: Millis) -> bool {
         now < self.started_at + self.settings.learn_ms && self.seed_queries.is_running()
     }
--- a/crates/sender/src/peer_service/page_server.rs
+++ b/crates/sender/src/peer_service/page_server.rs
@@ -31,19 +31,19 @@
     rejected: bool,
 }
 
-/// The progress of a response.
+/// A response that is sent page by page.
 struct Response {
     request_id: u64,
-    content: Content,
+    content: ResponseContent,
     /// The index of the next page.
     next_index: u32,
     /// Whether the last page has been queued.
     complete: bool,
 }
 
-/// The kind of content that was requested.
+/// The content that was requested.
 #[derive(Clone, Copy)]
-enum Content {
+enum ResponseContent {
     /// This sender's own observations. The next page begins after the cursor.
     Digests(Option<ObservationCursor>),
     /// The members of the group.
@@ -51,7 +51,7 @@
 }
 
 impl Response {
-    fn new(request_id: u64, content: Content) -> Response {
+    fn new(request_id: u64, content: ResponseContent) -> Response {
         Response {
             request_id,
             content,
@@ -68,8 +68,8 @@
         now: Millis,
     ) -> Page {
         let page = match self.content {
-            Content::Digests(after) => self.digests_page(after, observed, now),
-            Content::Members => self.members_page(membership),
+            ResponseContent::Digests(after) => self.digests_page(after, observed, now),
+            ResponseContent::Members => self.members_page(membership),
         };
         let page = page.unwrap_or_else(|| {
             self.complete = true;
@@ -91,7 +91,7 @@
         let has_more = self.next_index == 0 || after.is_some();
         let observed = observed.filter(|_| has_more)?;
         let page = observed.digests(after, now);
-        self.content = Content::Digests(page.next);
+        self.content = ResponseContent::Digests(page.next);
         Some(Page::Digests {
             request_id: self.request_id,
             index: self.next_index,
@@ -145,11 +145,12 @@
     /// Reads the request from the received bytes. Returns `None` if more bytes are needed.
     fn read_request(&self, secret: &Secret) -> Result<Option<Response>, FrameError> {
         match secret.open_page(self.connection.bytes()) {
-            Ok((Page::DigestsRequest { request_id, .. }, _)) => {
-                Ok(Some(Response::new(request_id, Content::Digests(None))))
-            }
+            Ok((Page::DigestsRequest { request_id, .. }, _)) => Ok(Some(Response::new(
+                request_id,
+                ResponseContent::Digests(None),
+            ))),
             Ok((Page::MembersRequest { request_id }, _)) => {
-                Ok(Some(Response::new(request_id, Content::Members)))
+                Ok(Some(Response::new(request_id, ResponseContent::Members)))
             }
             Ok(_) => Err(FrameError::UnexpectedKind),
             Err(FrameError::Incomplete) if !self.connection.eof => Ok(None),
--- a/crates/sender/src/peer_service/seed_queries.rs
+++ b/crates/sender/src/peer_service/seed_queries.rs
@@ -38,7 +38,7 @@
 
 /// Whether the response to a query is complete.
 #[derive(PartialEq, Eq)]
-enum Progress {
+enum QueryProgress {
     Incomplete,
     Complete,
 }
@@ -159,8 +159,8 @@
         query.connection.flush();
         let may_have_more = query.connection.receive();
         match self.read_pages(&mut query, slot, secret, &mut learning) {
-            Ok(Progress::Complete) => false,
-            Ok(Progress::Incomplete) => {
+            Ok(QueryProgress::Complete) => false,
+            Ok(QueryProgress::Incomplete) => {
                 self.running[slot] = Some(query);
                 may_have_more
             }
@@ -181,15 +181,15 @@
         slot: usize,
         secret: &Secret,
         learning: &mut Learning,
-    ) -> Result<Progress, QueryError> {
+    ) -> Result<QueryProgress, QueryError> {
         while let Some(page) = next_page(&mut query.connection, secret)? {
             let digests = query.pages.accept(page).ok_or(QueryError::OutOfOrder)?;
             self.digests_received += learning.add_digests(&reporter_name(slot), &digests);
             if query.pages.is_complete() {
-                return Ok(Progress::Complete);
+                return Ok(QueryProgress::Complete);
             }
         }
-        Ok(Progress::Incomplete)
+        Ok(QueryProgress::Incomplete)
     }
 }
 
