--- a/crates/sender/src/pipeline/crash_recovery_tests/two_processes.rs
+++ b/crates/sender/src/pipeline/crash_recovery_tests/two_processes.rs
@@ -159,7 +159,7 @@
 }
 
 impl StoppedProcess {
-    /// Truncates the log after this number of records, and removes the later requests and reports from the peers'
+    /// Truncates the log after this number of records, and removes the later requests and all reports from the peers'
     /// history. Returns false if the log has fewer records.
     fn truncate_log(&mut self, records: usize) -> bool {
         let log = self.state.join("ledger");
--- a/crates/sender/src/pipeline/tests/mod.rs
+++ b/crates/sender/src/pipeline/tests/mod.rs
@@ -81,12 +81,12 @@
     LogInspection::open(&folder).unwrap().recovered
 }
 
-/// Calls a function until it returns true. The number of calls is bounded: bytes that are written on loopback arrive
+/// Calls a function until it returns true. The number of calls is bounded, as bytes that are written on loopback arrive
 /// soon.
 fn repeat_until(mut is_done: impl FnMut() -> bool) {
     assert!(
         (0..200_000).any(|_| is_done()),
-        "the function never returned true"
+        "the condition was not met in 200,000 calls"
     );
 }
 
