--- a/crates/sender/src/egress/response.rs
+++ b/crates/sender/src/egress/response.rs
@@ -11,7 +11,7 @@
 /// The header with the time for which no request may be sent to the destination, in milliseconds; the equivalent of
 /// HTTP's Retry-After. Lower-case, as are all parsed header names.
 const BACKOFF_HEADER: &str = "x-backoff-ms";
-/// The longest backoff that is accepted from an endpoint, in milliseconds.
+/// The limit on the backoff that an endpoint asks for, in milliseconds. A longer one is reduced to it.
 const MAX_RETRY_AFTER_MS: f64 = 3.6e6;
 /// The header whose value "1" says that a proxy on the path had no capacity and did not forward the request to the
 /// endpoint.
--- a/crates/sender/src/peer_service/snapshot_writer.rs
+++ b/crates/sender/src/peer_service/snapshot_writer.rs
@@ -9,7 +9,7 @@
 use super::gossip::{ObservationCursor, OwnObservations};
 use crate::peer_snapshot::{PeerSnapshot, PeerSnapshotFile};
 
-/// How often a snapshot is saved.
+/// The time between the saves of two snapshots.
 const SAVE_INTERVAL: Millis = 10_000.0;
 /// The reporter name for observations by an earlier process of this sender.
 const EARLIER_PROCESS: &str = "before";
