--- a/crates/peers/src/partner_knowledge/digest.rs
+++ b/crates/peers/src/partner_knowledge/digest.rs
@@ -19,7 +19,7 @@
     /// The partner responds again.
     Recovering {
         /// The time since the recovery began.
-        since: f32,
+        elapsed: f32,
     },
 }
 
@@ -29,7 +29,7 @@
             Outage::Unresponsive => ReportedOutage::Unresponsive,
             Outage::Rejecting => ReportedOutage::Rejecting,
             Outage::Recovering { elapsed } => ReportedOutage::Recovering {
-                since: to_millis(elapsed),
+                elapsed: to_millis(elapsed),
             },
         }
     }
@@ -111,8 +111,8 @@
     }
 
     fn has_valid_durations_and_counts(&self) -> bool {
-        let recovering_since = match self.outage {
-            Some(ReportedOutage::Recovering { since }) => since,
+        let since_recovery = match self.outage {
+            Some(ReportedOutage::Recovering { elapsed }) => elapsed,
             _ => 0.0,
         };
         [
@@ -121,7 +121,7 @@
             self.pacing_interval,
             self.successes,
             self.rejections,
-            recovering_since,
+            since_recovery,
         ]
         .into_iter()
         .all(|value| value.is_finite() && value >= 0.0)
--- a/crates/peers/src/partner_knowledge/evidence.rs
+++ b/crates/peers/src/partner_knowledge/evidence.rs
@@ -87,8 +87,8 @@
         match digest.outage {
             Some(ReportedOutage::Unresponsive) => evidence.unresponsive_at = Some(observed_at),
             Some(ReportedOutage::Rejecting) => evidence.rejecting_at = Some(observed_at),
-            Some(ReportedOutage::Recovering { since }) => {
-                evidence.recovering_at = Some(now - f64::from(since));
+            Some(ReportedOutage::Recovering { elapsed }) => {
+                evidence.recovering_at = Some(now - f64::from(elapsed));
             }
             None => {}
         }
--- a/crates/peers/tests/gossip/generators.rs
+++ b/crates/peers/tests/gossip/generators.rs
@@ -33,7 +33,7 @@
         Just(Some(ReportedOutage::Unresponsive)),
         Just(Some(ReportedOutage::Rejecting)),
         (0u32..20).prop_map(|half_seconds| Some(ReportedOutage::Recovering {
-            since: half_seconds as f32 * 500.0
+            elapsed: half_seconds as f32 * 500.0
         })),
     ]
 }
--- a/crates/peers/tests/gossip/partner_knowledge.rs
+++ b/crates/peers/tests/gossip/partner_knowledge.rs
@@ -47,7 +47,7 @@
 fn digests_are_independent_of_the_clocks_of_reporter_and_receiver() {
     let priors_at = |clock: f64| {
         let (mut knowledge, bounds) = (PartnerKnowledge::default(), Bounds::default());
-        let outage = Some(ReportedOutage::Recovering { since: 2_000.0 });
+        let outage = Some(ReportedOutage::Recovering { elapsed: 2_000.0 });
         knowledge.add_digest(
             "reporter",
             &Digest {
@@ -222,7 +222,7 @@
             ..digest(1)
         },
         Digest {
-            outage: Some(ReportedOutage::Recovering { since: f32::NAN }),
+            outage: Some(ReportedOutage::Recovering { elapsed: f32::NAN }),
             ..digest(1)
         },
     ] {
--- a/crates/peers/tests/gossip/wire.rs
+++ b/crates/peers/tests/gossip/wire.rs
@@ -52,7 +52,7 @@
         endpoint: Some("e".repeat(128)),
         rate_limit: Some(1.0),
         latency,
-        outage: Some(ReportedOutage::Recovering { since: 1.0 }),
+        outage: Some(ReportedOutage::Recovering { elapsed: 1.0 }),
         ..digest(1)
     };
     let page = Page::Digests {
--- a/crates/sender/src/peer_snapshot.rs
+++ b/crates/sender/src/peer_snapshot.rs
@@ -97,8 +97,11 @@
         }
         for digest in &mut self.digests {
             digest.age += elapsed;
-            if let Some(ReportedOutage::Recovering { since }) = &mut digest.outage {
-                *since += elapsed;
+            if let Some(ReportedOutage::Recovering {
+                elapsed: since_recovery,
+            }) = &mut digest.outage
+            {
+                *since_recovery += elapsed;
             }
         }
     }
--- a/crates/sender/src/peer_snapshot/tests.rs
+++ b/crates/sender/src/peer_snapshot/tests.rs
@@ -5,7 +5,7 @@
 fn digest() -> Digest {
     Digest {
         age: 500.0,
-        outage: Some(ReportedOutage::Recovering { since: 2_000.0 }),
+        outage: Some(ReportedOutage::Recovering { elapsed: 2_000.0 }),
         ..Digest::new(7)
     }
 }
@@ -25,7 +25,7 @@
     );
     assert_eq!(
         snapshot.digests[0].outage,
-        Some(ReportedOutage::Recovering { since: 5_000.0 })
+        Some(ReportedOutage::Recovering { elapsed: 5_000.0 })
     );
     let snapshot = open(1e6 - 1.0).1;
     assert_eq!(
