--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -44,9 +44,9 @@
     /// The sender's zone is not among the zones.
     #[error("setting Zone names {0:?}, which Areas does not list")]
     UnknownZone(String),
-    /// The decision module cannot work with the settings.
+    /// The decision module's check of the settings failed.
     #[error("{0}")]
-    Unusable(#[source] SettingsError),
+    CheckFailed(#[source] SettingsError),
 }
 
 /// One JSON object of the settings.
@@ -227,7 +227,7 @@
     let sections = Sections::of(&json)?;
     let lists = NamedLists::read(&sections.root)?;
     let settings = read_settings(&sections, &lists)?;
-    settings.check().map_err(PlatformError::Unusable)?;
+    settings.check().map_err(PlatformError::CheckFailed)?;
     let polls_endpoint_list = sections.root.text_or("RegistryMode", "push")? == "ask";
     Ok(PlatformSettings {
         settings,
