--- a/crates/lab/tests/runs.rs
+++ b/crates/lab/tests/runs.rs
@@ -210,7 +210,7 @@
     "length_s: 5\nload { level: 1 }\nfailure {\n what: HANG\n size: 3 }",
     ":5: failure[0].size: HANG does not use it"
 )]
-#[case::no_length("load { level: 1 }", ":1: length_s: 0 is not within 1 and 86400")]
+#[case::no_length("load { level: 1 }", ":1: length_s: 0 is not between 1 and 86400")]
 #[case::no_such_partner(
     "length_s: 5\nload { level: 1 }\nfailure { what: HANG partner: 99 }",
     ":3: failure[0].partner: 99 is not under 12"
--- a/crates/martenlatch/tests/cli.rs
+++ b/crates/martenlatch/tests/cli.rs
@@ -39,7 +39,7 @@
 )]
 #[case::out_of_bounds(
     "clients {\n  request_ms: 9000\n}",
-    ":2: clients.request_ms: 9000 is not within 100 and 2900"
+    ":2: clients.request_ms: 9000 is not between 100 and 2900"
 )]
 #[case::incomplete("clients {\n  idle_ms: 600", ":2: clients.idle_ms: expected")]
 fn invalid_settings_are_rejected_with_one_line_that_names_file_line_and_field(
--- a/crates/settings/src/program/tests.rs
+++ b/crates/settings/src/program/tests.rs
@@ -26,7 +26,7 @@
     );
     assert_eq!(
         error_of(read_with("learn_ms: -1")),
-        "f:4: peers.learn_ms: -1 is not within 0 and 10000"
+        "f:4: peers.learn_ms: -1 is not between 0 and 10000"
     );
     let without_secret_file = error_of(read("f", "peers { listen: \"127.0.0.1:1\" }"));
     assert_eq!(
@@ -44,6 +44,6 @@
     let error = read("f", "clients { request_ms: nan }").unwrap_err();
     assert_eq!(
         error.to_string(),
-        "f:1: clients.request_ms: NaN is not within 100 and 2900"
+        "f:1: clients.request_ms: NaN is not between 100 and 2900"
     );
 }
--- a/crates/settings/src/text/mod.rs
+++ b/crates/settings/src/text/mod.rs
@@ -88,7 +88,7 @@
         if (min..=max).contains(&value) {
             return Ok(value);
         }
-        Err(self.field_error(field, format!("{value} is not within {min} and {max}")))
+        Err(self.field_error(field, format!("{value} is not between {min} and {max}")))
     }
 }
 
--- a/crates/settings/src/text/tests.rs
+++ b/crates/settings/src/text/tests.rs
@@ -54,7 +54,7 @@
         .unwrap_err();
     assert_eq!(
         error.to_string(),
-        "f:3: clients.request_ms: 5 is not within 100 and 2900"
+        "f:3: clients.request_ms: 5 is not between 100 and 2900"
     );
     assert_eq!(
         file.field_error("clients.idle_ms", "absent").line,
