--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -55,7 +55,7 @@
     }
 
     /// The clock of a process that takes over from one whose clock has reached `predecessor_now`. It never starts
-    /// before `predecessor_now`. If this clock is not continuous, it is used only while it is ahead of
+    /// before `predecessor_now`. If this clock is not continuous, its time is used only if it is ahead of
     /// `predecessor_now` by less than `MAX_REPLACEMENT_GAP`; otherwise the new clock starts at `predecessor_now`.
     pub fn taking_over(&self, predecessor_now: Millis) -> Clock {
         let reading = ClockReading::read();
--- a/crates/handover/tests/steps.rs
+++ b/crates/handover/tests/steps.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// Polls until there is a value: 20 000 times, 1 ms apart, at most.
+/// Polls until there is a value, at most 20 000 times and 1 ms apart.
 fn wait_for<T>(mut poll: impl FnMut() -> Option<T>) -> T {
     let delayed_poll = || {
         thread::sleep(std::time::Duration::from_millis(1));
@@ -169,7 +169,8 @@
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("takeover.sock");
     let listener = TakeoverListener::open(&path).unwrap();
-    // The socket's buffers cannot store half of a large state, so the transfer is still running.
+    // Half of a large state does not fit into the socket's buffers, so the transfer is still running when the successor
+    // ends.
     let size = if successor == FailingSuccessor::EndsDuringState {
         4 << 20
     } else {
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -254,8 +254,8 @@
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
-                // On some systems a read fails like this while the connection is being established, which is no
-                // failure.
+                // On some systems a read returns this error while the connection is being established. The
+                // connection has not failed.
                 Err(error) if error.kind() == ErrorKind::NotConnected && self.written == 0 => break,
                 Err(error) => {
                     socket_trace::record(&self.stream, SocketEvent::Failed(&error));
--- a/crates/http/src/error.rs
+++ b/crates/http/src/error.rs
@@ -2,5 +2,5 @@
 
 /// Input that is not a valid HTTP response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("malformed HTTP response")]
+#[error("the HTTP response is malformed")]
 pub struct MalformedResponse;
--- a/crates/wal/src/error.rs
+++ b/crates/wal/src/error.rs
@@ -30,7 +30,9 @@
         source: io::Error,
     },
     /// The log file's size differs from the one that the predecessor process passed on.
-    #[error("the log file has {found} bytes, but the predecessor process passed on {expected}")]
+    #[error(
+        "the log file has {found} bytes instead of the {expected} that the predecessor process passed on"
+    )]
     SizeChanged {
         /// The log file.
         path: PathBuf,
--- a/crates/wal/src/recently_closed.rs
+++ b/crates/wal/src/recently_closed.rs
@@ -17,7 +17,8 @@
 }
 
 impl RecentlyClosed {
-    /// The ids that a predecessor passed on. It passes no final statuses: these are taken from the log, `logged`.
+    /// The ids that a predecessor passed on. It does not pass on final statuses, so these are taken from `logged`, the
+    /// recently closed messages that were read from the log.
     pub(crate) fn from_predecessor(
         ids: VecDeque<Rc<str>>,
         logged: RecentlyClosed,
--- a/crates/wal/src/tests.rs
+++ b/crates/wal/src/tests.rs
@@ -156,7 +156,7 @@
 #[test]
 fn an_attempt_that_starts_after_a_compaction_counts_as_one_that_may_have_run() {
     // A compaction writes an attempt that has not started yet as one that never ran. If the attempt still counted as
-    // such after its start, it would be repeated and could take effect twice.
+    // never run after its start, it would be repeated and could take effect twice.
     let folder = empty_folder("starts-after-compaction");
     let (mut wal, _) = WriteAheadLog::open(&folder, 3_000_000);
     let attempts = vec![AttemptRecord {
--- a/crates/wal/src/write_ahead_log.rs
+++ b/crates/wal/src/write_ahead_log.rs
@@ -27,7 +27,7 @@
     pub(crate) open_message_sizes: OpenMessageSizes,
     /// The ids of recently closed messages.
     pub recently_closed: RecentlyClosed,
-    /// The rules of each class that the file contains last. Messages appended after them are recovered with these
+    /// For each class, the rules that the file contains last. A message that is appended next is recovered with these
     /// rules.
     pub(crate) class_rules: HashMap<Rc<str>, Rc<[u8]>>,
     /// The clock that the next compaction writes: this process's own, or otherwise the one recorded last.
