--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -41,7 +41,7 @@
         /// What its value should be.
         expected: &'static str,
     },
-    /// The sender's zone is not among the zones.
+    /// The sender's zone is not one of the listed zones.
     #[error("setting Zone names {0:?}, which Areas does not list")]
     UnknownZone(String),
     /// The decision module's check of the settings failed.
--- a/crates/settings/src/program.rs
+++ b/crates/settings/src/program.rs
@@ -86,7 +86,8 @@
     pub learn_ms: f64,
     /// The time in which knowledge from gossip loses half of its weight.
     pub half_life_ms: f64,
-    /// Maximum wait before the next request to a destination. Longer waits that gossip reports are shortened to it.
+    /// Maximum time for which gossip can delay the next request to a destination. A longer reported wait is shortened
+    /// to it.
     pub longest_wait_ms: f64,
     /// Whether this sender's own observations are saved in the state folder.
     pub keep: bool,
--- a/crates/settings/src/program/tests.rs
+++ b/crates/settings/src/program/tests.rs
@@ -4,10 +4,10 @@
 
 #[test]
 fn the_fields_of_configured_peers_have_defaults_and_are_checked() {
-    let read_with = |more: &str| {
+    let read_with = |fields: &str| {
         read(
             "f",
-            &format!("peers {{\n listen: \"127.0.0.1:7300\"\n secret_file: \"s\"\n {more}\n}}"),
+            &format!("peers {{\n listen: \"127.0.0.1:7300\"\n secret_file: \"s\"\n {fields}\n}}"),
         )
     };
     let peers = read_with("seed: \"127.0.0.1:7301\" learn_ms: 200")
