--- a/crates/peers/src/latency_sketch.rs
+++ b/crates/peers/src/latency_sketch.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 struct Bucket {
     index: u8,
-    /// The number of latencies. The addition saturates.
+    /// The number of latencies, which saturates at `u16::MAX`.
     count: u16,
 }
 
--- a/crates/peers/src/membership/failure_detector.rs
+++ b/crates/peers/src/membership/failure_detector.rs
@@ -13,7 +13,7 @@
 
 /// Maximum number of pings on behalf of other members that wait for their acks.
 const MAX_RELAYED_PINGS: usize = 64;
-/// Number of periods between two attempts to reconnect to a dead member and to a seed that is not a live member.
+/// Number of periods between two reconnection attempts, each to one dead member and one seed that is not a live member.
 const RECONNECT_INTERVAL: u64 = 3;
 /// Maximum number of lost members that are examined for one reconnection attempt.
 const RECONNECT_CANDIDATES: usize = 4;
--- a/crates/peers/src/partner_knowledge/mod.rs
+++ b/crates/peers/src/partner_knowledge/mod.rs
@@ -1,6 +1,6 @@
-//! Gossip about partners: a starting sender merges the digests of its peers, and weights them by their age into priors
-//! for the decision module. Merging is commutative, associative and idempotent. A sender's digests contain only its own
-//! observations, so gossip is never forwarded.
+//! Gossip about partners: a starting sender merges the digests of its peers, weights them by their age, and derives
+//! priors for the decision module from them. Merging is commutative, associative and idempotent. A sender's digests
+//! contain only its own observations, so gossip is never forwarded.
 
 mod digest;
 mod evidence;
@@ -133,9 +133,9 @@
         }
     }
 
-    /// Removes the evidence about one route from the store, and weights it into a prior for the decision module.
-    /// `endpoint` is the number of the route's endpoint on the endpoint list. Returns `None` if there is no evidence,
-    /// or if it is too old.
+    /// Removes the evidence about one route from the store, weights it by its age, and derives a prior for the decision
+    /// module from it. `endpoint` is the number of the route's endpoint on the endpoint list. Returns `None` if there
+    /// is no evidence, or if it is too old.
     pub fn take_prior(
         &mut self,
         route: &RouteKey,
@@ -152,8 +152,9 @@
         weighing.prior(route.destination, endpoint)
     }
 
-    /// Weights the evidence about all routes into priors for the decision module. `endpoint_number` maps a destination
-    /// and an endpoint's name to the endpoint's number on the endpoint list, or to `None` if the route is not listed.
+    /// Derives priors for the decision module from the evidence about all routes, weighted by its age.
+    /// `endpoint_number` maps a destination and an endpoint's name to the endpoint's number on the endpoint list, or to
+    /// `None` if the route is not listed.
     pub fn priors(
         &self,
         now: Millis,
--- a/crates/peers/src/simulated_network.rs
+++ b/crates/peers/src/simulated_network.rs
@@ -70,7 +70,7 @@
 pub struct SimulatedNetwork {
     /// The fraction of datagrams that are lost.
     pub loss: f64,
-    /// The number of datagrams sent so far, and of their bytes including headers.
+    /// The number of datagrams sent so far, and the number of their bytes, including headers.
     pub sent_totals: (u64, u64),
     /// The running members.
     nodes: BTreeMap<usize, Membership>,
@@ -254,7 +254,7 @@
         self.now = end;
     }
 
-    /// Simulates until `done` returns true, and returns that time, or `None` if `done` never does within
+    /// Simulates until `done` returns true, and returns the time at which it does. Returns `None` if it does not within
     /// `max_duration`.
     pub fn run_until(
         &mut self,
@@ -271,7 +271,7 @@
         None
     }
 
-    /// Simulates the next event, which is a tick or an arrival. Returns false if there is none until `end`.
+    /// Simulates the next event, which is a tick or an arrival. Returns false if none is due by `end`.
     fn step(&mut self, end: Millis) -> bool {
         let next_tick = self.ticks.first().copied();
         let next_tick = next_tick.unwrap_or((OrderedInstant::NEVER, 0));
--- a/crates/peers/src/wire.rs
+++ b/crates/peers/src/wire.rs
@@ -212,7 +212,7 @@
 }
 
 impl PageAssembler {
-    /// Assembles the response to the request with this id.
+    /// Expects the pages of the response to the request with this id.
     pub fn new(request_id: u64) -> PageAssembler {
         PageAssembler {
             request_id,
@@ -226,7 +226,8 @@
         self.complete
     }
 
-    /// Accepts the next page of this response and returns its digests, or returns `None` if `page` is not the next one.
+    /// Accepts the next page of this response and returns its digests, of which [`Page::End`] has none. Returns `None`
+    /// if `page` is not the next one.
     pub fn accept(&mut self, page: Page) -> Option<Vec<Digest>> {
         match page {
             Page::Digests {
--- a/crates/peers/tests/gossip/generators.rs
+++ b/crates/peers/tests/gossip/generators.rs
@@ -14,7 +14,7 @@
     }
 }
 
-/// Maps endpoint names to numbers as for an endpoint list with all destinations and no single endpoints.
+/// Plays an endpoint list that contains every route, none of them with an endpoint number.
 pub fn all_listed(_: u64, _: Option<&str>) -> Option<Option<EndpointId>> {
     Some(None)
 }
--- a/crates/peers/tests/model.rs
+++ b/crates/peers/tests/model.rs
@@ -10,7 +10,7 @@
 
 /// The duration of a step, in milliseconds.
 const STEP: f64 = 50.0;
-/// The property that some state has a suspect.
+/// The name of the property that some state has a suspect.
 const SOME_SUSPICION: &str = "some member is suspected";
 
 fn address(member: usize) -> SocketAddr {
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct NetworkState {
     nodes: Vec<Option<Node>>,
-    /// The receivers and datagrams that were sent and have not arrived yet.
+    /// The datagrams that were sent and have not arrived yet, with their receivers.
     in_transit: Vec<(usize, Datagram)>,
     step: u32,
     losses: u32,
@@ -325,7 +325,7 @@
     );
     let mut discoveries = checker.discoveries();
     let suspected = discoveries.remove(SOME_SUSPICION).is_some();
-    // All other properties are to hold always, so their discoveries are violations.
+    // All other properties must hold in every state, so a discovery for one of them is a violation.
     if let Some((name, path)) = discoveries.into_iter().next() {
         let last = path.last_state().clone();
         panic!(
