--- a/crates/martenlatch/src/cli.rs
+++ b/crates/martenlatch/src/cli.rs
@@ -45,7 +45,7 @@
 /// The commands.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Run the sender until it is told to shut down; this is the default command
+    /// Run the sender until it receives SIGTERM or SIGINT; this is the default command
     Serve,
     /// Validate the configuration and the settings without serving
     Check,
--- a/crates/martenlatch/src/logging.rs
+++ b/crates/martenlatch/src/logging.rs
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Decides about a line that is logged in the given second since the start.
+    /// Decides whether to write a line that is logged in the given second since the start.
     fn admit(&self, second: u64) -> Admission {
         let mut window = self.window.lock().unwrap_or_else(PoisonError::into_inner);
         let mut held_back_before = 0;
--- a/crates/martenlatch/tests/delivery.rs
+++ b/crates/martenlatch/tests/delivery.rs
@@ -161,7 +161,7 @@
         r#"{"id":"s1","status":"undeliverable"}"#,
         "the attempt may have run"
     );
-    // An endpoint that seemed to have lost the connection would get no requests for seconds.
+    // If the response counted as a lost connection, the endpoint would get no requests for seconds.
     assert_eq!(sender.submit("debit", "s2", "2.0"), 202);
     assert_eq!(endpoint.next_request().id(), "s2");
     let counters = sender.terminate_for_counters();
--- a/crates/martenlatch/tests/late_answers.rs
+++ b/crates/martenlatch/tests/late_answers.rs
@@ -11,19 +11,20 @@
 /// The timeout of each message, which its client sends.
 const TIMEOUT: Duration = Duration::from_millis(400);
 const TIMEOUT_HEADER: &str = "0.400";
-/// Messages whose answers are written at or after their deadline, each [`DELAY_STEP`] later than the one before.
+/// Number of messages. Their answers are written at or after their deadlines, each [`DELAY_STEP`] later than the one
+/// before.
 const MESSAGES: u32 = 10;
 const DELAY_STEP: Duration = Duration::from_micros(100);
-/// Pause between two messages, because the endpoint has seemed to hang to the sender.
+/// Pause after each message, because its late answer makes the endpoint seem to hang.
 const PAUSE: Duration = Duration::from_millis(300);
 
-/// No further report arrives after this time without one.
+/// If no report arrives within this time, no further one will.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// When the current message was submitted.
 type SubmissionTime = Arc<Mutex<Option<Instant>>>;
 
-/// Waits until a given delay after the deadline of the current message, and answers 200.
+/// Answers 200 at a given delay after the deadline of the current message.
 fn answer_after_the_deadline(submission: &SubmissionTime, delay: Duration) -> Reply {
     let submitted_at = submission.lock().unwrap().expect("a message was submitted");
     let answer_at = submitted_at + TIMEOUT + delay;
--- a/crates/martenlatch/tests/replacement_failures.rs
+++ b/crates/martenlatch/tests/replacement_failures.rs
@@ -93,7 +93,7 @@
     assert_eq!(
         platform.next_status_report(),
         r#"{"id":"out","status":"undeliverable"}"#,
-        "it may have run"
+        "the attempt may have run"
     );
     assert_eq!(sender.submit("debit", "next", "16.0"), 202);
     assert_eq!(endpoint.next_request().id(), "next");
@@ -123,7 +123,7 @@
     assert_eq!(
         platform.next_status_report(),
         r#"{"id":"out","status":"undeliverable"}"#,
-        "it may have run"
+        "the attempt may have run"
     );
     assert_eq!(sender.call_operator("uncordon s-1\n"), "ACK in\n");
     assert_eq!(endpoint.next_request().id(), "held");
--- a/crates/martenlatch/tests/support/endpoint.rs
+++ b/crates/martenlatch/tests/support/endpoint.rs
@@ -61,12 +61,12 @@
             .expect("no request arrived")
     }
 
-    /// Takes the requests that have arrived since the last look, without waiting.
+    /// Takes the requests that have arrived since the last call, without waiting.
     pub fn take_new_requests(&self) -> Vec<HttpMessage> {
         self.requests.try_iter().collect()
     }
 
-    /// Takes the same requests and returns their number.
+    /// Like [`Endpoint::take_new_requests`], but returns only the number of requests.
     pub fn count_new_requests(&self) -> usize {
         self.requests.try_iter().count()
     }
--- a/crates/martenlatch/tests/support/sender.rs
+++ b/crates/martenlatch/tests/support/sender.rs
@@ -27,7 +27,7 @@
     pub output: String,
 }
 
-/// A process that is to replace the one that serves.
+/// A process that was started to replace the serving one.
 pub struct Replacement {
     pub process: Child,
     /// The address on which operators connect.
@@ -233,7 +233,7 @@
         self.restart()
     }
 
-    /// Tells it to shut down, waits until it has, and starts it again.
+    /// Sends it SIGTERM, waits until it has exited, and starts it again.
     pub fn terminate_and_restart(mut self) -> Sender {
         self.signal("TERM");
         assert_eq!(self.process.wait().unwrap().code(), Some(0));
@@ -289,7 +289,7 @@
         value.unwrap().parse().unwrap()
     }
 
-    /// Tells it to shut down, and waits until it has.
+    /// Sends it SIGTERM and waits until it has exited.
     pub fn terminate(self) -> ProcessExit {
         self.signal("TERM");
         self.wait_for_exit()
@@ -304,7 +304,7 @@
         }
     }
 
-    /// Tells it to shut down, and returns the last log line with its counters.
+    /// Sends it SIGTERM, and returns the last log line with its counters.
     pub fn terminate_for_counters(self) -> String {
         let log = self.terminate().output;
         log.lines()
