--- a/crates/lab/tests/runs.rs
+++ b/crates/lab/tests/runs.rs
@@ -231,7 +231,7 @@
     "length_s: 5\nload { level: 1 }\nfailure {\n what: HANG\n size: 3 }",
     ":5: failure[0].size: HANG does not use this field"
 )]
-#[case::missing_length("load { level: 1 }", ":1: length_s: 0 is not within 1 and 86400")]
+#[case::missing_length("load { level: 1 }", ":1: length_s: 0 is not between 1 and 86400")]
 #[case::unknown_partner(
     "length_s: 5\nload { level: 1 }\nfailure { what: HANG partner: 99 }",
     ":3: failure[0].partner: 99 is not below the number of partners, 12"
--- a/crates/peers/tests/gossip/generators.rs
+++ b/crates/peers/tests/gossip/generators.rs
@@ -14,7 +14,7 @@
     }
 }
 
-/// Maps endpoint names to numbers as for an endpoint list with all destinations and no single endpoints.
+/// Plays an endpoint list that contains every route, none of them with an endpoint number.
 pub fn all_listed(_: u64, _: Option<&str>) -> Option<Option<EndpointId>> {
     Some(None)
 }
@@ -33,7 +33,7 @@
         Just(Some(ReportedOutage::Unresponsive)),
         Just(Some(ReportedOutage::Rejecting)),
         (0u32..20).prop_map(|half_seconds| Some(ReportedOutage::Recovering {
-            since: half_seconds as f32 * 500.0
+            elapsed: half_seconds as f32 * 500.0
         })),
     ]
 }
