--- a/crates/policy/src/policy/dispatch.rs
+++ b/crates/policy/src/policy/dispatch.rs
@@ -11,7 +11,8 @@
 /// A call that is in flight for longer than this many p95 latencies is overdue: it counts as a failure, and
 /// may be lost.
 const OVERDUE_P95_FACTOR: f64 = 4.0;
-/// Age up to which no call is overdue, so that a short pause of a fast partner makes none overdue.
+/// Age up to which no call is overdue, so that a short pause of a fast partner makes none overdue. Attempts
+/// have no shorter timeout either, unless less time is left.
 const MIN_OVERDUE_AGE: Nanos = 1200 * MILLISECOND;
 /// Weight of the value of a delivery now, relative to the value that is lost by waiting.
 const DELIVERY_VALUE_WEIGHT: f64 = 0.3;
--- a/crates/policy/src/policy/outcomes.rs
+++ b/crates/policy/src/policy/outcomes.rs
@@ -97,8 +97,8 @@
                 route.record_success(now, sent_at, &self.settings);
             }
             Outcome::Overloaded { retry_after } => {
-                // Rejections of calls sent before the latest increase of the interval cause no further
-                // increase: these calls were not retries that followed it.
+                // A call that was sent before the latest increase of the interval is no retry at the longer
+                // interval: its rejection does not increase the interval again.
                 if sent_at >= route.pacing_interval.last_increase() {
                     route.record_rejection(now, retry_success_rate, &self.settings);
                 }
--- a/crates/policy/src/policy/route.rs
+++ b/crates/policy/src/policy/route.rs
@@ -14,25 +14,27 @@
 const FAST_PACING_DECREASE: f64 = 0.5;
 /// Share of the slow-start budget that is used; the rest covers random variation and simultaneous calls.
 const BUDGET_UTILIZATION: f64 = 0.8;
-/// Longest backoff, as a multiple of the recovery duration. With a multiple of 1, a fleet of 200 senders
-/// returned from an outage too close together.
+/// Longest backoff before jitter, and longest interval of sends within the slow-start budget, as a multiple
+/// of the recovery duration. With a multiple of 1, a fleet of 200 senders returned from an outage too close
+/// together.
 const MAX_BACKOFF_RECOVERIES: Nanos = 2;
 /// Consecutive failures that open the circuit breaker.
 pub(super) const BREAKER_FAILURES: u32 = 4;
-/// Failures among the last eight outcomes from which on sends keep to the slow-start budget.
+/// Number of failures among the last eight outcomes at which sends start to keep to the slow-start budget.
 pub(super) const SLOW_START_FAILURES: u32 = 5;
 /// Number of consecutive rejections that mean an outage if they last for [`OUTAGE_REJECTION_WINDOWS`]: a
 /// partner that is only busy accepts some calls.
 pub(super) const OUTAGE_REJECTIONS: u32 = 5;
 /// Number of overload windows that consecutive rejections have to last to mean an outage.
 pub(super) const OUTAGE_REJECTION_WINDOWS: Nanos = 2;
-/// Suspicion from which on a sender backs off to its share of a cold route's capacity. A single call
-/// that fails or times out does not reach it, as it is no outage.
+/// Suspicion (total weight of the faults since the latest success) at which a sender backs off, so that it
+/// keeps to its share of a cold route's capacity. A single call that fails or times out does not reach it, as
+/// it is no outage.
 pub(super) const SUSPICION_THRESHOLD: f64 = 2.0;
-/// Delay of the first probe of a route whose circuit breaker is open. One probe is sent at a time, and each
-/// one that fails doubles the delay.
+/// Delay, before jitter, of the first probe of a route whose circuit breaker is open. One probe is sent at a
+/// time, and each one that fails doubles the delay.
 pub(super) const FIRST_PROBE_DELAY: Nanos = 500 * MILLISECOND;
-/// Longest delay between two probes of a route whose circuit breaker is open.
+/// Longest delay, before jitter, between two probes of a route whose circuit breaker is open.
 pub(super) const MAX_PROBE_DELAY: Nanos = 2000 * MILLISECOND;
 
 /// State of a route: one endpoint or a whole destination, see [`DestinationKind`].
@@ -63,8 +65,8 @@
     pub(super) consecutive_rejections: u32,
     /// Instant of the first of the consecutive rejections.
     pub(super) rejecting_since: Nanos,
-    /// When the successful call that was sent last was sent. Calls sent before it that are still in flight
-    /// may be lost.
+    /// Latest send time among the successful calls. Calls that were sent earlier and are still in flight may
+    /// be lost.
     pub(super) latest_success_sent_at: Nanos,
     /// For observations only.
     pub(super) call_counts: CallCounts,
@@ -141,7 +143,7 @@
     }
 
     /// Slow-start budget: number of calls that this sender may send in an overload window. With many senders,
-    /// it is far below 1.
+    /// it may be far below 1.
     pub(super) fn slow_start_budget(&self, now: Nanos, settings: &Settings) -> f64 {
         let recovering_since = self.recovering_since.filter(|_| !self.is_down());
         let elapsed = recovering_since.map_or(0, |since| now.saturating_sub(since));
@@ -164,7 +166,7 @@
     }
 
     /// Interval of this sender's calls at its fair share of the rate limit. If the limit is unknown, the
-    /// interval grows with the number of senders.
+    /// interval grows with the number of senders, up to the longest pacing interval.
     pub(super) fn fair_interval(&self, settings: &Settings) -> Nanos {
         let default = (PACING_STEP * Nanos::from(settings.senders)).min(MAX_PACING_INTERVAL);
         self.rate_limit.map_or(default, |limit| {
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -456,7 +456,7 @@
 
 #[test]
 fn each_file_of_the_module_has_at_most_300_lines_of_at_most_110_columns() {
-    // A file that is missing here would not be counted.
+    // A file that is missing from the list would not be checked.
     let submodules =
         std::fs::read_dir(format!("{}/src/policy", env!("CARGO_MANIFEST_DIR"))).unwrap();
     assert_eq!(
--- a/crates/policy/tests/many.rs
+++ b/crates/policy/tests/many.rs
@@ -294,7 +294,7 @@
 ) {
     // Guards a partner whose rate limit counts rejected calls: one call a second from each sender of a fleet
     // keeps it rejecting all, though each sender has observed only one or two rejections. A rejected call
-    // uses up one share, so a backoff of two shares gave up one too many.
+    // uses up one share of the rate limit, so that a backoff for two shares gave up one share too many.
     let mut backoffs = vec![];
     for seed in 0..20 {
         let set = Settings {
--- a/crates/policy/tests/sparse.rs
+++ b/crates/policy/tests/sparse.rs
@@ -98,7 +98,7 @@
     assert_eq!(
         sends(&sender.advance(600 * MS)).len(),
         1,
-        "one hedge, though two of three in-flight calls are then taken"
+        "one hedge, though two of the three in-flight slots are then in use"
     );
 }
 
