--- a/crates/lab/src/soak/client.rs
+++ b/crates/lab/src/soak/client.rs
@@ -33,10 +33,11 @@
 /// Pause after a failed connection, and after a crowd.
 const CONNECT_PAUSE: Duration = Duration::from_millis(40);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Number of misbehaviours after which a misbehaving client loses an answer.
+/// A misbehaving client also loses an answer once in this many misbehaviours.
 const LOST_ANSWER_PERIOD: usize = 3;
-/// Timeout of a message whose answer is lost, and when it is submitted again: after its deadline.
+/// Timeout of a message whose answer is lost, from submission to deadline.
 const LOST_ANSWER_TIMEOUT: Millis = 700.0;
+/// Time from the loss of the answer to the second submission, which comes after the deadline.
 const LOST_ANSWER_RETRY_DELAY: Millis = 1_000.0;
 /// Number of connections of a crowd.
 const CROWD_SIZE: usize = 120;
--- a/crates/lab/src/soak/mod.rs
+++ b/crates/lab/src/soak/mod.rs
@@ -67,7 +67,7 @@
     /// Extends every time limit, in milliseconds, for a machine that does other work too. The lateness of the
     /// laboratory itself is always added.
     pub slack: Millis,
-    /// Never steps the senders' wall clocks; all other faults of the seed stay.
+    /// Whether to leave out the steps of the senders' wall clocks; all other faults of the seed stay.
     pub keep_wall_clock: bool,
 }
 
--- a/crates/lab/src/soak/oracle.rs
+++ b/crates/lab/src/soak/oracle.rs
@@ -23,7 +23,7 @@
 const RESTART_GRACE: Millis = 1_500.0;
 /// Reports that the platform did not confirm must be repeated within this time.
 const REPORT_GRACE: Millis = 1_500.0;
-/// Requests to an endpoint must stop this long after the sender was notified that it drains. Includes [`USUAL_DELAY`].
+/// Requests to a draining endpoint must stop within this time after the sender was notified. Includes [`USUAL_DELAY`].
 const DRAIN_GRACE: Millis = 1_050.0;
 /// Requests within this time after an answer with a retry-after are permitted.
 const RETRY_AFTER_GRACE: Millis = 100.0;
--- a/crates/lab/src/soak/oracle/tests.rs
+++ b/crates/lab/src/soak/oracle/tests.rs
@@ -15,6 +15,7 @@
     }
 }
 
+/// A message that is submitted, and accepted 1 ms later. Its deadline is 4 s after the submission.
 fn submitted(at: Millis, id: &str) -> [Record; 2] {
     let effect = crate::soak::world::Message::from_id(id).map_or(Effect::Idempotent, |m| m.effect);
     let timeout = 4_000.0;
--- a/crates/lab/src/soak/processes/list_changes.rs
+++ b/crates/lab/src/soak/processes/list_changes.rs
@@ -6,7 +6,7 @@
 use super::super::schedule::FaultKind;
 use super::{ProcessState, Processes};
 
-/// A sender may receive a change this much later, so a fault that is active by then also excuses it.
+/// A sender may receive a change up to this much later, so it does not count as notified if a fault is active by then.
 const UPDATE_MARGIN: Millis = 1_000.0;
 /// After discovery has moved, changes at its new address count as received only after this time.
 const MOVE_GRACE: Millis = 4_000.0;
--- a/crates/lab/src/soak/schedule.rs
+++ b/crates/lab/src/soak/schedule.rs
@@ -163,7 +163,7 @@
     pub duration: Millis,
 }
 
-/// No action is scheduled this long before the end, so that all messages can end.
+/// Time before the end of the soak in which no action is scheduled, so that all messages can end.
 const QUIET_END: Millis = 1_500.0;
 /// How long a fault lasts.
 const FAULT_DURATION: std::ops::Range<Millis> = 400.0..2_500.0;
