--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,8 +1,8 @@
 //! Decisions of an outbound HTTP gateway: dispatch, hedged requests, retries, pacing, backoff, circuit
 //! breaking, slow start after an outage, in-flight limits and load shedding.
 //!
-//! If an idempotent message has no response after its destination's p95 latency, one hedged request is sent,
-//! preferably to another endpoint, and the first success counts.
+//! If an idempotent message, or one with an idempotency key, has no response after its destination's p95
+//! latency, one hedged request is sent, preferably to another endpoint, and the first success counts.
 //!
 //! The crate has no clock, network or threads. A sender calls [`Policy::turn`] with the events since the last
 //! turn, in the order in which they happened, and carries out the returned actions in their order.
--- a/crates/policy/src/policy/dispatch.rs
+++ b/crates/policy/src/policy/dispatch.rs
@@ -256,7 +256,7 @@
     }
 
     /// The p95 latency of a route. With few samples, it is the route's typical latency times the ratio of the
-    /// p95 to the median of all routes.
+    /// p95 to the median of all routes. If these have few samples as well, it is three typical latencies.
     pub(super) fn p95_latency(&self, route: RouteKey) -> Nanos {
         let (own, pooled) = (&self.routes[&route].latencies, &self.pooled_latencies);
         let typical = || self.typical_latency(route);
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -185,13 +185,13 @@
 pub fn is_rejected(actions: &[Action], id: MessageId) -> bool {
     actions
         .iter()
-        .any(|a| matches!(a, Action::Reject { id: i, .. } if *i == id))
+        .any(|a| matches!(a, Action::Reject { id: rejected, .. } if *rejected == id))
 }
 
 pub fn is_failed(actions: &[Action], id: MessageId) -> bool {
     actions
         .iter()
-        .any(|a| matches!(a, Action::Fail { id: i } if *i == id))
+        .any(|a| matches!(a, Action::Fail { id: failed } if *failed == id))
 }
 
 pub const IDEMPOTENT: Idempotency = Idempotency::Idempotent;
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -288,8 +288,8 @@
                 Action::Cancel { id, attempt } => {
                     in_flight
                         .iter_mut()
-                        .filter(|o| (o.1, o.2) == (id, attempt))
-                        .for_each(|o| (o.0, o.3) = (0, false));
+                        .filter(|(_, message, number, _)| (*message, *number) == (id, attempt))
+                        .for_each(|(end, _, _, healthy)| (*end, *healthy) = (0, false));
                 }
                 Action::Reject { id, .. } | Action::Fail { id } => drop(open.remove(&id)),
                 _ => {}
--- a/crates/policy/tests/many.rs
+++ b/crates/policy/tests/many.rs
@@ -65,7 +65,7 @@
                 key: None,
             }));
             let (ended, remaining): (Vec<_>, Vec<_>) =
-                sender.in_flight.iter().partition(|d| d.0 <= now);
+                sender.in_flight.iter().partition(|(end, ..)| *end <= now);
             sender.in_flight = remaining;
             for (_, id, attempt, outcome) in ended {
                 sender.observed_outage |= outcome != Outcome::Success;
@@ -107,15 +107,18 @@
     for busy in [SENDERS, SENDERS / 10] {
         let calls = calls_after_return(busy);
         assert!(
-            calls.iter().any(|c| c.1),
+            calls.iter().any(|(_, observed_outage)| *observed_outage),
             "senders that observed the outage call again"
         );
         for from in (0..100).map(|tenth| tenth as f64 / 10.0) {
             let within: Vec<_> = calls
                 .iter()
-                .filter(|c| (from..from + 2.0).contains(&c.0))
+                .filter(|(seconds, _)| (from..from + 2.0).contains(seconds))
                 .collect();
-            let observers = within.iter().filter(|c| c.1).count();
+            let observers = within
+                .iter()
+                .filter(|(_, observed_outage)| *observed_outage)
+                .count();
             // An overload is more than factor x present capacity x window, of which two thirds or more come
             // from senders that observed the outage.
             let allowed = 2.0 * (0.2 + 0.8 * from / 10.0) * RATE_LIMIT * 2.0;
