--- a/crates/lab/src/model/partner.rs
+++ b/crates/lab/src/model/partner.rs
@@ -15,9 +15,9 @@
 use crate::model::site::PartnerProfile;
 use crate::sampling::{Stream, bernoulli, gamma_factor, rng_for, uniform};
 
-/// A partner that is warming up collapses when its load exceeds its current capacity by this factor ...
+/// A partner that is warming up collapses when its load exceeds this many times its current capacity ...
 pub const COLLAPSE_FACTOR: f64 = 2.0;
-/// ... sustained over this many milliseconds.
+/// ... over this many milliseconds.
 pub const COLLAPSE_WINDOW: Millis = 3_000.0;
 
 /// Coefficient of variation of a call's service time around the work of its message.
--- a/crates/lab/src/model/site.rs
+++ b/crates/lab/src/model/site.rs
@@ -151,8 +151,8 @@
         profile
     }
 
-    /// Draws the number of endpoints of a partner. Busier partners have more: the upper half of the ranking gets those
-    /// above the mean.
+    /// Draws the number of endpoints of a partner. Busier partners have more: the upper half of the ranking by traffic
+    /// gets more than the mean on average, the lower half fewer.
     fn draw_endpoint_count(&self, number: usize, rng: &mut Pcg64Mcg) -> u32 {
         let rank_position = 1.0 - self.ranks[number] as f64 / self.traffic.len() as f64;
         let additional = 2.0 * (self.world.mean_endpoints - 1.0) * rank_position;
--- a/crates/lab/src/sampling.rs
+++ b/crates/lab/src/sampling.rs
@@ -13,13 +13,13 @@
     World = 1,
     /// The times of the messages, their partners and their classes.
     Load = 2,
-    /// The work of a message.
+    /// The mean work of a class, and the work of a message.
     Work = 3,
-    /// The treatment of a single call: its service time, its answer and connection resets.
+    /// The treatment of a single call: its service time, its reply and connection resets.
     Call = 4,
     /// The network latency of a call or of its reply.
     Latency = 5,
-    /// The choices of clients: the sender of a message, and the backoff before a retry.
+    /// The clients: the choice of a sender, the latency to it, and the backoff before a retry.
     Client = 6,
     /// The delays of changes to the endpoint list.
     EndpointList = 7,
--- a/crates/lab/src/sim/calls.rs
+++ b/crates/lab/src/sim/calls.rs
@@ -118,7 +118,7 @@
             .idle_since
             .is_some_and(|since| self.now - since >= faults.idle_close_after);
         if faults.partitioned {
-            // On an open connection, nothing is scheduled: the call times out.
+            // On an open connection no loss is scheduled, so the call ends by its timeout.
             if is_new {
                 let at = self.now + CONNECT_TIMEOUT;
                 self.schedule_loss(at, call, Silence::NeverSent, Outcome::Unreachable);
--- a/crates/lab/src/sim/event.rs
+++ b/crates/lab/src/sim/event.rs
@@ -59,7 +59,7 @@
     StartSender { sender: u32 },
     /// The knowledge of the running senders is collected for a sender that joins later.
     CollectGossip { sender: u32 },
-    /// A message is still held too long after its deadline, and is ended in any case.
+    /// At least `OVERDUE_AFTER` has passed since a message's deadline: the sender ends the message if it is still open.
     MessageOverdue { sender: u32, id: u64 },
     /// The number of held messages is sampled.
     Sample,
--- a/crates/lab/src/sim/lifecycle.rs
+++ b/crates/lab/src/sim/lifecycle.rs
@@ -54,7 +54,7 @@
     fn gossip_events(&mut self, sender: u32) -> Vec<Event> {
         let known = match self.senders[sender as usize].collected_gossip.take() {
             Some(collected) => collected,
-            None if self.learns && self.now > 0.0 => self.gossip_for(sender),
+            None if self.receives_gossip && self.now > 0.0 => self.gossip_for(sender),
             None => PartnerKnowledge::default(),
         };
         let endpoint_number = |_, name: Option<&str>| match name {
@@ -125,8 +125,8 @@
         self.schedule(at, SimEvent::StatusReport(report));
     }
 
-    /// Ends a message that the decision module should have ended, as the sender does. A sender that is down or has
-    /// started less than `OVERDUE_AFTER` ago gets that time again.
+    /// Ends a message that the decision module should have ended, as the real sender does. If the sender is down or has
+    /// started less than `OVERDUE_AFTER` ago, checks the message again after that time.
     pub(super) fn message_overdue(&mut self, sender: u32, id: u64) {
         let state = &self.senders[sender as usize];
         if state.held.get(&id).is_none_or(|message| !message.open) {
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -1,9 +1,9 @@
 //! Runs in simulated time: the decision module of each sender against the model of the partners, without sockets and
 //! without waiting.
 //!
-//! The simulation carries out the decision module's actions as the sender does (attempts, records, restarts) and makes
-//! no decisions itself. It passes every event to the judge and to the metrics in the order of time. Equal seeds give
-//! equal events.
+//! The simulation carries out the decision module's actions as the real sender does (attempts, records, restarts) and
+//! makes no decisions itself. It passes every event to the judge and to the metrics in the order of time. Equal seeds
+//! give equal events.
 
 mod calls;
 mod clients;
--- a/crates/lab/src/sim/simulation.rs
+++ b/crates/lab/src/sim/simulation.rs
@@ -48,7 +48,7 @@
     sink: Option<EventSink<'a>>,
     pub turns: TurnTimes,
     /// Whether a sender that starts receives the gossip of the running senders.
-    pub learns: bool,
+    pub receives_gossip: bool,
     /// The age of that gossip.
     gossip_age: Millis,
 }
@@ -85,7 +85,7 @@
             environment,
             settings,
             sink,
-            learns: variant.receives_gossip,
+            receives_gossip: variant.receives_gossip,
             gossip_age: variant.gossip_age,
         })
     }
@@ -161,7 +161,7 @@
         }
         match self.experiment.join_time(sender) {
             None => self.start_sender(sender),
-            Some(at) if self.learns && self.gossip_age > 0.0 => {
+            Some(at) if self.receives_gossip && self.gossip_age > 0.0 => {
                 let at = (at - self.gossip_age).max(0.0);
                 self.schedule(at, SimEvent::CollectGossip { sender });
             }
