--- a/crates/lab/src/sockets/event_loop.rs
+++ b/crates/lab/src/sockets/event_loop.rs
@@ -59,7 +59,8 @@
         Duration::from_secs_f64(wait.clamp(0.0, MAX_POLL_INTERVAL) / 1e3)
     }
 
-    /// Whether no message or call is open and all senders are up, so that the run can end early.
+    /// Whether the run can end early: `SETTLE_TIME` has passed after the experiment's length, no message or call is
+    /// open, and all senders are up.
     pub fn is_settled(&self) -> bool {
         self.now() > self.experiment.length + SETTLE_TIME
             && self.open_messages == 0
--- a/crates/lab/src/sockets/faults.rs
+++ b/crates/lab/src/sockets/faults.rs
@@ -71,7 +71,7 @@
         self.expect_end(sender, restart_after);
         let incarnation = self.senders[sender as usize].incarnation;
         self.signal(sender, Signal::SIGTERM);
-        // Clients keep coming for a moment, as load balancers notice late.
+        // Clients still choose this sender until its process has ended, because load balancers notice a shutdown late.
         let kill = Event::KillSender {
             sender,
             incarnation,
--- a/crates/lab/src/sockets/lab_socket.rs
+++ b/crates/lab/src/sockets/lab_socket.rs
@@ -88,7 +88,7 @@
     pub connection: Connection,
     /// Whether the connection is a watch, which carries the endpoint list and its changes.
     pub is_watch: bool,
-    /// Text that the connection has not taken yet.
+    /// Text that is not yet queued on the connection.
     pub unwritten: VecDeque<u8>,
 }
 
@@ -109,7 +109,8 @@
         self.flush();
     }
 
-    /// Moves unwritten text into the connection as far as it has room. A complete list may be larger than its buffer.
+    /// Queues unwritten text on the connection while there is room. A complete endpoint list may be larger than the
+    /// connection's buffer.
     pub fn flush(&mut self) {
         while self.connection.flush() && !self.unwritten.is_empty() {
             let count = self.unwritten.len().min(WRITE_CHUNK);
--- a/crates/lab/src/sockets/mod.rs
+++ b/crates/lab/src/sockets/mod.rs
@@ -33,7 +33,8 @@
 
 type Connection = martenlatch_http::Connection<usize>;
 
-/// If the laboratory itself handled an event later than this, in milliseconds, the run says nothing about the sender.
+/// Maximum delay, in milliseconds, with which the laboratory may handle an event after its due time. A run with a longer
+/// delay says nothing about the sender.
 pub const MAX_LATENESS: Millis = 150.0;
 
 /// How long a run may continue after the deadline of the last message.
@@ -66,7 +67,7 @@
 /// Runs one variant with one seed on sockets. Once `stop` is set, the run ends at once without a result.
 ///
 /// # Errors
-/// If a sender does not start or ends by itself, a port is taken, or the run was stopped.
+/// If a sender does not start or ends unexpectedly, no port is free, or the run was stopped.
 pub fn play(
     experiment: &Experiment,
     variant: &Variant,
--- a/crates/lab/src/sockets/partners.rs
+++ b/crates/lab/src/sockets/partners.rs
@@ -54,7 +54,7 @@
         self.environment.faults_at(partner, self.now()).partitioned
     }
 
-    /// Registers an accepted connection and returns its key; `None` if the system does not allow that.
+    /// Registers an accepted connection with the event loop and returns its key; `None` if that fails.
     pub fn insert_connection(
         &mut self,
         stream: std::net::TcpStream,
--- a/crates/lab/src/sockets/resource_usage.rs
+++ b/crates/lab/src/sockets/resource_usage.rs
@@ -1,6 +1,6 @@
 //! Processor time and memory of a process, read from `/proc`.
 
-/// Indices of fields of `/proc/PID/stat`, counted after the bracket that ends the process's name.
+/// Indices of fields of `/proc/PID/stat`, from zero after the parenthesis that closes the process's name.
 const USER_TIME_FIELD: usize = 11;
 const SYSTEM_TIME_FIELD: usize = 12;
 const RESIDENT_PAGES_FIELD: usize = 21;
@@ -21,7 +21,7 @@
     /// The resource usage of a process; `None` if the process does not exist.
     pub fn of_process(process: u32) -> Option<ResourceUsage> {
         let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).ok()?;
-        // The name may contain brackets and spaces; the fields after its closing bracket do not.
+        // The name may contain parentheses and spaces, so the fields are counted after the last closing parenthesis.
         let (_, after_name) = stat.rsplit_once(')')?;
         let fields: Vec<&str> = after_name.split_whitespace().collect();
         let user: f64 = fields.get(USER_TIME_FIELD)?.parse().ok()?;
--- a/crates/lab/src/sockets/sender_process.rs
+++ b/crates/lab/src/sockets/sender_process.rs
@@ -72,7 +72,8 @@
     latest_usage: ResourceUsage,
 }
 
-/// A free address, on a loopback host that depends on the laboratory's process id and the sender's number.
+/// A free address for a sender. Its loopback host depends on the laboratory's process id and the sender's number, so
+/// that each sender has its own.
 fn free_address(sender: u32, mut ports: std::ops::Range<u16>) -> Result<SocketAddr, LabError> {
     let process = std::process::id();
     let host = Ipv4Addr::new(
@@ -175,7 +176,7 @@
         self.child.as_ref().map(Child::id)
     }
 
-    /// The files for the process's standard output, its log, and its standard error.
+    /// The files for the process's standard output, which is its log, and for its standard error.
     pub fn log_files(&self) -> [PathBuf; 2] {
         ["log", "errors"].map(|name| self.folder.path().join(name))
     }
--- a/crates/lab/src/sockets/testbed.rs
+++ b/crates/lab/src/sockets/testbed.rs
@@ -69,8 +69,8 @@
     pub up: bool,
     /// Number of the sender's processes that have ended.
     pub incarnation: u32,
-    /// Set when the run shuts the sender down or kills it, so that its end does not count as a crash: the time from the
-    /// end to the restart.
+    /// Time from the end of the process to its restart. Set when the run shuts the sender down or kills it, so that the
+    /// end does not count as a crash.
     pub restart_after: Option<Millis>,
     /// The endpoint list as it was last sent to the sender.
     pub listed_endpoints: BTreeMap<u32, ListedState>,
