--- a/crates/lab/src/experiment/failure_reader.rs
+++ b/crates/lab/src/experiment/failure_reader.rs
@@ -76,7 +76,7 @@
 /// Reads the failures of an experiment. They begin within `length_s`, the length of its runs in seconds.
 ///
 /// # Errors
-/// The first error.
+/// The first field that is missing, out of bounds or not used by its kind of failure.
 pub(super) fn read_failures(
     file: &ExperimentFile,
     world: &World,
--- a/crates/lab/src/experiment/mod.rs
+++ b/crates/lab/src/experiment/mod.rs
@@ -122,7 +122,7 @@
     pub work_variation: f64,
     /// Whether a message may be repeated.
     pub effect: Effect,
-    /// How long partners remember an idempotency key, for class `KEYED`.
+    /// How long partners remember an idempotency key, for the effect `KEYED`.
     pub idempotency_window: Millis,
     /// The latency objective.
     pub latency_objective: Millis,
@@ -181,8 +181,8 @@
     pub repeat_interval: Millis,
     /// The affected partners, as ranks by traffic from 0.
     pub partner_ranks: Vec<u32>,
-    /// If given, the busiest partners are affected that together have up to this share of the traffic, and at least
-    /// one.
+    /// If given, the busiest partners are affected in addition to `partner_ranks`: those that together have up to this
+    /// share of the traffic, and at least one.
     pub traffic_share: Option<f64>,
     /// The affected sender.
     pub sender: u32,
--- a/crates/lab/src/experiment/section.rs
+++ b/crates/lab/src/experiment/section.rs
@@ -32,7 +32,7 @@
         format!("{}.{field}", self.path)
     }
 
-    /// An error of a field.
+    /// An error that names a field by its path from the top level.
     pub fn field_error(&self, field: &str, reason: impl Into<String>) -> FieldError {
         self.file.field_error(&self.path_of(field), reason)
     }
