--- a/crates/lab/tests/hostile.rs
+++ b/crates/lab/tests/hostile.rs
@@ -69,7 +69,7 @@
         },
         _ => {}
     };
-    let played = sim::run(
+    let run = sim::run(
         &experiment,
         &experiment.variants[0],
         seed,
@@ -77,9 +77,9 @@
     )
     .unwrap();
     assert!(
-        played.verdict.clean(),
+        run.verdict.clean(),
         "seed {seed}: {:?}",
-        played.verdict.breaches
+        run.verdict.breaches
     );
     let messages = latencies.len() as f64;
     let served: Vec<f64> = latencies.into_values().flatten().collect();
--- a/crates/lab/tests/runs.rs
+++ b/crates/lab/tests/runs.rs
@@ -27,12 +27,12 @@
 #[case("rough")]
 fn the_shipped_experiments_keep_every_rule(#[case] name: &str) {
     let experiment = shipped_experiment(name);
-    let played = sim::run(&experiment, &experiment.variants[0], experiment.seed, None).unwrap();
-    assert!(played.verdict.clean(), "{:#?}", played.verdict);
+    let run = sim::run(&experiment, &experiment.variants[0], experiment.seed, None).unwrap();
+    assert!(run.verdict.clean(), "{:#?}", run.verdict);
     assert!(
-        played.figures.messages > 1_000 && played.figures.share > 0.5,
+        run.figures.messages > 1_000 && run.figures.share > 0.5,
         "{:?}",
-        played.figures.share
+        run.figures.share
     );
 }
 
@@ -43,21 +43,21 @@
         let mut events = String::new();
         let sink =
             |event: &martenlatch_lab::event_log::LoggedEvent| events += &format!("{event:?}\n");
-        let played = sim::run(
+        let run = sim::run(
             &experiment,
             &experiment.variants[0],
             seed,
             Some(Box::new(sink)),
         )
         .unwrap();
-        (events, serde_json::to_string(&played.figures).unwrap())
+        (events, serde_json::to_string(&run.figures).unwrap())
     };
     let (first, again, other) = (
         events_and_figures(5),
         events_and_figures(5),
         events_and_figures(6),
     );
-    assert!(first == again, "seed 5 differs from itself");
+    assert!(first == again, "two runs with seed 5 differ");
     assert!(first.0 != other.0);
 }
 
--- a/crates/lab/tests/sockets.rs
+++ b/crates/lab/tests/sockets.rs
@@ -1,5 +1,5 @@
-//! Runs on sockets, with the real sender as a child process: the result of a short run with many faults, and the cleanup
-//! of processes and folders after errors. No check depends on timing; timeouts only end a test that hangs.
+//! Runs on sockets, with the real sender as a child process: the result of a short run with many faults, and the
+//! cleanup of processes and folders after errors. No check depends on timing; timeouts only end a test that hangs.
 
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
