--- a/crates/lab/src/sockets/calls.rs
+++ b/crates/lab/src/sockets/calls.rs
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Schedules the partner's next step for when its next call completes.
+    /// Schedules the completion of a partner's next call, if it is earlier than the completion already scheduled.
     fn schedule_next_completion(&mut self, partner: u32) {
         if let Some(at) = self.environment.earlier_completion(partner) {
             self.events.push(at, Event::AdvancePartner { partner });
--- a/crates/lab/src/turn_cost.rs
+++ b/crates/lab/src/turn_cost.rs
@@ -16,6 +16,7 @@
 
 /// Nanoseconds in a millisecond.
 const MILLISECOND: u64 = 1_000_000;
+/// The time of the module's clock at the start, in nanoseconds.
 const CLOCK_ORIGIN: u64 = 1_000_000 * MILLISECOND;
 const TURN_INTERVAL: u64 = 5 * MILLISECOND;
 const DEADLINE: u64 = 16_000 * MILLISECOND;
