--- a/crates/lab/src/commands/judge.rs
+++ b/crates/lab/src/commands/judge.rs
@@ -43,7 +43,7 @@
             return Err(miette!("{place}: at: {at} is before the fact above it"));
         }
         last = fact.at;
-        judge.hear(&fact);
+        judge.observe(&fact);
     }
     Ok(last)
 }
--- a/crates/lab/src/commands/run.rs
+++ b/crates/lab/src/commands/run.rs
@@ -104,7 +104,7 @@
     let cpu = usage_lines(used, |now, before| (now.cpu_ms - before.cpu_ms) / 10.0);
     let plot =
         |title: &str, lines: &[Line]| report::plot(title, Axes::linear("seconds"), lines, &[]);
-    String::from("<h2>What the senders used on this machine</h2>")
+    String::from("<h2>EventKind the senders used on this machine</h2>")
         + &plot("Memory of all senders, MiB", &memory)
         + &plot("Processor of all senders, percent of a core", &cpu)
 }
--- a/crates/lab/src/event_log.rs
+++ b/crates/lab/src/event_log.rs
@@ -1,66 +1,71 @@
-//! The event log of a run: what crossed between clients, senders, partners and the platform, in the order of time. An
-//! event says what happened; whether a rule was kept is for the judge to say. Their JSON is stored.
+//! The event log of a run: the traffic between clients, senders, partners and the platform in chronological order. An
+//! event states only what happened; the judge decides whether a rule was kept. Events are stored as JSON, and the
+//! `rename` attributes keep the stored names.
 
 use martenlatch_clock::Millis;
 use serde::{Deserialize, Serialize};
 
 use crate::model::partner::Reply;
 
-/// Something that happened.
+/// An event and its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoggedEvent {
-    /// When, in milliseconds from the start of the run.
+    /// The time of the event, in milliseconds from the start of the run.
     pub at: Millis,
-    /// What.
-    pub what: What,
+    /// The kind of event and its details.
+    #[serde(rename = "what")]
+    pub kind: EventKind,
 }
 
-/// How a call ended for its sender without an answer.
+/// Why a sender received no answer to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Silence {
-    /// The connection never came up, or broke before the call's last byte: the call never ran.
+pub enum CallFailure {
+    /// The connection was not established, or broke before the call's last byte: the call never ran.
     NeverSent,
     /// The connection broke after the last byte.
     Reset,
     /// The sender stopped waiting.
     TimedOut,
     /// The sender cancelled the call.
-    CalledOff,
+    #[serde(rename = "CalledOff")]
+    Cancelled,
     /// The sender's process ended.
-    Died,
+    #[serde(rename = "Died")]
+    SenderEnded,
 }
 
-/// What happened. In all events, `origin` is the number of a client's message over all its attempts to submit it, `id`
-/// that of one such attempt, and `call` that of a call; none is used twice. Senders, partners, endpoints and classes
-/// go by their numbers in the run.
+/// The kind of an event and its details. In all events, `origin` identifies a client's message across all its
+/// submissions, `id` identifies one submission, and `call` identifies a call; no number is reused. Senders, partners,
+/// endpoints and classes are identified by their numbers in the run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum What {
+pub enum EventKind {
     /// A client submits a message.
     #[serde(rename = "HandedIn")]
     Submitted {
         /// The client's message.
         origin: u64,
-        /// This attempt to submit it.
+        /// This submission of it.
         id: u64,
-        /// The sender that gets it.
+        /// The sender that receives it.
         sender: u32,
         /// Its class.
         class: u32,
         /// The partner that it is for.
         partner: u32,
-        /// When it was first submitted.
+        /// The time of its first submission.
         first: Millis,
-        /// When its time is up.
+        /// Its deadline.
         deadline: Millis,
         /// The ordering key: messages with the same key are delivered in order.
         #[serde(default)]
         key: Option<u64>,
     },
-    /// The client has its answer.
-    Answered {
-        /// The attempt to submit a message.
+    /// A client receives the answer to a submission.
+    #[serde(rename = "Answered")]
+    ClientAnswered {
+        /// The submission.
         id: u64,
-        /// The HTTP status; 0: the connection ended without an answer.
+        /// The HTTP status, or 0 if the connection ended without an answer.
         status: u16,
     },
     /// A sender was notified of an endpoint.
@@ -71,11 +76,13 @@
         endpoint: u32,
         /// Its partner.
         partner: u32,
-        /// It is in service; otherwise it drains or is gone.
-        on: bool,
+        /// Whether the endpoint is in service; otherwise it is draining or has been removed.
+        #[serde(rename = "on")]
+        in_service: bool,
     },
-    /// The first byte of a call leaves.
-    Call {
+    /// The first byte of a call is sent.
+    #[serde(rename = "Call")]
+    CallStarted {
         /// The call.
         call: u64,
         /// The message that it carries.
@@ -86,78 +93,94 @@
         partner: u32,
         /// The endpoint that it goes to.
         endpoint: u32,
-        /// It leaves on a new connection.
-        fresh: bool,
+        /// Whether it uses a new connection.
+        #[serde(rename = "fresh")]
+        new_connection: bool,
     },
-    /// The last byte of a call has come to its endpoint.
-    Arrived {
+    /// The last byte of a call has reached its endpoint.
+    #[serde(rename = "Arrived")]
+    CallArrived {
         /// The call.
         call: u64,
     },
     /// A call has taken effect, or is about to.
-    Ran {
+    #[serde(rename = "Ran")]
+    CallExecuted {
         /// The call.
         call: u64,
     },
     /// The partner's answer to a call has been written.
-    Replied {
+    #[serde(rename = "Replied")]
+    CallAnswered {
         /// The call.
         call: u64,
         /// The answer.
         reply: Reply,
     },
-    /// A call ended for its sender without an answer.
-    Ended {
+    /// A call ended without an answer that reached its sender.
+    #[serde(rename = "Ended")]
+    CallFailed {
         /// The call.
         call: u64,
-        /// Why.
-        how: Silence,
+        /// Why it failed.
+        #[serde(rename = "how")]
+        cause: CallFailure,
     },
-    /// An endpoint has said that the message is over: withdrawn, or out of time. Nothing more is owed.
+    /// An endpoint has reported that a message was withdrawn or has passed its deadline. No final answer is required
+    /// any more.
     Withdrawn {
         /// The message.
         id: u64,
     },
-    /// The platform has a status report for a message that was given up.
-    Notice {
+    /// The platform has received a status report on a message that was given up.
+    #[serde(rename = "Notice")]
+    StatusReport {
         /// The sender that reports.
         sender: u32,
         /// The message.
         id: u64,
-        /// The client may submit the message again.
+        /// Whether the client may submit the message again.
         deferred: bool,
-        /// The Retry-After that the client is given, in milliseconds.
-        again: Option<Millis>,
+        /// The Retry-After for the client, in milliseconds.
+        #[serde(rename = "again")]
+        retry_after: Option<Millis>,
     },
-    /// An outage begins, or ends.
-    Out {
+    /// An outage of a partner begins or ends.
+    #[serde(rename = "Out")]
+    Outage {
         /// The partner.
         partner: u32,
-        /// Whether it is in an outage now.
-        out: bool,
+        /// Whether the partner is in an outage now.
+        #[serde(rename = "out")]
+        in_outage: bool,
     },
     /// A partner that was warming up has collapsed under its load.
-    Toppled {
+    #[serde(rename = "Toppled")]
+    Collapsed {
         /// The partner.
         partner: u32,
     },
-    /// A sender that was not there before starts.
-    Joins {
+    /// A sender joins the running group.
+    #[serde(rename = "Joins")]
+    SenderJoined {
         /// The sender.
         sender: u32,
     },
     /// A sender is ready to serve.
-    Ready {
+    #[serde(rename = "Ready")]
+    SenderReady {
         /// The sender.
         sender: u32,
     },
     /// A sender is asked to shut down.
-    Told {
+    #[serde(rename = "Told")]
+    ShutdownRequested {
         /// The sender.
         sender: u32,
     },
     /// A sender's process has ended.
-    Gone {
+    #[serde(rename = "Gone")]
+    SenderEnded {
         /// The sender.
         sender: u32,
     },
--- a/crates/lab/src/judge/calls.rs
+++ b/crates/lab/src/judge/calls.rs
@@ -5,7 +5,7 @@
 
 use super::state::{BegunCall, Call, KnownEndpoint, RecentReply, Told};
 use super::{Judge, Rule, SLACK, TRAVEL};
-use crate::event_log::Silence;
+use crate::event_log::CallFailure;
 use crate::model::partner::Reply;
 
 /// Nothing new goes to an endpoint so long after its sender was notified that it drains.
@@ -125,13 +125,13 @@
     }
 
     /// A call has ended without a reply that its sender heard.
-    pub(super) fn call_ended(&mut self, number: u64, how: Silence, at: Millis) {
+    pub(super) fn call_ended(&mut self, number: u64, how: CallFailure, at: Millis) {
         self.forget_old_replies(at);
         self.take_back_unheard_reply(number);
-        let Some(call) = self.finish_call(number, how != Silence::NeverSent) else {
+        let Some(call) = self.finish_call(number, how != CallFailure::NeverSent) else {
             return;
         };
-        if how != Silence::Died {
+        if how != CallFailure::SenderEnded {
             self.note_failure_seen(&call);
         }
         self.forget(call.message);
--- a/crates/lab/src/judge/mod.rs
+++ b/crates/lab/src/judge/mod.rs
@@ -16,7 +16,7 @@
 
 use martenlatch_clock::Millis;
 
-use crate::event_log::{LoggedEvent, What};
+use crate::event_log::{EventKind, LoggedEvent};
 use crate::experiment::{Effect, Experiment, Variant};
 use state::{
     BegunCall, Call, DueCheck, KnownEndpoint, Message, OrderingKey, PossibleRuns, RecentCall,
@@ -111,31 +111,31 @@
     }
 
     /// Takes the next fact; facts must come in the order of time.
-    pub fn hear(&mut self, fact: &LoggedEvent) {
+    pub fn observe(&mut self, fact: &LoggedEvent) {
         let at = fact.at;
         self.check_deadlines(at);
-        match fact.what {
-            What::Submitted { .. }
-            | What::Answered { .. }
-            | What::Notice { .. }
-            | What::Withdrawn { .. } => self.hear_of_message(&fact.what, at),
-            What::Call { .. }
-            | What::Arrived { .. }
-            | What::Replied { .. }
-            | What::Ended { .. } => self.hear_of_call(&fact.what, at),
-            What::Listed { .. } | What::Out { .. } | What::Toppled { .. } => {
-                self.hear_of_partner(&fact.what, at);
+        match fact.kind {
+            EventKind::Submitted { .. }
+            | EventKind::ClientAnswered { .. }
+            | EventKind::StatusReport { .. }
+            | EventKind::Withdrawn { .. } => self.hear_of_message(&fact.kind, at),
+            EventKind::CallStarted { .. }
+            | EventKind::CallArrived { .. }
+            | EventKind::CallAnswered { .. }
+            | EventKind::CallFailed { .. } => self.hear_of_call(&fact.kind, at),
+            EventKind::Listed { .. } | EventKind::Outage { .. } | EventKind::Collapsed { .. } => {
+                self.hear_of_partner(&fact.kind, at);
             }
-            What::Ready { sender } => self.sender_ready(sender, at),
-            What::Told { sender } => self.excuse(sender),
-            What::Gone { sender } => self.sender_ended(sender),
-            What::Ran { .. } | What::Joins { .. } => {}
+            EventKind::SenderReady { sender } => self.sender_ready(sender, at),
+            EventKind::ShutdownRequested { sender } => self.excuse(sender),
+            EventKind::SenderEnded { sender } => self.sender_ended(sender),
+            EventKind::CallExecuted { .. } | EventKind::SenderJoined { .. } => {}
         }
     }
 
-    fn hear_of_message(&mut self, what: &What, at: Millis) {
+    fn hear_of_message(&mut self, what: &EventKind, at: Millis) {
         match *what {
-            What::Submitted {
+            EventKind::Submitted {
                 origin,
                 id,
                 sender,
@@ -156,16 +156,16 @@
                 };
                 self.handed_in(id, message);
             }
-            What::Answered { id, status } => self.client_answered(id, status, at),
-            What::Notice { id, deferred, .. } => self.reported(id, deferred, at),
-            What::Withdrawn { id } => self.withdrawn(id, at),
+            EventKind::ClientAnswered { id, status } => self.client_answered(id, status, at),
+            EventKind::StatusReport { id, deferred, .. } => self.reported(id, deferred, at),
+            EventKind::Withdrawn { id } => self.withdrawn(id, at),
             _ => {}
         }
     }
 
-    fn hear_of_call(&mut self, what: &What, at: Millis) {
+    fn hear_of_call(&mut self, what: &EventKind, at: Millis) {
         match *what {
-            What::Call {
+            EventKind::CallStarted {
                 call,
                 id: message,
                 sender,
@@ -182,23 +182,26 @@
                 };
                 self.call_begins(&begun, at);
             }
-            What::Arrived { call } => self.call_arrived(call, at),
-            What::Replied { call, reply } => self.call_replied(call, reply, at),
-            What::Ended { call, how } => self.call_ended(call, how, at),
+            EventKind::CallArrived { call } => self.call_arrived(call, at),
+            EventKind::CallAnswered { call, reply } => self.call_replied(call, reply, at),
+            EventKind::CallFailed { call, cause: how } => self.call_ended(call, how, at),
             _ => {}
         }
     }
 
-    fn hear_of_partner(&mut self, what: &What, at: Millis) {
+    fn hear_of_partner(&mut self, what: &EventKind, at: Millis) {
         match *what {
-            What::Listed {
+            EventKind::Listed {
                 sender,
                 endpoint,
                 partner,
-                on,
+                in_service: on,
             } => self.listed(KnownEndpoint { sender, endpoint }, partner, on, at),
-            What::Out { partner, out } => self.outage_changed(partner, out),
-            What::Toppled { partner } => self.collapsed(partner, at),
+            EventKind::Outage {
+                partner,
+                in_outage: out,
+            } => self.outage_changed(partner, out),
+            EventKind::Collapsed { partner } => self.collapsed(partner, at),
             _ => {}
         }
     }
--- a/crates/lab/src/metrics/mod.rs
+++ b/crates/lab/src/metrics/mod.rs
@@ -10,7 +10,7 @@
 use hdrhistogram::Histogram;
 use martenlatch_clock::Millis;
 
-use crate::event_log::{LoggedEvent, What};
+use crate::event_log::{EventKind, LoggedEvent};
 use crate::experiment::Class;
 use crate::model::partner::Reply;
 pub use figures::{Figures, Second};
@@ -124,24 +124,24 @@
     }
 
     /// Takes the next fact.
-    pub fn hear(&mut self, fact: &LoggedEvent) {
+    pub fn observe(&mut self, fact: &LoggedEvent) {
         let at = fact.at;
-        match fact.what {
-            What::Submitted {
+        match fact.kind {
+            EventKind::Submitted {
                 origin,
                 id,
                 class,
                 first,
                 ..
             } => self.handed_in(id, origin, class, first),
-            What::Answered { status, .. } => self.client_answered(status, at),
-            What::Joins { sender } => self.newcomers.joined(sender, at),
-            What::Gone { sender } => self.newcomers.sender_ended(sender),
-            What::Toppled { .. } => self.figures.toppled += 1,
-            What::Call {
+            EventKind::ClientAnswered { status, .. } => self.client_answered(status, at),
+            EventKind::SenderJoined { sender } => self.newcomers.joined(sender, at),
+            EventKind::SenderEnded { sender } => self.newcomers.sender_ended(sender),
+            EventKind::Collapsed { .. } => self.figures.toppled += 1,
+            EventKind::CallStarted {
                 call,
                 id,
-                fresh,
+                new_connection: fresh,
                 sender,
                 partner,
                 ..
@@ -151,15 +151,15 @@
                     .call_begins(call, route, at, &mut self.figures);
                 self.call_begins(call, id, fresh, at);
             }
-            What::Ran { call } => {
+            EventKind::CallExecuted { call } => {
                 if let Some(call) = self.calls.get_mut(&call) {
                     call.ran = true;
                 }
             }
-            What::Replied { call, reply } => self.call_replied(call, reply, at),
-            What::Ended { call, .. } => self.call_ended(call),
-            What::Notice { deferred: true, .. } => self.figures.deferred += 1,
-            What::Notice { .. } => self.figures.undeliverable += 1,
+            EventKind::CallAnswered { call, reply } => self.call_replied(call, reply, at),
+            EventKind::CallFailed { call, .. } => self.call_ended(call),
+            EventKind::StatusReport { deferred: true, .. } => self.figures.deferred += 1,
+            EventKind::StatusReport { .. } => self.figures.undeliverable += 1,
             _ => {}
         }
     }
--- a/crates/lab/src/sim/calls.rs
+++ b/crates/lab/src/sim/calls.rs
@@ -7,7 +7,7 @@
 use super::sender::Connection;
 use super::simulation::Simulation;
 use super::variant_settings::CONNECT_TIMEOUT;
-use crate::event_log::{Silence, What};
+use crate::event_log::{CallFailure, EventKind};
 use crate::model::fault_schedule::ActiveFaults;
 use crate::model::partner::Reply;
 use crate::network::{self, Direction};
@@ -62,13 +62,13 @@
             sent_at: self.now,
             reset_after: resets.after,
         });
-        self.record(What::Call {
+        self.record(EventKind::CallStarted {
             call,
             id,
             sender,
             partner,
             endpoint,
-            fresh: connection.is_new(),
+            new_connection: connection.is_new(),
         });
         self.schedule(self.now + timeout, SimEvent::CallTimeout { call });
         self.cross_network(call, connection, &faults, resets.before);
@@ -115,48 +115,48 @@
             // On an open connection, the call times out.
             if is_new {
                 let at = self.now + CONNECT_TIMEOUT;
-                self.schedule_loss(at, call, Silence::NeverSent, Outcome::Unreachable);
+                self.schedule_loss(at, call, CallFailure::NeverSent, Outcome::Unreachable);
             }
         } else if is_stale {
             let at = arrives_at + trip;
-            self.schedule_loss(at, call, Silence::Reset, Outcome::StaleConnection);
+            self.schedule_loss(at, call, CallFailure::Reset, Outcome::StaleConnection);
         } else if reset_before {
             let outcome = if is_new {
                 Outcome::Unreachable
             } else {
                 Outcome::NotSent
             };
-            self.schedule_loss(arrives_at, call, Silence::NeverSent, outcome);
+            self.schedule_loss(arrives_at, call, CallFailure::NeverSent, outcome);
         } else {
             self.schedule(arrives_at, SimEvent::CallAtPartner { call });
         }
     }
 
-    fn schedule_loss(&mut self, at: Millis, call: u64, how: Silence, outcome: Outcome) {
+    fn schedule_loss(&mut self, at: Millis, call: u64, how: CallFailure, outcome: Outcome) {
         self.schedule(at, SimEvent::CallLost { call, how, outcome });
     }
 
     /// The connection of a call is reset after its last byte: its sender notices one latency later.
     pub(super) fn reset_call(&mut self, call: u64) {
         let at = self.now + self.latency(call, Direction::ToSender);
-        self.schedule_loss(at, call, Silence::Reset, Outcome::ConnectionLost);
+        self.schedule_loss(at, call, CallFailure::Reset, Outcome::ConnectionLost);
     }
 
     /// A partner writes its answer, which reaches the sender one latency later.
     pub(super) fn reply(&mut self, call: u64, reply: Reply) {
         if self.calls.contains_key(&call) {
-            self.record(What::Replied { call, reply });
+            self.record(EventKind::CallAnswered { call, reply });
             let at = self.now + self.latency(call, Direction::ToSender);
             self.schedule(at, SimEvent::AnswerAtSender { call, reply });
         }
     }
 
     /// A call ends for its sender without an answer, and its connection is closed.
-    pub(super) fn lose_call(&mut self, call: u64, how: Silence, outcome: Outcome) {
+    pub(super) fn lose_call(&mut self, call: u64, how: CallFailure, outcome: Outcome) {
         if !self.calls.contains_key(&call) {
             return;
         }
-        self.record(What::Ended { call, how });
+        self.record(EventKind::CallFailed { call, cause: how });
         if let Some(ended) = self.end_call(call, outcome) {
             self.connections[ended.endpoint as usize] -= 1;
         }
--- a/crates/lab/src/sim/clients.rs
+++ b/crates/lab/src/sim/clients.rs
@@ -8,7 +8,7 @@
 use super::lifecycle::OVERDUE_AFTER;
 use super::sender::HeldMessage;
 use super::simulation::Simulation;
-use crate::event_log::What;
+use crate::event_log::EventKind;
 
 /// The Retry-After of a sender that takes no message now.
 const REJECTION_RETRY_AFTER: Millis = 1_000.0;
@@ -51,7 +51,7 @@
         let message = *self.clients.message(origin);
         let id = self.next_message;
         self.next_message += 1;
-        self.record(What::Submitted {
+        self.record(EventKind::Submitted {
             origin,
             id,
             sender,
@@ -63,7 +63,7 @@
         });
         if self.rejects_messages(sender) {
             let status = UNAVAILABLE;
-            self.record(What::Answered { id, status });
+            self.record(EventKind::ClientAnswered { id, status });
             return self.client_retry(origin, Some(REJECTION_RETRY_AFTER), true);
         }
         let deadline = message.deadline;
@@ -73,7 +73,7 @@
             .held
             .insert(id, HeldMessage::new(origin, deadline));
         let status = ACCEPTED;
-        self.record(What::Answered { id, status });
+        self.record(EventKind::ClientAnswered { id, status });
         let overdue = SimEvent::MessageOverdue { sender, id };
         self.schedule(deadline + OVERDUE_AFTER, overdue);
         let accepted = Event::MessageAccepted {
@@ -102,11 +102,11 @@
             deferred,
             retry_after,
         } = report;
-        self.record(What::Notice {
+        self.record(EventKind::StatusReport {
             sender,
             id,
             deferred,
-            again: retry_after,
+            retry_after,
         });
         let Some(message) = self.senders[sender as usize].held.get(&id) else {
             return;
--- a/crates/lab/src/sim/discovery.rs
+++ b/crates/lab/src/sim/discovery.rs
@@ -6,7 +6,7 @@
 
 use super::event::SimEvent;
 use super::simulation::Simulation;
-use crate::event_log::What;
+use crate::event_log::EventKind;
 use crate::model::environment::ListedState;
 
 impl Simulation<'_> {
@@ -59,11 +59,11 @@
         if !notified.is_up() {
             return;
         }
-        self.record(What::Listed {
+        self.record(EventKind::Listed {
             sender,
             endpoint,
             partner,
-            on: state == EndpointState::Active,
+            in_service: state == EndpointState::Active,
         });
         self.notify(sender, Event::EndpointChanges(vec![entry]));
     }
--- a/crates/lab/src/sim/event.rs
+++ b/crates/lab/src/sim/event.rs
@@ -3,7 +3,7 @@
 use martenlatch_clock::Millis;
 use martenlatch_policy::interface::{EndpointState, Outcome};
 
-use crate::event_log::Silence;
+use crate::event_log::CallFailure;
 use crate::model::partner::Reply;
 
 /// Something that happens at an instant. Events of a sender's process carry its incarnation where they are void after
@@ -32,7 +32,7 @@
     /// A call ends for its sender without an answer.
     CallLost {
         call: u64,
-        how: Silence,
+        how: CallFailure,
         outcome: Outcome,
     },
     /// The sender stops waiting for a call.
--- a/crates/lab/src/sim/faults.rs
+++ b/crates/lab/src/sim/faults.rs
@@ -2,7 +2,7 @@
 
 use super::event::SimEvent;
 use super::simulation::Simulation;
-use crate::event_log::What;
+use crate::event_log::EventKind;
 use crate::experiment::What as FailureKind;
 use crate::model::environment::{ListedState, OutageChange, REPLACEMENT_OVERLAP};
 
@@ -10,7 +10,10 @@
     /// A failure has begun or ended: partners go into an outage, or come out of one.
     pub(super) fn update_outages(&mut self) {
         for OutageChange { partner, out } in self.environment.update_outages(self.now) {
-            self.record(What::Out { partner, out });
+            self.record(EventKind::Outage {
+                partner,
+                in_outage: out,
+            });
         }
     }
 
@@ -20,7 +23,7 @@
         let sender = failure.sender;
         match failure.what {
             FailureKind::Join => {
-                self.record(What::Joins { sender });
+                self.record(EventKind::SenderJoined { sender });
                 self.start_sender(sender);
             }
             FailureKind::Sigkill => self.kill(sender, failure.size),
--- a/crates/lab/src/sim/lifecycle.rs
+++ b/crates/lab/src/sim/lifecycle.rs
@@ -10,7 +10,7 @@
 use super::event::{SimEvent, StatusReport};
 use super::simulation::Simulation;
 use super::variant_settings::TURN_INTERVAL;
-use crate::event_log::{Silence, What};
+use crate::event_log::{CallFailure, EventKind};
 
 /// A message that the decision module has not ended so long after its deadline is ended for it.
 pub(super) const OVERDUE_AFTER: Millis = 120.0;
@@ -35,18 +35,18 @@
             .cloned()
             .collect();
         for entry in &listed {
-            self.record(What::Listed {
+            self.record(EventKind::Listed {
                 sender,
                 endpoint: entry.endpoint.0,
                 partner: entry.destination.0 as u32,
-                on: entry.state == EndpointState::Active,
+                in_service: entry.state == EndpointState::Active,
             });
         }
         let mut events = vec![Event::EndpointList(listed)];
         events.extend(self.gossip_events(sender));
         events.extend(self.resumed_events(sender));
         self.senders[sender as usize].begin_process(policy, events, self.now);
-        self.record(What::Ready { sender });
+        self.record(EventKind::SenderReady { sender });
         self.schedule_turn(sender);
     }
 
@@ -149,7 +149,7 @@
         state.restart_after = restart_after;
         let incarnation = state.incarnation;
         let deadline = self.now + SHUTDOWN_TIME;
-        self.record(What::Told { sender });
+        self.record(EventKind::ShutdownRequested { sender });
         let shutdown = Event::ShutdownDeadline(nanos(CLOCK_ORIGIN + self.now + SHUTDOWN_TIME));
         self.notify(sender, shutdown);
         self.schedule(
@@ -186,13 +186,13 @@
             self.connections[endpoint as usize] -= idle.len() as u32;
         }
         for call in calls {
-            let how = Silence::Died;
-            self.record(What::Ended { call, how });
+            let cause = CallFailure::SenderEnded;
+            self.record(EventKind::CallFailed { call, cause });
             if let Some(ended) = self.calls.remove(&call) {
                 self.connections[ended.endpoint as usize] -= 1;
             }
         }
-        self.record(What::Gone { sender });
+        self.record(EventKind::SenderEnded { sender });
         let at = self.now + restart_after;
         self.schedule(at, SimEvent::StartSender { sender });
     }
--- a/crates/lab/src/sim/partners.rs
+++ b/crates/lab/src/sim/partners.rs
@@ -2,7 +2,7 @@
 
 use super::event::SimEvent;
 use super::simulation::Simulation;
-use crate::event_log::What;
+use crate::event_log::EventKind;
 use crate::model::environment::Delivery;
 use crate::model::partner::{self, Admission, Answer, Reply};
 
@@ -22,7 +22,7 @@
             attempt: call.attempt,
             work: self.experiment.work(self.seed, class),
         };
-        self.record(What::Arrived { call: number });
+        self.record(EventKind::CallArrived { call: number });
         if self.connections[endpoint as usize] > self.experiment.world.connections {
             return self.reply(number, Reply::Refused(None));
         }
@@ -31,12 +31,12 @@
             collapsed,
         } = self.environment.deliver(endpoint, delivered, self.now);
         if collapsed {
-            self.record(What::Toppled { partner });
+            self.record(EventKind::Collapsed { partner });
         }
         match admission {
             Admission::Answered(reply) => self.reply(number, reply),
             Admission::Running => {
-                self.record(What::Ran { call: number });
+                self.record(EventKind::CallExecuted { call: number });
                 if reset_after {
                     self.reset_call(number);
                 }
@@ -64,7 +64,7 @@
         }
         for call in progress.started {
             if self.calls.contains_key(&call) {
-                self.record(What::Ran { call });
+                self.record(EventKind::CallExecuted { call });
             }
         }
         self.schedule_completion(partner);
--- a/crates/lab/src/sim/simulation.rs
+++ b/crates/lab/src/sim/simulation.rs
@@ -14,7 +14,7 @@
 use crate::clients::Clients;
 use crate::delay_queue::DelayQueue;
 use crate::error::LabError;
-use crate::event_log::{LoggedEvent, Silence, What};
+use crate::event_log::{CallFailure, EventKind, LoggedEvent};
 use crate::experiment::{Experiment, Failure, Variant, What as FailureKind};
 use crate::judge::Judge;
 use crate::load::{self, PlannedMessage};
@@ -124,10 +124,10 @@
     }
 
     /// Hands a fact to all that follow the run.
-    pub fn record(&mut self, what: What) {
-        let fact = LoggedEvent { at: self.now, what };
-        self.judge.hear(&fact);
-        self.metrics.hear(&fact);
+    pub fn record(&mut self, kind: EventKind) {
+        let fact = LoggedEvent { at: self.now, kind };
+        self.judge.observe(&fact);
+        self.metrics.observe(&fact);
         if let Some(sink) = self.sink.as_mut() {
             sink(&fact);
         }
@@ -199,7 +199,7 @@
             SimEvent::AnswerAtSender { call, reply } => self.answer_at_sender(call, reply),
             SimEvent::CallLost { call, how, outcome } => self.lose_call(call, how, outcome),
             SimEvent::CallTimeout { call } => {
-                self.lose_call(call, Silence::TimedOut, Outcome::TimedOut)
+                self.lose_call(call, CallFailure::TimedOut, Outcome::TimedOut)
             }
             SimEvent::StatusReport(report) => self.status_report(report),
             SimEvent::OutagesChange => self.update_outages(),
--- a/crates/lab/src/sim/turn.rs
+++ b/crates/lab/src/sim/turn.rs
@@ -8,7 +8,7 @@
 use super::CLOCK_ORIGIN;
 use super::event::SimEvent;
 use super::simulation::Simulation;
-use crate::event_log::Silence;
+use crate::event_log::CallFailure;
 
 impl Simulation<'_> {
     /// The decision module of a sender takes a turn, unless its process has ended since.
@@ -71,7 +71,7 @@
         let message = self.senders[sender as usize].held.get(&id.0);
         let call = message.and_then(|message| message.calls.get(&attempt));
         if let Some(call) = call.copied() {
-            self.lose_call(call, Silence::CalledOff, Outcome::Cancelled);
+            self.lose_call(call, CallFailure::Cancelled, Outcome::Cancelled);
         }
     }
 
--- a/crates/lab/src/sockets/calls.rs
+++ b/crates/lab/src/sockets/calls.rs
@@ -5,7 +5,7 @@
 use super::event::Event;
 use super::peer::Peer;
 use super::testbed::{Call, Testbed};
-use crate::event_log::{Silence, What};
+use crate::event_log::{CallFailure, EventKind};
 use crate::model::environment::Delivery;
 use crate::model::partner::{self, Admission, Answer, Progress, Reply};
 use crate::network::Direction;
@@ -17,7 +17,7 @@
         let Some(call) = self.calls.get(&number).copied() else {
             return;
         };
-        self.record(What::Arrived { call: number });
+        self.record(EventKind::CallArrived { call: number });
         let Some(delivered) = self.note_arrival(number, &call, now) else {
             return;
         };
@@ -30,7 +30,7 @@
             collapsed,
         } = self.environment.deliver(call.endpoint, delivered, now);
         if collapsed {
-            self.record(What::Toppled {
+            self.record(EventKind::Collapsed {
                 partner: call.partner,
             });
         }
@@ -57,7 +57,7 @@
     }
 
     fn call_runs(&mut self, number: u64, call: &Call) {
-        self.record(What::Ran { call: number });
+        self.record(EventKind::CallExecuted { call: number });
         self.schedule_partner(call.partner);
         if call.reset_when_running {
             self.reset_call(number, call.connection);
@@ -81,7 +81,7 @@
         }
         for call in started {
             if self.calls.contains_key(&call) {
-                self.record(What::Ran { call });
+                self.record(EventKind::CallExecuted { call });
             }
         }
         self.schedule_partner(partner);
@@ -115,10 +115,13 @@
         let queued = socket.connection.queue(response_text(reply).as_bytes());
         socket.connection.flush();
         if !queued || socket.connection.broken {
-            let how = Silence::CalledOff;
-            return self.record(What::Ended { call: number, how });
+            let cause = CallFailure::Cancelled;
+            return self.record(EventKind::CallFailed {
+                call: number,
+                cause,
+            });
         }
-        self.record(What::Replied {
+        self.record(EventKind::CallAnswered {
             call: number,
             reply,
         });
--- a/crates/lab/src/sockets/clients.rs
+++ b/crates/lab/src/sockets/clients.rs
@@ -8,7 +8,7 @@
 use super::peer::{ClientConnection, Peer, is_closed};
 use super::testbed::{SubmittedMessage, Testbed};
 use crate::clients::{ClientMessage, HandIn};
-use crate::event_log::What;
+use crate::event_log::EventKind;
 use crate::experiment::Effect;
 
 /// A client waits so long for the answer to a message that it handed in.
@@ -106,7 +106,7 @@
         };
         self.messages.insert(message, handed_in);
         self.open_messages += 1;
-        self.record(What::Submitted {
+        self.record(EventKind::Submitted {
             origin,
             id: message,
             sender,
@@ -180,7 +180,7 @@
                 self.peers.remove(key);
             }
         }
-        self.record(What::Answered {
+        self.record(EventKind::ClientAnswered {
             id: message,
             status: answer.status,
         });
--- a/crates/lab/src/sockets/discovery.rs
+++ b/crates/lab/src/sockets/discovery.rs
@@ -9,7 +9,7 @@
 use super::event::Event;
 use super::peer::{AgentConnection, Peer, is_closed};
 use super::testbed::Testbed;
-use crate::event_log::What;
+use crate::event_log::EventKind;
 use crate::model::environment::ListedState;
 
 /// Discovery shows at least this often that it is alive.
@@ -140,11 +140,11 @@
         let change = json!({"rev": revision, "all": false, "targets": [entry]}).to_string();
         let watches = self.watches(Some(sender));
         if up && !watches.is_empty() {
-            self.record(What::Listed {
+            self.record(EventKind::Listed {
                 sender,
                 endpoint,
                 partner: self.environment.partner_of(endpoint),
-                on: state == ListedState::Active,
+                in_service: state == ListedState::Active,
             });
         }
         for key in watches {
--- a/crates/lab/src/sockets/faults.rs
+++ b/crates/lab/src/sockets/faults.rs
@@ -7,7 +7,7 @@
 use super::partners::Closing;
 use super::peer::Peer;
 use super::testbed::{EndpointSocket, Testbed};
-use crate::event_log::{Silence, What};
+use crate::event_log::{CallFailure, EventKind};
 use crate::experiment::What as FailureKind;
 use crate::model::environment::{ListedState, OutageChange, REPLACEMENT_OVERLAP, Replacement};
 
@@ -20,7 +20,10 @@
         let now = self.now();
         self.apply_full_disks(now);
         for OutageChange { partner, out } in self.environment.update_outages(now) {
-            self.record(What::Out { partner, out });
+            self.record(EventKind::Outage {
+                partner,
+                in_outage: out,
+            });
         }
         // Endpoints that could not be reached get the connections that waited for them.
         self.recheck_endpoint_listeners();
@@ -79,11 +82,11 @@
     /// Notes that a sender is made to end, so that its end is no crash.
     fn announce_end(&mut self, sender: u32, restart_after: Millis) {
         self.senders[sender as usize].restart_after = Some(restart_after);
-        self.record(What::Told { sender });
+        self.record(EventKind::ShutdownRequested { sender });
     }
 
     fn join_sender(&mut self, sender: u32) {
-        self.record(What::Joins { sender });
+        self.record(EventKind::SenderJoined { sender });
         if let Err(error) = self.launch(sender) {
             self.fail(error);
         }
@@ -139,9 +142,9 @@
         for (key, call) in self.connections_of(endpoint) {
             if let Some(call) = call {
                 self.calls.remove(&call);
-                self.record(What::Ended {
+                self.record(EventKind::CallFailed {
                     call,
-                    how: Silence::Reset,
+                    cause: CallFailure::Reset,
                 });
             }
             self.drop_endpoint_connection(key, Closing::Reset);
--- a/crates/lab/src/sockets/partners.rs
+++ b/crates/lab/src/sockets/partners.rs
@@ -11,7 +11,7 @@
 use super::peer::{EndpointConnection, Peer, is_closed};
 use super::testbed::{Call, Testbed};
 use crate::error::LabError;
-use crate::event_log::{Silence, What};
+use crate::event_log::{CallFailure, EventKind};
 use crate::experiment::Effect;
 use crate::model::fault_schedule::ConnectionResets;
 use crate::network::{self, Direction};
@@ -173,13 +173,13 @@
             reset_when_running: resets.after,
         };
         self.calls.insert(call, started);
-        self.record(What::Call {
+        self.record(EventKind::CallStarted {
             call,
             id: number,
             sender,
             partner,
             endpoint,
-            fresh,
+            new_connection: fresh,
         });
         if resets.before || stale {
             // Its sender cannot tell this from one that has run.
@@ -192,9 +192,9 @@
 
     /// Ends a call by a reset of its connection.
     pub fn reset_call(&mut self, call: u64, connection: usize) {
-        self.record(What::Ended {
+        self.record(EventKind::CallFailed {
             call,
-            how: Silence::Reset,
+            cause: CallFailure::Reset,
         });
         self.calls.remove(&call);
         self.drop_endpoint_connection(connection, Closing::Reset);
@@ -207,11 +207,11 @@
         };
         let message = self.messages.get(&cancelled.message);
         let sender = message.map_or(0, |message| message.sender);
-        let how = if self.senders[sender as usize].up {
-            Silence::CalledOff
+        let cause = if self.senders[sender as usize].up {
+            CallFailure::Cancelled
         } else {
-            Silence::Died
+            CallFailure::SenderEnded
         };
-        self.record(What::Ended { call, how });
+        self.record(EventKind::CallFailed { call, cause });
     }
 }
--- a/crates/lab/src/sockets/processes.rs
+++ b/crates/lab/src/sockets/processes.rs
@@ -8,7 +8,7 @@
 use super::resource_usage::ResourceUsage;
 use super::testbed::Testbed;
 use crate::error::{LabError, ProcessEnd};
-use crate::event_log::What;
+use crate::event_log::EventKind;
 use crate::model::environment::ListedState;
 
 /// Between two looks at whether a sender has come up, before the run begins.
@@ -73,14 +73,14 @@
         let known = slot.known.clone();
         for (endpoint, state) in known {
             let partner = self.environment.partner_of(endpoint);
-            self.record(What::Listed {
+            self.record(EventKind::Listed {
                 sender,
                 endpoint,
                 partner,
-                on: state == ListedState::Active,
+                in_service: state == ListedState::Active,
             });
         }
-        self.record(What::Ready { sender });
+        self.record(EventKind::SenderReady { sender });
     }
 
     /// Measures what all senders use, and notes those that have ended; false where one has crashed.
@@ -120,7 +120,7 @@
         let pause = slot.restart_after.unwrap_or(0.0);
         slot.up = false;
         slot.incarnation += 1;
-        self.record(What::Gone { sender });
+        self.record(EventKind::SenderEnded { sender });
         self.events
             .push(self.now() + pause, Event::RestartSender { sender });
     }
--- a/crates/lab/src/sockets/reports.rs
+++ b/crates/lab/src/sockets/reports.rs
@@ -7,7 +7,7 @@
 use super::event::HandInFailure;
 use super::testbed::Testbed;
 use crate::error::LabError;
-use crate::event_log::What;
+use crate::event_log::EventKind;
 
 /// A status report on a message.
 struct StatusReport {
@@ -50,11 +50,11 @@
     }
 
     fn apply_report(&mut self, sender: u32, report: &StatusReport) {
-        self.record(What::Notice {
+        self.record(EventKind::StatusReport {
             sender,
             id: report.message,
             deferred: report.deferred,
-            again: report.retry_after,
+            retry_after: report.retry_after,
         });
         if !self.finish_message(report.message) {
             return;
--- a/crates/lab/src/sockets/testbed.rs
+++ b/crates/lab/src/sockets/testbed.rs
@@ -19,7 +19,7 @@
 use crate::clients::Clients;
 use crate::delay_queue::DelayQueue;
 use crate::error::LabError;
-use crate::event_log::{LoggedEvent, What};
+use crate::event_log::{EventKind, LoggedEvent};
 use crate::experiment::{Experiment, Variant};
 use crate::judge::Judge;
 use crate::load::{self, PlannedMessage};
@@ -254,13 +254,13 @@
     }
 
     /// Gives a fact of this instant to the judge and the metrics.
-    pub fn record(&mut self, what: What) {
+    pub fn record(&mut self, kind: EventKind) {
         let fact = LoggedEvent {
             at: self.now(),
-            what,
+            kind,
         };
-        self.judge.hear(&fact);
-        self.metrics.hear(&fact);
+        self.judge.observe(&fact);
+        self.metrics.observe(&fact);
     }
 
     /// Ends the run with an error.
--- a/crates/lab/tests/hostile.rs
+++ b/crates/lab/tests/hostile.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashMap;
 
-use martenlatch_lab::event_log::{LoggedEvent, What};
+use martenlatch_lab::event_log::{EventKind, LoggedEvent};
 use martenlatch_lab::experiment::Experiment;
 use martenlatch_lab::model::partner::Reply;
 use martenlatch_lab::model::site::Site;
@@ -34,8 +34,8 @@
         .unwrap() as u32;
     let mut first: HashMap<u64, Option<f64>> = HashMap::new();
     let (mut origins, mut calls, mut sum) = (HashMap::new(), HashMap::new(), Others::default());
-    let sink = |fact: &LoggedEvent| match fact.what {
-        What::Submitted {
+    let sink = |fact: &LoggedEvent| match fact.kind {
+        EventKind::Submitted {
             origin,
             id,
             partner,
@@ -45,13 +45,13 @@
             origins.insert(id, (origin, at));
             first.entry(origin).or_insert(None);
         }
-        What::Call {
+        EventKind::CallStarted {
             call, id, partner, ..
         } if partner != hostile => {
             calls.insert(call, id);
             sum.calls += 1.0;
         }
-        What::Replied { call, reply } => match (calls.get(&call), reply) {
+        EventKind::CallAnswered { call, reply } => match (calls.get(&call), reply) {
             (Some(id), Reply::Served) => {
                 let (origin, at) = origins[id];
                 first.get_mut(&origin).unwrap().get_or_insert(fact.at - at);
--- a/crates/lab/tests/judge/endpoints.rs
+++ b/crates/lab/tests/judge/endpoints.rs
@@ -1,6 +1,6 @@
 //! Calls go to endpoints of their own partner that do not drain, and do not make it collapse.
 
-use martenlatch_lab::event_log::What;
+use martenlatch_lab::event_log::EventKind;
 use martenlatch_lab::judge::Rule;
 use martenlatch_lab::model::partner::Reply;
 use rstest::rstest;
@@ -65,20 +65,20 @@
     let out = vec![
         (
             0.0,
-            What::Out {
+            EventKind::Outage {
                 partner: 7,
-                out: true,
+                in_outage: true,
             },
         ),
         (
             5_000.0,
-            What::Out {
+            EventKind::Outage {
                 partner: 7,
-                out: false,
+                in_outage: false,
             },
         ),
     ];
-    let mut parts = vec![out, vec![(7_000.0, What::Toppled { partner: 7 })]];
+    let mut parts = vec![out, vec![(7_000.0, EventKind::Collapsed { partner: 7 })]];
     for call in 0..10 {
         let at = 5_500.0 + 100.0 * call as f64;
         let ended = vec![
--- a/crates/lab/tests/judge/history.rs
+++ b/crates/lab/tests/judge/history.rs
@@ -1,6 +1,6 @@
 //! Histories for the judge, and its verdicts on them.
 
-use martenlatch_lab::event_log::{LoggedEvent, What};
+use martenlatch_lab::event_log::{EventKind, LoggedEvent};
 use martenlatch_lab::experiment::Effect;
 use martenlatch_lab::judge::{ClassRule, Judge, Rule};
 use martenlatch_lab::model::partner::Reply;
@@ -12,7 +12,7 @@
 pub const KEYED: u32 = 1;
 
 /// The rules that a judge finds broken in a history that ends at 100 s.
-pub fn verdict(facts: &[(f64, What)]) -> Vec<Rule> {
+pub fn verdict(facts: &[(f64, EventKind)]) -> Vec<Rule> {
     let classes = vec![
         ClassRule {
             effect: Effect::Unsafe,
@@ -24,10 +24,10 @@
         },
     ];
     let mut judge = Judge::new(classes, 3);
-    for (at, what) in facts {
-        judge.hear(&LoggedEvent {
+    for (at, kind) in facts {
+        judge.observe(&LoggedEvent {
             at: *at,
-            what: what.clone(),
+            kind: kind.clone(),
         });
     }
     let verdict = judge.end(100_000.0);
@@ -42,17 +42,17 @@
 }
 
 /// A message that is handed in at the start of the run and accepted.
-pub fn taken(id: u64, class: u32) -> Vec<(f64, What)> {
+pub fn taken(id: u64, class: u32) -> Vec<(f64, EventKind)> {
     again(id, id, class, 0.0)
 }
 
 /// A handing in of a message at an instant, taken on; its time is up at 16 s.
-pub fn again(origin: u64, id: u64, class: u32, at: f64) -> Vec<(f64, What)> {
+pub fn again(origin: u64, id: u64, class: u32, at: f64) -> Vec<(f64, EventKind)> {
     let (sender, partner, first, deadline) = (0, 7, 0.0, 16_000.0);
     vec![
         (
             at,
-            What::Submitted {
+            EventKind::Submitted {
                 origin,
                 id,
                 sender,
@@ -63,63 +63,63 @@
                 key: None,
             },
         ),
-        (at, What::Answered { id, status: 202 }),
+        (at, EventKind::ClientAnswered { id, status: 202 }),
     ]
 }
 
 /// A call of a message to an endpoint, whose last byte comes 10 ms later.
-pub fn sent(call: u64, id: u64, endpoint: u32, at: f64) -> Vec<(f64, What)> {
+pub fn sent(call: u64, id: u64, endpoint: u32, at: f64) -> Vec<(f64, EventKind)> {
     let (sender, partner, fresh) = (0, 7, false);
     vec![
         (
             at,
-            What::Call {
+            EventKind::CallStarted {
                 call,
                 id,
                 sender,
                 partner,
                 endpoint,
-                fresh,
+                new_connection: fresh,
             },
         ),
-        (at + 10.0, What::Arrived { call }),
+        (at + 10.0, EventKind::CallArrived { call }),
     ]
 }
 
 /// The reply to a call.
-pub fn replied(call: u64, reply: Reply, at: f64) -> (f64, What) {
-    (at, What::Replied { call, reply })
+pub fn replied(call: u64, reply: Reply, at: f64) -> (f64, EventKind) {
+    (at, EventKind::CallAnswered { call, reply })
 }
 
 /// A status report on a message.
-pub fn notice(id: u64, deferred: bool, at: f64) -> (f64, What) {
+pub fn notice(id: u64, deferred: bool, at: f64) -> (f64, EventKind) {
     (
         at,
-        What::Notice {
+        EventKind::StatusReport {
             sender: 0,
             id,
             deferred,
-            again: None,
+            retry_after: None,
         },
     )
 }
 
 /// An entry of the endpoint list that sender 0 is notified of.
-pub fn listed(endpoint: u32, partner: u32, on: bool, at: f64) -> (f64, What) {
+pub fn listed(endpoint: u32, partner: u32, on: bool, at: f64) -> (f64, EventKind) {
     (
         at,
-        What::Listed {
+        EventKind::Listed {
             sender: 0,
             endpoint,
             partner,
-            on,
+            in_service: on,
         },
     )
 }
 
 /// Parts of a history, in the order of time.
-pub fn history(mut parts: Vec<Vec<(f64, What)>>) -> Vec<(f64, What)> {
-    let mut all: Vec<(f64, What)> = parts.drain(..).flatten().collect();
+pub fn history(mut parts: Vec<Vec<(f64, EventKind)>>) -> Vec<(f64, EventKind)> {
+    let mut all: Vec<(f64, EventKind)> = parts.drain(..).flatten().collect();
     all.sort_by(|a, b| a.0.total_cmp(&b.0));
     all
 }
--- a/crates/lab/tests/judge/repeats.rs
+++ b/crates/lab/tests/judge/repeats.rs
@@ -1,6 +1,6 @@
 //! What may have run is repeated only where its class allows that.
 
-use martenlatch_lab::event_log::{Silence, What};
+use martenlatch_lab::event_log::{CallFailure, EventKind};
 use martenlatch_lab::judge::Rule;
 use martenlatch_lab::model::partner::Reply;
 use rstest::rstest;
@@ -9,24 +9,24 @@
 
 #[rstest]
 #[case::refused(Some(Reply::Refused(None)), None, UNSAFE, 500.0, &[])]
-#[case::never_sent(None, Some(Silence::NeverSent), UNSAFE, 500.0, &[])]
-#[case::reset(None, Some(Silence::Reset), UNSAFE, 500.0, &[Rule::NoSecondEffect])]
-#[case::died(None, Some(Silence::Died), UNSAFE, 500.0, &[Rule::NoSecondEffect])]
+#[case::never_sent(None, Some(CallFailure::NeverSent), UNSAFE, 500.0, &[])]
+#[case::reset(None, Some(CallFailure::Reset), UNSAFE, 500.0, &[Rule::NoSecondEffect])]
+#[case::died(None, Some(CallFailure::SenderEnded), UNSAFE, 500.0, &[Rule::NoSecondEffect])]
 #[case::error(Some(Reply::Failed), None, UNSAFE, 500.0, &[Rule::NoSecondEffect])]
 #[case::still_out(None, None, UNSAFE, 500.0, &[Rule::NoSecondEffect])]
-#[case::keyed_in_its_window(None, Some(Silence::TimedOut), KEYED, 5_900.0, &[])]
-#[case::keyed_out_of_it(None, Some(Silence::TimedOut), KEYED, 6_100.0, &[Rule::KeyWindow])]
+#[case::keyed_in_its_window(None, Some(CallFailure::TimedOut), KEYED, 5_900.0, &[])]
+#[case::keyed_out_of_it(None, Some(CallFailure::TimedOut), KEYED, 6_100.0, &[Rule::KeyWindow])]
 #[case::keyed_that_never_ran(Some(Reply::Refused(None)), None, KEYED, 9_000.0, &[])]
 fn what_may_have_run_is_repeated_only_where_its_class_allows(
     #[case] reply: Option<Reply>,
-    #[case] silence: Option<Silence>,
+    #[case] silence: Option<CallFailure>,
     #[case] class: u32,
     #[case] second: f64,
     #[case] want: &[Rule],
 ) {
     let first: Vec<_> = reply.map(|r| replied(1, r, 100.0)).into_iter().collect();
     let ended: Vec<_> = silence
-        .map(|how| (100.0, What::Ended { call: 1, how }))
+        .map(|cause| (100.0, EventKind::CallFailed { call: 1, cause }))
         .into_iter()
         .collect();
     let last = vec![replied(2, Reply::Served, second + 300.0)];
@@ -46,9 +46,9 @@
     let lost = vec![
         (
             100.0,
-            What::Ended {
+            EventKind::CallFailed {
                 call: 1,
-                how: Silence::TimedOut,
+                cause: CallFailure::TimedOut,
             },
         ),
         notice(1, true, 110.0),
--- a/crates/lab/tests/judge/waits.rs
+++ b/crates/lab/tests/judge/waits.rs
@@ -1,6 +1,6 @@
 //! A Retry-After binds its sender once it was told, and until it restarts.
 
-use martenlatch_lab::event_log::{Silence, What};
+use martenlatch_lab::event_log::{CallFailure, EventKind};
 use martenlatch_lab::judge::Rule;
 use martenlatch_lab::model::partner::Reply;
 use rstest::rstest;
@@ -36,9 +36,9 @@
             replied(1, Reply::Refused(Some(2_000.0)), 50.0),
             (
                 at,
-                What::Ended {
+                EventKind::CallFailed {
                     call: 1,
-                    how: Silence::CalledOff,
+                    cause: CallFailure::Cancelled,
                 },
             ),
         ];
@@ -61,9 +61,9 @@
         replied(2, Reply::Refused(Some(9_000.0)), 120.0),
         (
             125.0,
-            What::Ended {
+            EventKind::CallFailed {
                 call: 2,
-                how: Silence::CalledOff,
+                cause: CallFailure::Cancelled,
             },
         ),
     ];
@@ -93,8 +93,8 @@
         notice(1, true, 60.0),
     ];
     let life = vec![
-        (100.0, What::Gone { sender: 0 }),
-        (900.0, What::Ready { sender: 0 }),
+        (100.0, EventKind::SenderEnded { sender: 0 }),
+        (900.0, EventKind::SenderReady { sender: 0 }),
     ];
     let end = vec![replied(2, Reply::Served, 1_500.0)];
     let parts = vec![
@@ -109,9 +109,9 @@
     assert_eq!(verdict(&history(parts)), []);
     let down = |ready: f64, end: f64| {
         let life = vec![
-            (15_000.0, What::Told { sender: 0 }),
-            (15_900.0, What::Gone { sender: 0 }),
-            (ready, What::Ready { sender: 0 }),
+            (15_000.0, EventKind::ShutdownRequested { sender: 0 }),
+            (15_900.0, EventKind::SenderEnded { sender: 0 }),
+            (ready, EventKind::SenderReady { sender: 0 }),
         ];
         verdict(&history(vec![
             taken(1, UNSAFE),
--- a/crates/lab/tests/orders/calls.rs
+++ b/crates/lab/tests/orders/calls.rs
@@ -1,7 +1,7 @@
 //! Turns of the decision modules of the fleet, the calls that they send, and how those end.
 
 use martenlatch_clock::{Millis, millis, nanos};
-use martenlatch_lab::event_log::{Silence, What};
+use martenlatch_lab::event_log::{CallFailure, EventKind};
 use martenlatch_lab::model::partner::{COLLAPSE_FACTOR, COLLAPSE_WINDOW, Reply};
 use martenlatch_policy::interface::{Action, Event, MessageId, Outcome};
 use martenlatch_wal::{AttemptRecord, FinalStatus};
@@ -57,8 +57,8 @@
         let wanted = |call: &Call| (call.sender, call.id, call.attempt) == (sender, id, attempt);
         let (call, _) = self.calls.iter().find(|(_, call)| wanted(call))?;
         let call = *call;
-        let how = Silence::CalledOff;
-        self.fact(What::Ended { call, how });
+        let cause = CallFailure::Cancelled;
+        self.fact(EventKind::CallFailed { call, cause });
         self.ended(call, Outcome::Cancelled).map(|told| told.event)
     }
 
@@ -86,13 +86,13 @@
         self.seen.retries += usize::from(attempt > 0);
         let same_message = |call: &Call| (call.sender, call.id) == (sender, id);
         self.seen.hedges += usize::from(self.calls.values().any(same_message));
-        self.fact(What::Call {
+        self.fact(EventKind::CallStarted {
             call,
             id,
             sender: sender as u32,
             partner,
             endpoint,
-            fresh: true,
+            new_connection: true,
         });
         self.calls.insert(
             call,
@@ -111,12 +111,12 @@
     /// A call comes to its partner, unless that is in an outage.
     fn arrive(&mut self, call: u64, partner: u32) -> Option<Event> {
         if self.out.contains(&partner) {
-            let how = Silence::NeverSent;
-            self.fact(What::Ended { call, how });
+            let cause = CallFailure::NeverSent;
+            self.fact(EventKind::CallFailed { call, cause });
             let told = self.ended(call, Outcome::Unreachable);
             return told.map(|told| told.event);
         }
-        self.fact(What::Arrived { call });
+        self.fact(EventKind::CallArrived { call });
         self.collapse_under_load(partner);
         None
     }
@@ -136,7 +136,7 @@
         let most = COLLAPSE_FACTOR * CAPACITY * warmth * COLLAPSE_WINDOW / 1e3;
         if arrivals.len() as f64 > most && !self.collapsed {
             self.collapsed = true;
-            self.fact(What::Toppled { partner });
+            self.fact(EventKind::Collapsed { partner });
         }
     }
 
@@ -175,11 +175,11 @@
         wal.append_final_status(id, status);
         wal.append_closed(id, &message.record.id);
         if !self.drops_reports {
-            self.fact(What::Notice {
+            self.fact(EventKind::StatusReport {
                 sender: sender as u32,
                 id,
                 deferred: matches!(status, FinalStatus::Deferred(_)),
-                again: None,
+                retry_after: None,
             });
         }
         None
@@ -201,27 +201,27 @@
             return;
         };
         self.seen.retry_afters += usize::from(matches!(reply, Reply::Refused(Some(_))));
-        self.fact(What::Replied { call, reply });
+        self.fact(EventKind::CallAnswered { call, reply });
         self.end_and_tell(call, outcome);
     }
 
     /// A picked call ends without an answer.
-    pub fn lose_picked(&mut self, pick: Pick, how: Silence, outcome: Outcome) {
+    pub fn lose_picked(&mut self, pick: Pick, cause: CallFailure, outcome: Outcome) {
         let picked = match pick {
             Pick::Oldest => self.calls.keys().next(),
             Pick::Newest => self.calls.keys().next_back(),
         };
         if let Some(call) = picked.copied() {
-            self.lose(call, how, outcome);
+            self.lose(call, cause, outcome);
         }
     }
 
     /// A call ends without an answer; with `NotSent`, its endpoint has withdrawn the message.
-    pub fn lose(&mut self, call: u64, how: Silence, outcome: Outcome) {
+    pub fn lose(&mut self, call: u64, cause: CallFailure, outcome: Outcome) {
         if outcome == Outcome::NotSent {
             self.withdraw(call);
         }
-        self.fact(What::Ended { call, how });
+        self.fact(EventKind::CallFailed { call, cause });
         self.end_and_tell(call, outcome);
     }
 
@@ -234,7 +234,7 @@
             let wal = sender.wal.as_mut().unwrap();
             wal.append_closed(id, &message.record.id);
             self.seen.withdrawals += 1;
-            self.fact(What::Withdrawn { id });
+            self.fact(EventKind::Withdrawn { id });
         }
     }
 
--- a/crates/lab/tests/orders/fleet.rs
+++ b/crates/lab/tests/orders/fleet.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use martenlatch_clock::{Millis, nanos};
-use martenlatch_lab::event_log::{LoggedEvent, Silence, What};
+use martenlatch_lab::event_log::{CallFailure, EventKind, LoggedEvent};
 use martenlatch_lab::experiment::Effect;
 use martenlatch_lab::judge::{ClassRule, Judge};
 use martenlatch_lab::model::partner::{COLLAPSE_FACTOR, COLLAPSE_WINDOW};
@@ -204,8 +204,8 @@
         }
     }
 
-    pub fn fact(&mut self, what: What) {
-        self.judge.hear(&LoggedEvent { at: self.now, what });
+    pub fn fact(&mut self, kind: EventKind) {
+        self.judge.observe(&LoggedEvent { at: self.now, kind });
     }
 
     pub fn entry(&self, endpoint: u32) -> EndpointEntry {
@@ -224,11 +224,11 @@
     }
 
     pub fn listed(&mut self, sender: usize, endpoint: u32) {
-        self.fact(What::Listed {
+        self.fact(EventKind::Listed {
             sender: sender as u32,
             endpoint,
             partner: OWNER[endpoint as usize],
-            on: !self.draining.contains(&endpoint),
+            in_service: !self.draining.contains(&endpoint),
         });
     }
 
@@ -241,7 +241,7 @@
             self.listed(number, endpoint);
         }
         let sender = number as u32;
-        self.fact(What::Ready { sender });
+        self.fact(EventKind::SenderReady { sender });
         let entries = (0..ENDPOINTS).map(|endpoint| self.entry(endpoint));
         let mut events = vec![Event::EndpointList(entries.collect())];
         let started = &mut self.senders[number];
@@ -272,11 +272,11 @@
             .collect();
         for call in died {
             self.calls.remove(&call);
-            let how = Silence::Died;
-            self.fact(What::Ended { call, how });
+            let cause = CallFailure::SenderEnded;
+            self.fact(EventKind::CallFailed { call, cause });
         }
         let sender = number as u32;
-        self.fact(What::Gone { sender });
+        self.fact(EventKind::SenderEnded { sender });
         let killed = &mut self.senders[number];
         killed.policy = None;
         killed.wal = None;
@@ -292,7 +292,7 @@
         self.next_id += 1;
         let deadline = self.now + DEADLINE;
         let key = (class == ORDERED).then_some(1);
-        self.fact(What::Submitted {
+        self.fact(EventKind::Submitted {
             origin: id,
             id,
             sender: sender as u32,
@@ -309,12 +309,12 @@
         if !stays {
             wal.append_closed(id, &record.id);
             self.seen.left += 1;
-            return self.fact(What::Answered { id, status: 0 });
+            return self.fact(EventKind::ClientAnswered { id, status: 0 });
         }
         accepting
             .held
             .insert(id, HeldMessage { record, open: true });
-        self.fact(What::Answered { id, status: 202 });
+        self.fact(EventKind::ClientAnswered { id, status: 202 });
         let accepted = Event::MessageAccepted {
             id: MessageId(id),
             destination: DestinationId(partner.into()),
--- a/crates/lab/tests/orders/steps.rs
+++ b/crates/lab/tests/orders/steps.rs
@@ -1,7 +1,7 @@
 //! The steps of an order, and how the fleet takes them.
 
 use martenlatch_clock::{Millis, nanos};
-use martenlatch_lab::event_log::{Silence, What};
+use martenlatch_lab::event_log::{CallFailure, EventKind};
 use martenlatch_lab::judge::Rule;
 use martenlatch_lab::model::partner::Reply;
 use martenlatch_policy::interface::{Event, Outcome};
@@ -74,7 +74,7 @@
             self.now = self.now.max(at);
             match (call, wake) {
                 (Some(due), _) if due.at <= at => {
-                    self.lose(due.call, Silence::TimedOut, Outcome::TimedOut);
+                    self.lose(due.call, CallFailure::TimedOut, Outcome::TimedOut);
                 }
                 (_, Some(due)) => {
                     self.senders[due.sender].wake_at = None;
@@ -115,14 +115,21 @@
                 let overloaded = Outcome::Overloaded { retry_after };
                 self.answer(pick, Reply::Refused(Some(wait)), overloaded);
             }
-            Step::Reset(pick) => self.lose_picked(pick, Silence::Reset, Outcome::ConnectionLost),
-            Step::Withdrawn(pick) => self.lose_picked(pick, Silence::NeverSent, Outcome::NotSent),
+            Step::Reset(pick) => {
+                self.lose_picked(pick, CallFailure::Reset, Outcome::ConnectionLost)
+            }
+            Step::Withdrawn(pick) => {
+                self.lose_picked(pick, CallFailure::NeverSent, Outcome::NotSent)
+            }
             Step::Wait(span) => self.pass(span),
             Step::Drain(endpoint) => self.drain(endpoint),
             Step::OutageBegins(partner) => {
                 self.out.insert(partner);
                 self.recovered_at.remove(&partner);
-                self.fact(What::Out { partner, out: true });
+                self.fact(EventKind::Outage {
+                    partner,
+                    in_outage: true,
+                });
             }
             Step::OutageEnds(partner) => self.end_outage(partner),
             Step::Kill(sender) => self.kill(sender),
@@ -146,13 +153,16 @@
         if self.out.remove(&partner) {
             self.recovered_at.insert(partner, self.now);
             let out = false;
-            self.fact(What::Out { partner, out });
+            self.fact(EventKind::Outage {
+                partner,
+                in_outage: out,
+            });
         }
     }
 
     /// What is broken so far; the judge is told the time, as nothing else may happen any more.
     pub fn broken(&mut self) -> Vec<Rule> {
-        self.fact(What::Joins { sender: 0 });
+        self.fact(EventKind::SenderJoined { sender: 0 });
         self.judge.counts.keys().copied().collect()
     }
 
--- a/crates/lab/tests/runs.rs
+++ b/crates/lab/tests/runs.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-use martenlatch_lab::event_log::What;
+use martenlatch_lab::event_log::EventKind;
 use martenlatch_lab::experiment::Experiment;
 use martenlatch_lab::sim;
 use rstest::rstest;
@@ -53,28 +53,55 @@
 #[test]
 fn what_is_asked_for_does_happen() {
     // Guards against an experiment that passes since its failures never come.
-    let count = |name: &str, of: fn(&What) -> bool| {
+    let count = |name: &str, of: fn(&EventKind) -> bool| {
         let (x, mut seen) = (shipped(name), 0);
-        let sink = |f: &martenlatch_lab::event_log::LoggedEvent| seen += usize::from(of(&f.what));
+        let sink = |f: &martenlatch_lab::event_log::LoggedEvent| seen += usize::from(of(&f.kind));
         sim::play(&x, &x.variants[0], 1, Some(Box::new(sink))).unwrap();
         seen
     };
-    use martenlatch_lab::event_log::Silence::*;
+    use martenlatch_lab::event_log::CallFailure::*;
     use martenlatch_lab::model::partner::Reply;
-    assert_eq!(count("restart", |w| matches!(w, What::Gone { .. })), 3);
-    assert!(count("restart", |w| matches!(w, What::Ended { how: Died, .. })) > 3);
-    assert!(count("hang", |w| matches!(w, What::Ended { how: TimedOut, .. })) > 20);
-    assert!(count("network", |w| matches!(w, What::Ended { how: Reset, .. })) > 20);
+    assert_eq!(
+        count("restart", |w| matches!(w, EventKind::SenderEnded { .. })),
+        3
+    );
+    assert!(
+        count("restart", |w| matches!(
+            w,
+            EventKind::CallFailed {
+                cause: SenderEnded,
+                ..
+            }
+        )) > 3
+    );
+    assert!(
+        count("hang", |w| matches!(
+            w,
+            EventKind::CallFailed {
+                cause: TimedOut,
+                ..
+            }
+        )) > 20
+    );
     assert!(
         count("network", |w| matches!(
             w,
-            What::Ended { how: NeverSent, .. }
+            EventKind::CallFailed { cause: Reset, .. }
         )) > 20
     );
     assert!(
         count("network", |w| matches!(
             w,
-            What::Replied {
+            EventKind::CallFailed {
+                cause: NeverSent,
+                ..
+            }
+        )) > 20
+    );
+    assert!(
+        count("network", |w| matches!(
+            w,
+            EventKind::CallAnswered {
                 reply: Reply::Spoilt,
                 ..
             }
@@ -83,13 +110,16 @@
     assert!(
         count("rolling-replacement", |w| matches!(
             w,
-            What::Listed { on: false, .. }
+            EventKind::Listed {
+                in_service: false,
+                ..
+            }
         )) > 80
     );
     assert!(
         count("cold-return", |w| matches!(
             w,
-            What::Replied {
+            EventKind::CallAnswered {
                 reply: Reply::Refused(Some(_)),
                 ..
             }
