--- a/crates/lab/src/commands/compare.rs
+++ b/crates/lab/src/commands/compare.rs
@@ -2,7 +2,9 @@
 
 use std::path::Path;
 
-use martenlatch_lab::outcome::{ComparedFigure, FIGURES, Outcome, SampleStatistics, Variant};
+use martenlatch_lab::outcome::{
+    COMPARED_FIGURES, ComparedFigure, Outcome, SampleStatistics, Variant,
+};
 use miette::miette;
 
 use super::{Conclusion, report};
@@ -34,7 +36,7 @@
             continue;
         };
         println!("{}", variant.name);
-        for figure in FIGURES {
+        for figure in COMPARED_FIGURES {
             print_difference(variant, base, figure);
         }
     }
--- a/crates/lab/src/commands/run.rs
+++ b/crates/lab/src/commands/run.rs
@@ -1,4 +1,4 @@
-//! `run`: plays every variant of an experiment over the same seeds, and writes the result and its report.
+//! `run`: runs every variant of an experiment with the same seeds and writes the result and its report.
 
 use std::fs::File;
 use std::io::{self, BufWriter, Write};
@@ -10,7 +10,7 @@
 use martenlatch_lab::experiment::Experiment;
 use martenlatch_lab::outcome::Outcome;
 use martenlatch_lab::report::{self, Axes, Line, Point};
-use martenlatch_lab::run::{self, Machine, Use, VariantTurns};
+use martenlatch_lab::run::{self, TurnsByVariant, UsageByRun, VariantTurns};
 use martenlatch_lab::sim::{self, TurnStatistics};
 use martenlatch_lab::sockets::resource_usage::ResourceUsage;
 use miette::miette;
@@ -19,23 +19,23 @@
 use crate::cli::RunOptions;
 
 const NANOSECONDS_PER_MICROSECOND: f64 = 1e3;
-/// So many breaches of each run are printed.
-const BREACHES_PER_RUN: usize = 5;
+/// The maximum number of breaches that are printed for each run.
+const MAX_PRINTED_BREACHES: usize = 5;
 
-/// Plays an experiment.
+/// Runs an experiment.
 pub fn run(options: &RunOptions) -> miette::Result<Conclusion> {
     let file = find_experiment(&options.file);
     let mut experiment = Experiment::open(&file).map_err(report)?;
     experiment.seed = options.seed.unwrap_or(experiment.seed);
     experiment.repeats = options.repeats.unwrap_or(experiment.repeats).max(1);
-    let (outcome, machine_part) = play(&experiment, options)?;
+    let (outcome, machine_section) = run_variants(&experiment, options)?;
     let out = &options.out;
     outcome.write(out).map_err(report)?;
     let page = out.join("report.html");
-    let text = report::page(&outcome, &[machine_part]);
-    std::fs::write(&page, text).map_err(file_report(&page))?;
+    let html = report::page(&outcome, &[machine_section]);
+    std::fs::write(&page, html).map_err(file_report(&page))?;
     if options.facts {
-        write_facts(&experiment, out)?;
+        write_event_log(&experiment, out)?;
         std::fs::copy(&file, out.join("experiment.textproto")).map_err(file_report(out))?;
     }
     print!("{}", outcome.table());
@@ -44,7 +44,7 @@
     Ok(Conclusion::of(outcome.clean()))
 }
 
-/// The file of an experiment, or of a shipped one that is given by its name.
+/// The file of an experiment, which is given by a path or by the name of a shipped experiment.
 fn find_experiment(file: &Path) -> PathBuf {
     let is_path = file.extension().is_some() || file.components().count() > 1;
     if is_path || file.exists() {
@@ -53,34 +53,38 @@
     shipped_experiments().join(file).with_extension("textproto")
 }
 
-/// Plays in the form that was asked for; the outcome, and the report's part on the machine.
-fn play(experiment: &Experiment, options: &RunOptions) -> miette::Result<(Outcome, String)> {
+/// Runs in the requested mode. Returns the outcome and the section of the report on this machine.
+fn run_variants(
+    experiment: &Experiment,
+    options: &RunOptions,
+) -> miette::Result<(Outcome, String)> {
     let stop = stop_on_signal()?;
     if options.sockets {
-        let (outcome, used) = run::on_sockets(experiment, &stop, options.quiet).map_err(report)?;
-        Ok((outcome, usage_part(&used)))
+        let (outcome, usage) =
+            run::run_on_sockets(experiment, &stop, options.quiet).map_err(report)?;
+        Ok((outcome, usage_section(&usage)))
     } else {
-        let (outcome, machine) = run::simulate(experiment, &stop, options.quiet).map_err(report)?;
-        Ok((outcome, turn_cost_part(&machine)))
+        let (outcome, turns) = run::simulate(experiment, &stop, options.quiet).map_err(report)?;
+        Ok((outcome, turn_cost_section(&turns)))
     }
 }
 
-/// Set by Ctrl-C: no run is begun any more, and what was played is written.
+/// A flag that Ctrl-C sets: no further run starts, and the results of the finished runs are written.
 fn stop_on_signal() -> miette::Result<Arc<AtomicBool>> {
     let stop = Arc::new(AtomicBool::new(false));
     let on_signal = stop.clone();
     ctrlc::set_handler(move || on_signal.store(true, Ordering::Relaxed))
-        .map_err(|error| miette!("no signals: {error}"))?;
+        .map_err(|error| miette!("cannot install the Ctrl-C handler: {error}"))?;
     Ok(stop)
 }
 
-/// What turns of the decision module cost, as a part of the page.
-fn turn_cost_part(machine: &Machine) -> String {
+/// The section of the report on the durations of the turns of the decision module.
+fn turn_cost_section(turns_by_variant: &TurnsByVariant) -> String {
     let mut html = String::from(
         "<h2>Turns of the decision module on this machine</h2><table><tr><th>variant<th>held up to<th>turns\
          <th>mean µs<th>longest µs",
     );
-    for VariantTurns { variant, turns } in machine {
+    for VariantTurns { variant, turns } in turns_by_variant {
         let name = report::escaped(variant);
         for (bits, statistics) in &turns.by_held {
             let TurnStatistics {
@@ -88,20 +92,20 @@
                 total,
                 longest,
             } = *statistics;
-            let most_held = (1u64 << bits) - 1;
+            let max_held = (1u64 << bits) - 1;
             let mean = total as f64 / count as f64 / NANOSECONDS_PER_MICROSECOND;
             let longest = longest as f64 / NANOSECONDS_PER_MICROSECOND;
             html +=
-                &format!("<tr><td>{name}<td>{most_held}<td>{count}<td>{mean:.1}<td>{longest:.1}");
+                &format!("<tr><td>{name}<td>{max_held}<td>{count}<td>{mean:.1}<td>{longest:.1}");
         }
     }
     html + "</table>"
 }
 
-/// What senders used on sockets, as a part of the page.
-fn usage_part(used: &Use) -> String {
-    let memory = usage_lines(used, |now, _| now.memory_kb as f64 / 1024.0);
-    let cpu = usage_lines(used, |now, before| (now.cpu_ms - before.cpu_ms) / 10.0);
+/// The section of the report on the resource usage of the senders.
+fn usage_section(usage: &UsageByRun) -> String {
+    let memory = usage_lines(usage, |now, _| now.memory_kb as f64 / 1024.0);
+    let cpu = usage_lines(usage, |now, before| (now.cpu_ms - before.cpu_ms) / 10.0);
     let plot =
         |title: &str, lines: &[Line]| report::plot(title, Axes::linear("seconds"), lines, &[]);
     String::from("<h2>EventKind the senders used on this machine</h2>")
@@ -109,13 +113,14 @@
         + &plot("Processor of all senders, percent of a core", &cpu)
 }
 
-/// A line of each run, of what was used by each second and the one before it.
-fn usage_lines(used: &Use, value: fn(&ResourceUsage, &ResourceUsage) -> f64) -> Vec<Line> {
-    used.iter()
+/// One plot line per run; `value` receives the usage of a second and of the second before it.
+fn usage_lines(usage: &UsageByRun, value: fn(&ResourceUsage, &ResourceUsage) -> f64) -> Vec<Line> {
+    usage
+        .iter()
         .map(|run| Line {
             name: format!("{}, seed {}", run.variant, run.seed),
             points: run
-                .used
+                .per_second
                 .windows(2)
                 .zip(1_u32..)
                 .map(|(pair, second)| Point {
@@ -127,13 +132,13 @@
         .collect()
 }
 
-/// Plays the first variant's first seed once more, and writes what crossed.
-fn write_facts(experiment: &Experiment, out: &Path) -> miette::Result<()> {
+/// Runs the first variant with the first seed once more and writes its event log.
+fn write_event_log(experiment: &Experiment, out: &Path) -> miette::Result<()> {
     let path = out.join("facts.jsonl");
     let mut file = BufWriter::new(File::create(&path).map_err(file_report(&path))?);
     let mut first_error = None;
-    let sink = |fact: &LoggedEvent| {
-        if let Err(error) = write_fact(&mut file, fact) {
+    let sink = |event: &LoggedEvent| {
+        if let Err(error) = write_event(&mut file, event) {
             first_error.get_or_insert(error);
         }
     };
@@ -146,15 +151,15 @@
     }
 }
 
-fn write_fact(file: &mut impl Write, fact: &LoggedEvent) -> io::Result<()> {
-    serde_json::to_writer(&mut *file, fact)?;
+fn write_event(file: &mut impl Write, event: &LoggedEvent) -> io::Result<()> {
+    serde_json::to_writer(&mut *file, event)?;
     file.write_all(b"\n")
 }
 
 fn print_breaches(outcome: &Outcome) {
     for variant in &outcome.variants {
         for run in &variant.runs {
-            for breach in run.verdict.breaches.iter().take(BREACHES_PER_RUN) {
+            for breach in run.verdict.breaches.iter().take(MAX_PRINTED_BREACHES) {
                 println!("  {} seed {}: {breach}", variant.name, run.seed);
             }
         }
--- a/crates/lab/src/metrics/figures.rs
+++ b/crates/lab/src/metrics/figures.rs
@@ -1,71 +1,83 @@
-//! The figures of a run, as they stand in `result.json`.
+//! The figures of a run, as `result.json` stores them. The `rename` attributes keep the stored names.
 
 use serde::{Deserialize, Serialize};
 
 /// Figures of one second of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Second {
-    /// The worth of the messages that were first handed in then.
-    pub asked: f64,
-    /// How much of that was delivered, whenever that was.
-    pub got: f64,
-    /// Calls that were begun.
+pub struct SecondFigures {
+    /// The worth of the messages that were first submitted in this second.
+    #[serde(rename = "asked")]
+    pub submitted_worth: f64,
+    /// The part of that worth that was delivered, at any time.
+    #[serde(rename = "got")]
+    pub delivered_worth: f64,
+    /// Calls that were started.
     pub calls: u64,
     /// Calls that partners rejected.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected_calls: u64,
     /// Client requests that senders rejected.
-    pub turned_away: u64,
-    /// Most messages held, over all senders.
-    pub held: u64,
+    #[serde(rename = "turned_away")]
+    pub rejected_requests: u64,
+    /// The highest number of messages held, over all senders.
+    #[serde(rename = "held")]
+    pub max_held: u64,
 }
 
-/// Figures of a run. Times are in milliseconds; latency counts from the instant at which a message was planned to come.
+/// Figures of a run. Times are in milliseconds; latency is measured from the planned arrival of a message.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Figures {
     /// Messages of clients.
     pub messages: u64,
-    /// Those that were delivered.
+    /// Messages that were delivered.
     pub delivered: u64,
-    /// Worth delivered over worth asked for.
+    /// The delivered worth divided by the submitted worth.
     pub share: f64,
-    /// The same over the worst ten seconds.
+    /// The lowest such share over any ten consecutive seconds.
     pub worst_window: f64,
-    /// The same for the worst-served class.
+    /// The lowest such share of any class.
     pub worst_class: f64,
-    /// Half the whole share, three tenths the worst window, a fifth the worst class, less what rejections, wasted calls
-    /// and new connections cost.
+    /// Half the whole share, three tenths the worst window and a fifth the worst class, minus the costs of rejections,
+    /// wasted calls and new connections.
     pub score: f64,
     /// The median latency.
     pub p50: f64,
-    /// The latency that nine in ten deliveries keep below.
+    /// The 90th percentile of the latency.
     pub p90: f64,
-    /// The latency that ninety-nine in a hundred deliveries keep below.
+    /// The 99th percentile of the latency.
     pub p99: f64,
-    /// Calls for each message.
+    /// Calls per message.
     pub calls: f64,
-    /// Calls that were rejected, for each message.
-    pub refusals: f64,
-    /// New connections for each message.
+    /// Rejected calls per message.
+    #[serde(rename = "refusals")]
+    pub rejections: f64,
+    /// New connections per message.
     pub connections: f64,
-    /// Calls that ran and were not the delivery, for each message.
-    pub wasted: f64,
-    /// Status reports that a message may be handed in again.
+    /// Calls per message that ran and were not the delivery.
+    #[serde(rename = "wasted")]
+    pub wasted_calls: f64,
+    /// Status reports that a message may be submitted again.
     pub deferred: u64,
     /// Status reports that a message may have run and is given up.
     pub undeliverable: u64,
     /// Client requests that senders rejected.
-    pub turned_away: u64,
-    /// Most messages held at a time, over all senders.
-    pub held_most: u64,
-    /// Partners that collapsed while they warmed up.
-    pub toppled: u64,
-    /// Calls of senders that joined which were rejected, in their first ten seconds.
-    pub newcomer_refused: u64,
+    #[serde(rename = "turned_away")]
+    pub rejected_requests: u64,
+    /// The highest number of messages held at a time, over all senders.
+    #[serde(rename = "held_most")]
+    pub max_held: u64,
+    /// Partners that collapsed while warming up.
+    #[serde(rename = "toppled")]
+    pub collapses: u64,
+    /// Rejected calls of senders that joined, in their first ten seconds.
+    #[serde(rename = "newcomer_refused")]
+    pub newcomer_rejections: u64,
     /// Calls of senders that joined, in their first ten seconds.
     pub newcomer_calls: u64,
-    /// Calls of senders that joined, at any time, into a Retry-After that another sender had been told before, and
+    /// Calls of senders that joined, at any time, during a Retry-After that another sender had received earlier and
     /// still knew when they started.
-    pub into_waits: u64,
-    /// The run by the second.
-    pub seconds: Vec<Second>,
+    #[serde(rename = "into_waits")]
+    pub calls_into_retry_after: u64,
+    /// The figures of each second.
+    pub seconds: Vec<SecondFigures>,
 }
--- a/crates/lab/src/metrics/mod.rs
+++ b/crates/lab/src/metrics/mod.rs
@@ -1,5 +1,5 @@
-//! The figures of a run, counted from the same facts that the judge reads: worth asked for and delivered, latencies,
-//! rejections, attempts and connections, in all and by the second.
+//! The figures of a run, counted from the same events that the judge reads: submitted and delivered worth, latencies,
+//! rejections, attempts and connections, in total and per second.
 
 mod figures;
 mod newcomers;
@@ -13,88 +13,92 @@
 use crate::event_log::{EventKind, LoggedEvent};
 use crate::experiment::Class;
 use crate::model::partner::Reply;
-pub use figures::{Figures, Second};
+pub use figures::{Figures, SecondFigures};
 use newcomers::{Newcomers, Route};
 
-/// Answers by which a sender accepts a message.
+/// Statuses by which a sender accepts a message.
 const ACCEPTED_STATUSES: [u16; 2] = [200, 202];
 
-/// Latencies are kept in tenths of a millisecond up to an hour, to three digits.
+/// The latency histogram counts tenths of a millisecond.
 const LATENCY_UNITS_PER_MS: f64 = 10.0;
-const LONGEST_LATENCY: u64 = 36_000_000;
+/// The longest latency of the histogram: one hour, in its units.
+const MAX_LATENCY_UNITS: u64 = 36_000_000;
+/// The significant digits of the histogram.
 const LATENCY_DIGITS: u8 = 3;
 
-/// The worst window is so many seconds long.
+/// The length of the worst window, in seconds.
 const WINDOW_SECONDS: usize = 10;
 
-/// How the score weighs the parts of a run.
+/// The weights of the parts of the score.
 mod score_weight {
     pub const SHARE: f64 = 0.5;
     pub const WORST_WINDOW: f64 = 0.3;
     pub const WORST_CLASS: f64 = 0.2;
-    pub const REFUSALS: f64 = 0.05;
-    pub const WASTED: f64 = 0.05;
+    pub const REJECTIONS: f64 = 0.05;
+    pub const WASTED_CALLS: f64 = 0.05;
     pub const CONNECTIONS: f64 = 0.06;
 }
 
+/// A client's message.
 struct Message {
     class: u32,
-    first: Millis,
+    first_submitted: Millis,
     delivered: bool,
 }
 
 /// A call in flight.
 struct Call {
     origin: u64,
-    ran: bool,
+    executed: bool,
 }
 
-/// The worth of messages, and of those delivered.
+/// The submitted worth and its delivered part.
 #[derive(Clone, Copy, Default)]
 struct Worth {
-    asked: f64,
-    got: f64,
+    submitted: f64,
+    delivered: f64,
 }
 
 impl Worth {
-    /// The worth of several seconds together.
-    fn of_seconds(seconds: &[Second]) -> Worth {
+    /// The total worth of several seconds.
+    fn of_seconds(seconds: &[SecondFigures]) -> Worth {
         let mut sum = Worth::default();
         for second in seconds {
-            sum.asked += second.asked;
-            sum.got += second.got;
+            sum.submitted += second.submitted_worth;
+            sum.delivered += second.delivered_worth;
         }
         sum
     }
 
-    /// The part that was delivered; all where nothing was asked for.
+    /// The share that was delivered, or 1 if nothing was submitted.
     fn share(&self) -> f64 {
-        if self.asked > 0.0 {
-            self.got / self.asked
+        if self.submitted > 0.0 {
+            self.delivered / self.submitted
         } else {
             1.0
         }
     }
 }
 
-/// Counts facts.
+/// Counts the events of a run.
 pub struct Metrics {
     classes: Vec<Class>,
     start: Millis,
-    /// Clients' messages, and the one that each handed-in message is of.
+    /// Clients' messages by their origins.
     messages: HashMap<u64, Message>,
+    /// The client's message of each submission.
     origins: HashMap<u64, u64>,
     calls: HashMap<u64, Call>,
     newcomers: Newcomers,
     latency: Histogram<u64>,
     by_class: Vec<Worth>,
     connections: u64,
-    wasted: u64,
+    wasted_calls: u64,
     figures: Figures,
 }
 
 impl Metrics {
-    /// Counts from an instant, in which the first message may come, for a run of a length in milliseconds.
+    /// Counts a run of `length` milliseconds; its first message may arrive at `start`.
     pub fn new(classes: &[Class], start: Millis, length: Millis) -> Metrics {
         let seconds = (length / 1e3).ceil() as usize;
         Metrics {
@@ -104,40 +108,40 @@
             origins: HashMap::new(),
             calls: HashMap::new(),
             newcomers: Newcomers::default(),
-            latency: Histogram::new_with_bounds(1, LONGEST_LATENCY, LATENCY_DIGITS)
+            latency: Histogram::new_with_bounds(1, MAX_LATENCY_UNITS, LATENCY_DIGITS)
                 .expect("the bounds of the histogram are constants that it allows"),
             by_class: vec![Worth::default(); classes.len()],
             connections: 0,
-            wasted: 0,
+            wasted_calls: 0,
             figures: Figures {
-                seconds: vec![Second::default(); seconds],
+                seconds: vec![SecondFigures::default(); seconds],
                 ..Figures::default()
             },
         }
     }
 
-    /// The second that an instant lies in; the last one for all that comes after the run's length.
-    fn second(&mut self, at: Millis) -> &mut Second {
+    /// The figures of the second that contains `at`. All times after the end of the run count to the last second.
+    fn second(&mut self, at: Millis) -> &mut SecondFigures {
         let last = self.figures.seconds.len() - 1;
         let second = ((at - self.start) / 1e3).max(0.0) as usize;
         &mut self.figures.seconds[second.min(last)]
     }
 
-    /// Takes the next fact.
-    pub fn observe(&mut self, fact: &LoggedEvent) {
-        let at = fact.at;
-        match fact.kind {
+    /// Counts the next event.
+    pub fn observe(&mut self, event: &LoggedEvent) {
+        let at = event.at;
+        match event.kind {
             EventKind::Submitted {
                 origin,
                 id,
                 class,
                 first,
                 ..
-            } => self.handed_in(id, origin, class, first),
+            } => self.message_submitted(id, origin, class, first),
             EventKind::ClientAnswered { status, .. } => self.client_answered(status, at),
             EventKind::SenderJoined { sender } => self.newcomers.joined(sender, at),
             EventKind::SenderEnded { sender } => self.newcomers.sender_ended(sender),
-            EventKind::Collapsed { .. } => self.figures.toppled += 1,
+            EventKind::Collapsed { .. } => self.figures.collapses += 1,
             EventKind::CallStarted {
                 call,
                 id,
@@ -148,106 +152,112 @@
             } => {
                 let route = Route { partner, sender };
                 self.newcomers
-                    .call_begins(call, route, at, &mut self.figures);
-                self.call_begins(call, id, fresh, at);
+                    .call_started(call, route, at, &mut self.figures);
+                self.call_started(call, id, fresh, at);
             }
             EventKind::CallExecuted { call } => {
                 if let Some(call) = self.calls.get_mut(&call) {
-                    call.ran = true;
+                    call.executed = true;
                 }
             }
-            EventKind::CallAnswered { call, reply } => self.call_replied(call, reply, at),
-            EventKind::CallFailed { call, .. } => self.call_ended(call),
+            EventKind::CallAnswered { call, reply } => self.call_answered(call, reply, at),
+            EventKind::CallFailed { call, .. } => self.call_failed(call),
             EventKind::StatusReport { deferred: true, .. } => self.figures.deferred += 1,
             EventKind::StatusReport { .. } => self.figures.undeliverable += 1,
             _ => {}
         }
     }
 
-    fn handed_in(&mut self, id: u64, origin: u64, class: u32, first: Millis) {
+    fn message_submitted(&mut self, id: u64, origin: u64, class: u32, first_submitted: Millis) {
         self.origins.insert(id, origin);
-        if let Entry::Vacant(fresh) = self.messages.entry(origin) {
-            fresh.insert(Message {
+        if let Entry::Vacant(entry) = self.messages.entry(origin) {
+            entry.insert(Message {
                 class,
-                first,
+                first_submitted,
                 delivered: false,
             });
             self.figures.messages += 1;
-            self.second(first).asked += 1.0;
-            self.by_class[class as usize].asked += 1.0;
+            self.second(first_submitted).submitted_worth += 1.0;
+            self.by_class[class as usize].submitted += 1.0;
         }
     }
 
     fn client_answered(&mut self, status: u16, at: Millis) {
         if !ACCEPTED_STATUSES.contains(&status) {
-            self.figures.turned_away += 1;
-            self.second(at).turned_away += 1;
+            self.figures.rejected_requests += 1;
+            self.second(at).rejected_requests += 1;
         }
     }
 
-    fn call_begins(&mut self, call: u64, id: u64, fresh: bool, at: Millis) {
-        self.connections += u64::from(fresh);
+    fn call_started(&mut self, call: u64, id: u64, new_connection: bool, at: Millis) {
+        self.connections += u64::from(new_connection);
         self.second(at).calls += 1;
         self.figures.calls += 1.0;
         if let Some(origin) = self.origins.get(&id).copied() {
-            self.calls.insert(call, Call { origin, ran: false });
+            self.calls.insert(
+                call,
+                Call {
+                    origin,
+                    executed: false,
+                },
+            );
         }
     }
 
-    fn call_replied(&mut self, number: u64, reply: Reply, at: Millis) {
+    fn call_answered(&mut self, number: u64, reply: Reply, at: Millis) {
         if let Reply::Refused(retry_after) = reply {
             self.newcomers
                 .rejected(number, retry_after, at, &mut self.figures);
         }
-        self.newcomers.call_over(number);
+        self.newcomers.call_ended(number);
         let Some(call) = self.calls.remove(&number) else {
             return;
         };
         match reply {
-            Reply::Served => self.served(call.origin, at),
+            Reply::Served => self.message_delivered(call.origin, at),
             Reply::Refused(_) => {
-                self.figures.refusals += 1.0;
-                self.second(at).refused += 1;
+                self.figures.rejections += 1.0;
+                self.second(at).rejected_calls += 1;
             }
-            Reply::Failed | Reply::Spoilt => self.wasted += 1,
+            Reply::Failed | Reply::Spoilt => self.wasted_calls += 1,
         }
     }
 
-    fn call_ended(&mut self, number: u64) {
-        self.newcomers.call_over(number);
+    fn call_failed(&mut self, number: u64) {
+        self.newcomers.call_ended(number);
         if let Some(call) = self.calls.remove(&number) {
-            self.wasted += u64::from(call.ran);
+            self.wasted_calls += u64::from(call.executed);
         }
     }
 
-    fn served(&mut self, origin: u64, at: Millis) {
+    fn message_delivered(&mut self, origin: u64, at: Millis) {
         let Some(message) = self.messages.get_mut(&origin) else {
             return;
         };
         if message.delivered {
-            self.wasted += 1;
+            self.wasted_calls += 1;
             return;
         }
         message.delivered = true;
         let class = message.class as usize;
-        let first = message.first;
-        let latency = at - first;
+        let first_submitted = message.first_submitted;
+        let latency = at - first_submitted;
         let worth = self.classes[class].worth(latency);
-        self.by_class[class].got += worth;
-        self.second(first).got += worth;
+        self.by_class[class].delivered += worth;
+        self.second(first_submitted).delivered_worth += worth;
         self.figures.delivered += 1;
         let units = (latency * LATENCY_UNITS_PER_MS) as u64;
         self.latency.saturating_record(units.max(1));
     }
 
-    /// Notes how many messages are held now.
-    pub fn held(&mut self, at: Millis, held: u64) {
+    /// Records the number of messages held at a time, over all senders.
+    pub fn record_held(&mut self, at: Millis, held: u64) {
         let second = self.second(at);
-        second.held = second.held.max(held);
-        self.figures.held_most = self.figures.held_most.max(held);
+        second.max_held = second.max_held.max(held);
+        self.figures.max_held = self.figures.max_held.max(held);
     }
 
-    /// The figures of the whole run.
+    /// Computes the figures of the whole run.
     pub fn end(mut self) -> Figures {
         self.add_shares();
         self.add_costs();
@@ -268,14 +278,14 @@
         figures.worst_class = self.by_class.iter().map(Worth::share).fold(1.0, f64::min);
     }
 
-    /// What messages cost, each.
+    /// Computes the costs per message.
     fn add_costs(&mut self) {
         let figures = &mut self.figures;
         let messages = figures.messages.max(1) as f64;
         figures.calls /= messages;
-        figures.refusals /= messages;
+        figures.rejections /= messages;
         figures.connections = self.connections as f64 / messages;
-        figures.wasted = self.wasted as f64 / messages;
+        figures.wasted_calls = self.wasted_calls as f64 / messages;
     }
 
     fn add_latencies(&mut self) {
@@ -291,7 +301,7 @@
     score_weight::SHARE * figures.share
         + score_weight::WORST_WINDOW * figures.worst_window
         + score_weight::WORST_CLASS * figures.worst_class
-        - score_weight::REFUSALS * figures.refusals.min(1.0)
-        - score_weight::WASTED * figures.wasted.min(1.0)
+        - score_weight::REJECTIONS * figures.rejections.min(1.0)
+        - score_weight::WASTED_CALLS * figures.wasted_calls.min(1.0)
         - score_weight::CONNECTIONS * figures.connections.min(1.0)
 }
--- a/crates/lab/src/metrics/newcomers.rs
+++ b/crates/lab/src/metrics/newcomers.rs
@@ -1,5 +1,5 @@
-//! How senders that join a running group behave at first: calls that are rejected, and calls into a Retry-After that the
-//! others knew of.
+//! The first calls of senders that join a running group: rejected calls, and calls during a Retry-After that the other
+//! senders knew.
 
 use std::collections::{HashMap, HashSet};
 
@@ -7,16 +7,16 @@
 
 use super::figures::Figures;
 
-/// What counts as a newcomer's first time.
-const FIRST_SECONDS: Millis = 10_000.0;
-/// A Retry-After has come to its sender after so long.
-const TRAVEL: Millis = 100.0;
+/// How long after it joins the calls of a newcomer count as its first calls, in milliseconds.
+const FIRST_CALLS_PERIOD: Millis = 10_000.0;
+/// A Retry-After reaches its sender within this time, in milliseconds.
+const MAX_TRAVEL_TIME: Millis = 100.0;
 
 /// A sender that joined.
 struct Newcomer {
-    since: Millis,
-    /// Until when each partner had told another sender to wait.
-    known_waits: HashMap<u32, Millis>,
+    joined_at: Millis,
+    /// The end of the longest Retry-After of each partner that another sender knew when this one joined.
+    known_retry_after: HashMap<u32, Millis>,
 }
 
 /// A partner and a sender that calls it.
@@ -26,65 +26,65 @@
     pub sender: u32,
 }
 
-/// A Retry-After.
+/// A Retry-After that a partner sent to a sender.
 #[derive(Clone, Copy, Default)]
-struct Wait {
+struct RetryAfter {
     until: Millis,
-    told: Millis,
+    received_at: Millis,
 }
 
-/// Counts what newcomers do.
+/// Counts the calls of newcomers.
 #[derive(Default)]
 pub(super) struct Newcomers {
-    /// The longest Retry-After in force of each partner for each sender that still runs.
-    waits: HashMap<Route, Wait>,
+    /// The longest Retry-After of each partner for each sender that is still running.
+    retry_after: HashMap<Route, RetryAfter>,
     newcomers: HashMap<u32, Newcomer>,
-    /// Calls of newcomers within their first time.
+    /// Calls in flight that newcomers started within `FIRST_CALLS_PERIOD`.
     first_calls: HashSet<u64>,
     /// The routes of calls in flight.
     routes: HashMap<u64, Route>,
 }
 
 impl Newcomers {
-    /// A sender joins: notes what the others know by then.
+    /// A sender joins: records which Retry-After the other senders know by then.
     pub fn joined(&mut self, sender: u32, at: Millis) {
-        let mut known_waits = HashMap::<u32, Millis>::new();
-        for (route, wait) in &self.waits {
-            // One that is on its way to its sender is not known yet.
-            if wait.told + TRAVEL < at {
-                let longest = known_waits.entry(route.partner).or_default();
+        let mut known_retry_after = HashMap::<u32, Millis>::new();
+        for (route, wait) in &self.retry_after {
+            // A Retry-After that is still on its way to its sender is not known yet.
+            if wait.received_at + MAX_TRAVEL_TIME < at {
+                let longest = known_retry_after.entry(route.partner).or_default();
                 *longest = longest.max(wait.until);
             }
         }
         let newcomer = Newcomer {
-            since: at,
-            known_waits,
+            joined_at: at,
+            known_retry_after,
         };
         self.newcomers.insert(sender, newcomer);
     }
 
-    /// A sender's process has ended, and with it what it knew.
+    /// A sender's process has ended, which loses every Retry-After that it knew.
     pub fn sender_ended(&mut self, sender: u32) {
-        self.waits.retain(|route, _| route.sender != sender);
+        self.retry_after.retain(|route, _| route.sender != sender);
     }
 
-    /// A call begins.
-    pub fn call_begins(&mut self, call: u64, route: Route, at: Millis, figures: &mut Figures) {
+    /// A call starts.
+    pub fn call_started(&mut self, call: u64, route: Route, at: Millis, figures: &mut Figures) {
         self.routes.insert(call, route);
         let Some(newcomer) = self.newcomers.get(&route.sender) else {
             return;
         };
-        let known_wait = newcomer.known_waits.get(&route.partner);
-        if known_wait.is_some_and(|until| at < *until) {
-            figures.into_waits += 1;
+        let known_until = newcomer.known_retry_after.get(&route.partner);
+        if known_until.is_some_and(|until| at < *until) {
+            figures.calls_into_retry_after += 1;
         }
-        if at < newcomer.since + FIRST_SECONDS {
+        if at < newcomer.joined_at + FIRST_CALLS_PERIOD {
             figures.newcomer_calls += 1;
             self.first_calls.insert(call);
         }
     }
 
-    /// A call was rejected, perhaps with a Retry-After.
+    /// A partner rejected a call, possibly with a Retry-After.
     pub fn rejected(
         &mut self,
         call: u64,
@@ -92,20 +92,23 @@
         at: Millis,
         figures: &mut Figures,
     ) {
-        let first = self.first_calls.contains(&call);
+        let is_first_call = self.first_calls.contains(&call);
         let Some(route) = self.routes.get(&call).copied() else {
             return;
         };
-        figures.newcomer_refused += u64::from(first);
+        figures.newcomer_rejections += u64::from(is_first_call);
         let until = at + retry_after.unwrap_or(0.0);
-        let known = self.waits.entry(route).or_default();
+        let known = self.retry_after.entry(route).or_default();
         if until > known.until {
-            *known = Wait { until, told: at };
+            *known = RetryAfter {
+                until,
+                received_at: at,
+            };
         }
     }
 
-    /// A call is over.
-    pub fn call_over(&mut self, call: u64) {
+    /// A call has ended.
+    pub fn call_ended(&mut self, call: u64) {
         self.first_calls.remove(&call);
         self.routes.remove(&call);
     }
--- a/crates/lab/src/outcome.rs
+++ b/crates/lab/src/outcome.rs
@@ -1,5 +1,6 @@
-//! What an experiment leaves behind: the runs of every variant, the comparison of each with the first over the same
-//! seeds, and the file that holds them. It has only what the seeds decide, and no figures of the machine.
+//! The outcome of an experiment: the runs of every variant, the comparison of each variant with the first over the same
+//! seeds, and the file that stores them. It contains only values that follow from the seeds, and no measurements of the
+//! machine.
 
 use std::path::Path;
 
@@ -9,14 +10,14 @@
 use crate::judge::Verdict;
 use crate::metrics::Figures;
 
-/// One variant with one seed.
+/// The run of one variant with one seed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Run {
     /// The seed.
     pub seed: u64,
     /// The run's figures.
     pub figures: Figures,
-    /// What the judge found.
+    /// The verdict of the judge.
     pub verdict: Verdict,
 }
 
@@ -25,17 +26,17 @@
 pub struct Variant {
     /// The variant's name.
     pub name: String,
-    /// Its runs, by their seeds.
+    /// Its runs, in the order of their seeds.
     pub runs: Vec<Run>,
 }
 
 impl Variant {
-    /// A figure of all runs.
+    /// The values of a figure in all runs.
     pub fn values(&self, figure: fn(&Figures) -> f64) -> Vec<f64> {
         self.runs.iter().map(|run| figure(&run.figures)).collect()
     }
 
-    /// The differences of a figure from that of another variant, seed by seed where both have played it.
+    /// The differences of a figure from that of another variant, for each seed that both have run.
     pub fn differences(&self, base: &Variant, figure: fn(&Figures) -> f64) -> Vec<f64> {
         self.runs
             .iter()
@@ -51,32 +52,37 @@
     }
 }
 
-/// A stretch of time in which something went wrong, for the plots.
+/// A period of an injected failure, which plots shade.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FailureSpan {
-    /// What went wrong.
-    pub what: String,
-    /// When it began, in seconds from the start of the run.
+    /// The kind of failure.
+    #[serde(rename = "what")]
+    pub failure: String,
+    /// Its start, in seconds from the start of the run.
     pub start_s: f64,
-    /// When it was over.
+    /// Its end, in seconds from the start of the run.
     pub end_s: f64,
 }
 
-/// An experiment as played. The same file, seeds and program give the same bytes.
+/// The outcome of an experiment. The same file, seeds and program give the same bytes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Outcome {
     /// The experiment's name.
     pub experiment: String,
-    /// What it is about.
-    pub about: String,
+    /// A description of the experiment.
+    #[serde(rename = "about")]
+    pub description: String,
     /// `sim` or `sockets`.
-    pub form: String,
+    #[serde(rename = "form")]
+    pub mode: String,
     /// The length of a run in seconds.
     pub length_s: f64,
-    /// Not all runs were played.
-    pub cut_short: bool,
-    /// What went wrong when.
-    pub shades: Vec<FailureSpan>,
+    /// Whether some of the runs were not carried out.
+    #[serde(rename = "cut_short")]
+    pub incomplete: bool,
+    /// The periods of the injected failures.
+    #[serde(rename = "shades")]
+    pub failure_spans: Vec<FailureSpan>,
     /// The variants; the others are compared with the first.
     pub variants: Vec<Variant>,
 }
@@ -86,7 +92,7 @@
 pub struct ComparedFigure {
     /// Its name in tables.
     pub name: &'static str,
-    /// How it is read from a run.
+    /// Reads it from the figures of a run.
     pub read: fn(&Figures) -> f64,
 }
 
@@ -94,8 +100,8 @@
     ComparedFigure { name, read }
 }
 
-/// The figures that are compared.
-pub const FIGURES: &[ComparedFigure] = &[
+/// All figures that are compared.
+pub const COMPARED_FIGURES: &[ComparedFigure] = &[
     compared("score", |f| f.score),
     compared("share served", |f| f.share),
     compared("worst 10 s", |f| f.worst_window),
@@ -104,27 +110,29 @@
     compared("p90 ms", |f| f.p90),
     compared("p99 ms", |f| f.p99),
     compared("calls a message", |f| f.calls),
-    compared("refusals a message", |f| f.refusals),
-    compared("wasted calls a message", |f| f.wasted),
+    compared("refusals a message", |f| f.rejections),
+    compared("wasted calls a message", |f| f.wasted_calls),
     compared("connections a message", |f| f.connections),
-    compared("held at most", |f| f.held_most as f64),
-    compared("toppled", |f| f.toppled as f64),
-    compared("newcomer refused in 10 s", |f| f.newcomer_refused as f64),
+    compared("held at most", |f| f.max_held as f64),
+    compared("toppled", |f| f.collapses as f64),
+    compared("newcomer refused in 10 s", |f| f.newcomer_rejections as f64),
     compared("newcomer calls in 10 s", |f| f.newcomer_calls as f64),
-    compared("calls into known waits", |f| f.into_waits as f64),
+    compared("calls into known waits", |f| {
+        f.calls_into_retry_after as f64
+    }),
 ];
 
-/// Values over the seeds, in short.
+/// The mean and standard deviation of a sample.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SampleStatistics {
-    /// The mean; not a number where there are no values.
+    /// The mean, or NaN if there are no values.
     pub mean: f64,
-    /// The standard deviation of a sample; zero for a single value.
+    /// The standard deviation of the sample: NaN if there are no values, 0 for a single value.
     pub deviation: f64,
 }
 
 impl SampleStatistics {
-    /// Mean and deviation of values.
+    /// Computes the mean and the standard deviation of `values`.
     pub fn of(values: &[f64]) -> SampleStatistics {
         if values.is_empty() {
             return SampleStatistics {
@@ -134,10 +142,10 @@
         }
         let count = values.len() as f64;
         let mean = values.iter().sum::<f64>() / count;
-        let squares = values.iter().map(|value| (value - mean).powi(2));
-        let sum = squares.sum::<f64>();
+        let squared_errors = values.iter().map(|value| (value - mean).powi(2));
+        let squared_error = squared_errors.sum::<f64>();
         let deviation = if values.len() > 1 {
-            (sum / (count - 1.0)).sqrt()
+            (squared_error / (count - 1.0)).sqrt()
         } else {
             0.0
         };
@@ -157,31 +165,32 @@
     /// Writes `result.json` into a folder.
     ///
     /// # Errors
-    /// Where the folder cannot be written to; the text names the file.
+    /// If the folder cannot be written to; the text names the file.
     pub fn write(&self, folder: &Path) -> Result<(), LabError> {
         std::fs::create_dir_all(folder).map_err(LabError::file(folder))?;
         let file = folder.join("result.json");
         let text = serde_json::to_string_pretty(self).map_err(LabError::json(&file))?;
-        // Complete or not at all, whatever ends us.
-        let fresh = folder.join("result.json.new");
-        std::fs::write(&fresh, text + "\n")
-            .and_then(|()| std::fs::rename(&fresh, &file))
+        // Writing a new file and renaming it leaves the old or the complete new file if the process ends meanwhile.
+        let new_file = folder.join("result.json.new");
+        std::fs::write(&new_file, text + "\n")
+            .and_then(|()| std::fs::rename(&new_file, &file))
             .map_err(LabError::file(&file))
     }
 
     /// Reads `result.json` from a folder.
     ///
     /// # Errors
-    /// Where it is not there, or is none; the text names the file.
+    /// If the file cannot be read or does not contain an outcome; the text names the file.
     pub fn open(folder: &Path) -> Result<Outcome, LabError> {
         let file = folder.join("result.json");
         let text = std::fs::read_to_string(&file).map_err(LabError::file(&file))?;
         serde_json::from_str(&text).map_err(LabError::json(&file))
     }
 
-    /// A table in plain text: each variant, and its difference from the first with the spread over the seeds.
+    /// A plain-text table: the figures of each variant and their differences from the first, with the standard
+    /// deviations over the seeds.
     pub fn table(&self) -> String {
-        let mut text = format!("{} ({})\n", self.experiment, self.form);
+        let mut text = format!("{} ({})\n", self.experiment, self.mode);
         let Some(base) = self.variants.first() else {
             return text;
         };
@@ -192,7 +201,7 @@
                 variant.runs.len(),
                 variant.breaches()
             );
-            for figure in FIGURES {
+            for figure in COMPARED_FIGURES {
                 text += table_line(variant, base, figure).trim_end();
                 text += "\n";
             }
--- a/crates/lab/src/report/html.rs
+++ b/crates/lab/src/report/html.rs
@@ -18,12 +18,12 @@
 /// The page's beginning, with what was played and how.
 pub(super) fn head(outcome: &Outcome) -> String {
     let name = escaped(&outcome.experiment);
-    let about = escaped(&outcome.about);
-    let form = match outcome.form.as_str() {
+    let about = escaped(&outcome.description);
+    let form = match outcome.mode.as_str() {
         "sim" => "In simulated time",
         _ => "On sockets",
     };
-    let cut_short = if outcome.cut_short {
+    let cut_short = if outcome.incomplete {
         ", <b>cut short: not every run was played</b>"
     } else {
         ""
--- a/crates/lab/src/report/mod.rs
+++ b/crates/lab/src/report/mod.rs
@@ -5,8 +5,8 @@
 
 use std::fmt::Write;
 
-use crate::metrics::{Figures, Second};
-use crate::outcome::{FIGURES, FailureSpan, Outcome, SampleStatistics, Variant};
+use crate::metrics::{Figures, SecondFigures};
+use crate::outcome::{COMPARED_FIGURES, FailureSpan, Outcome, SampleStatistics, Variant};
 pub use html::escaped;
 pub use plot::{Axes, Line, Point, plot};
 
@@ -19,7 +19,7 @@
     page += &comparison(outcome);
     page += &plots_over_time(outcome);
     page += &latency_plot(outcome);
-    page += &failures(&outcome.shades);
+    page += &failures(&outcome.failure_spans);
     page += &breaches(&outcome.variants);
     for part in machine {
         page += part;
@@ -37,7 +37,7 @@
             table += "<th>against the first";
         }
     }
-    for figure in FIGURES {
+    for figure in COMPARED_FIGURES {
         let _ = write!(table, "<tr><td>{}", figure.name);
         for (number, variant) in outcome.variants.iter().enumerate() {
             let own = SampleStatistics::of(&variant.values(figure.read));
@@ -69,22 +69,26 @@
 fn plots_over_time(outcome: &Outcome) -> String {
     let plot = |title: &str, points: &dyn Fn(&Variant) -> Vec<Point>| {
         let axes = Axes::linear("seconds");
-        plot(title, axes, &lines(outcome, points), &outcome.shades)
+        plot(title, axes, &lines(outcome, points), &outcome.failure_spans)
     };
     let mut plots = String::new();
     plots += &plot(
         "Share served, by when it was first handed in",
         &share_served,
     );
-    plots += &plot("Worth delivered a second", &|v| over_time(v, |s| s.got));
+    plots += &plot("Worth delivered a second", &|v| {
+        over_time(v, |s| s.delivered_worth)
+    });
     plots += &plot("Calls a second", &|v| over_time(v, |s| s.calls as f64));
-    plots += &plot("Refusals a second", &|v| over_time(v, |s| s.refused as f64));
-    plots += &plot("Messages held", &|v| over_time(v, |s| s.held as f64));
+    plots += &plot("Refusals a second", &|v| {
+        over_time(v, |s| s.rejected_calls as f64)
+    });
+    plots += &plot("Messages held", &|v| over_time(v, |s| s.max_held as f64));
     plots
 }
 
 /// One figure of each second, the mean over the seeds.
-fn over_time(variant: &Variant, read: fn(&Second) -> f64) -> Vec<Point> {
+fn over_time(variant: &Variant, read: fn(&SecondFigures) -> f64) -> Vec<Point> {
     let seconds = |run: &crate::outcome::Run| run.figures.seconds.len();
     let longest = variant.runs.iter().map(seconds).max().unwrap_or(0);
     (0..longest)
@@ -105,8 +109,8 @@
 
 /// The share that was delivered of the worth asked for in each second, smoothed over three.
 fn share_served(variant: &Variant) -> Vec<Point> {
-    let asked = over_time(variant, |second| second.asked);
-    let got = over_time(variant, |second| second.got);
+    let asked = over_time(variant, |second| second.submitted_worth);
+    let got = over_time(variant, |second| second.delivered_worth);
     let smoothed = |line: &[Point], at: usize| {
         line[at.saturating_sub(1)..(at + 2).min(line.len())]
             .iter()
@@ -148,7 +152,7 @@
     }
     let mut list = String::from("<h2>What went wrong</h2><ul>");
     for shade in shades {
-        let what = escaped(&shade.what);
+        let what = escaped(&shade.failure);
         let _ = write!(
             list,
             "<li>{what}: {:.1} to {:.1} s</li>",
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -1,5 +1,5 @@
-//! The runs of an experiment: every variant with the same seeds, in simulated time on as many threads as there are
-//! cores, or on sockets one by one. The order in which runs end does not show in the outcome.
+//! Runs an experiment: every variant with the same seeds, either in simulated time on as many threads as there are
+//! cores, or on sockets one run at a time. The outcome does not depend on the order in which the runs end.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -12,76 +12,76 @@
 use crate::sim::{self, SimulatedRun, Turns};
 use crate::sockets::{self, resource_usage::ResourceUsage};
 
-/// A run on sockets is repeated at most so often in all where the machine was too busy.
-const SOCKET_ATTEMPTS: u32 = 3;
-/// A failure is shaded in a plot for at least so many milliseconds.
-const LEAST_SHADE: f64 = 100.0;
+/// The maximum number of attempts at a run on sockets if the machine is too busy.
+const MAX_SOCKET_ATTEMPTS: u32 = 3;
+/// The minimum duration for which plots shade a failure, in milliseconds.
+const MIN_SHADED_DURATION: f64 = 100.0;
 
-/// What the turns of a variant took on this machine.
+/// The durations of the turns of a variant on this machine.
 #[derive(Clone, Debug)]
 pub struct VariantTurns {
     /// The variant's name.
     pub variant: String,
-    /// Its turns over all runs.
+    /// The turns of all its runs.
     pub turns: Turns,
 }
 
-/// What a machine measured beside the outcome, one entry a variant.
-pub type Machine = Vec<VariantTurns>;
+/// The turns of all variants on this machine, in the order of the variants. They are not part of the outcome.
+pub type TurnsByVariant = Vec<VariantTurns>;
 
-/// What senders used in a run on sockets.
+/// The resource usage of the senders in a run on sockets.
 #[derive(Debug)]
 pub struct RunUsage {
     /// The variant's name.
     pub variant: String,
     /// The run's seed.
     pub seed: u64,
-    /// The use by the second.
-    pub used: Vec<ResourceUsage>,
+    /// The usage in each second.
+    pub per_second: Vec<ResourceUsage>,
 }
 
-/// What senders used in each run on sockets.
-pub type Use = Vec<RunUsage>;
+/// The resource usage of the senders in each run on sockets.
+pub type UsageByRun = Vec<RunUsage>;
 
-/// One run to do.
+/// A run that is to be carried out.
 #[derive(Clone, Copy)]
-struct Job {
+struct PlannedRun {
     variant: usize,
     seed: u64,
 }
 
-/// One run that was done.
-struct Done {
-    job: Job,
-    played: Result<SimulatedRun, LabError>,
+/// A run that was carried out.
+struct FinishedRun {
+    planned: PlannedRun,
+    result: Result<SimulatedRun, LabError>,
 }
 
-/// Runs an experiment in simulated time. Once `stop` is set, no run is begun any more; what was done is kept.
+/// Runs an experiment in simulated time. Once `stop` is set, no further run starts; the finished runs are kept.
 ///
 /// # Errors
-/// Where the decision module rejects a variant's settings.
+/// If the decision module rejects the settings of a variant.
 pub fn simulate(
     experiment: &Experiment,
     stop: &Arc<AtomicBool>,
     quiet: bool,
-) -> Result<(Outcome, Machine), LabError> {
-    let jobs = jobs(experiment);
-    let bar = progress_bar(experiment, jobs.len() as u64, quiet);
-    let done = run_jobs(experiment, &jobs, stop, &bar);
+) -> Result<(Outcome, TurnsByVariant), LabError> {
+    let planned_runs = planned_runs(experiment);
+    let bar = progress_bar(experiment, planned_runs.len() as u64, quiet);
+    let finished_runs = run_all(experiment, &planned_runs, stop, &bar);
     bar.finish_and_clear();
-    let cut_short = done.len() < jobs.len();
+    let incomplete = finished_runs.len() < planned_runs.len();
     let mut variants = variants_without_runs(experiment);
-    let mut machine: Machine = variants.iter().map(no_turns).collect();
-    for Done { job, played } in done {
-        let played = played?;
-        machine[job.variant].turns.add_all(&played.turns);
-        variants[job.variant].runs.push(Run {
-            seed: job.seed,
-            figures: played.figures,
-            verdict: played.verdict,
+    let mut turns: TurnsByVariant = variants.iter().map(no_turns).collect();
+    for FinishedRun { planned, result } in finished_runs {
+        let run = result?;
+        turns[planned.variant].turns.add_all(&run.turns);
+        variants[planned.variant].runs.push(Run {
+            seed: planned.seed,
+            figures: run.figures,
+            verdict: run.verdict,
         });
     }
-    Ok((outcome(experiment, "sim", variants, cut_short), machine))
+    Ok((outcome(experiment, "sim", variants, incomplete), turns))
 }
 
 fn seeds(experiment: &Experiment) -> impl Iterator<Item = u64> {
@@ -89,32 +89,33 @@
     (0..u64::from(experiment.repeats)).map(move |number| first + number)
 }
 
-/// All runs of an experiment, seed by seed.
-fn jobs(experiment: &Experiment) -> Vec<Job> {
+/// All runs of an experiment, ordered by seed and then by variant.
+fn planned_runs(experiment: &Experiment) -> Vec<PlannedRun> {
     let variants = experiment.variants.len();
     seeds(experiment)
-        .flat_map(|seed| (0..variants).map(move |variant| Job { variant, seed }))
+        .flat_map(|seed| (0..variants).map(move |variant| PlannedRun { variant, seed }))
         .collect()
 }
 
-/// Does the runs on as many threads as there are cores. Sorted by variant and seed.
-fn run_jobs(
+/// Carries out the runs on as many threads as there are cores. The result is sorted by variant and seed.
+fn run_all(
     experiment: &Experiment,
-    jobs: &[Job],
+    planned_runs: &[PlannedRun],
     stop: &AtomicBool,
     bar: &ProgressBar,
-) -> Vec<Done> {
+) -> Vec<FinishedRun> {
     let next = AtomicUsize::new(0);
-    let done = Mutex::new(Vec::new());
+    let finished_runs = Mutex::new(Vec::new());
     let cores = std::thread::available_parallelism().map_or(1, |cores| cores.get());
     std::thread::scope(|scope| {
-        for _ in 0..cores.min(jobs.len()) {
+        for _ in 0..cores.min(planned_runs.len()) {
             scope.spawn(|| {
-                while let Some(job) = jobs.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let Some(finished) = run_job(experiment, *job, stop) else {
+                while let Some(planned) = planned_runs.get(next.fetch_add(1, Ordering::Relaxed)) {
+                    let Some(finished) = run_until_stopped(experiment, *planned, stop) else {
                         return;
                     };
-                    done.lock()
+                    finished_runs
+                        .lock()
                         .unwrap_or_else(PoisonError::into_inner)
                         .push(finished);
                     bar.inc(1);
@@ -122,87 +123,93 @@
             });
         }
     });
-    let mut done = done.into_inner().unwrap_or_else(PoisonError::into_inner);
-    done.sort_by_key(|done: &Done| (done.job.variant, done.job.seed));
-    done
+    let mut finished_runs = finished_runs
+        .into_inner()
+        .unwrap_or_else(PoisonError::into_inner);
+    finished_runs.sort_by_key(|run: &FinishedRun| (run.planned.variant, run.planned.seed));
+    finished_runs
 }
 
-/// Does a run; none where `stop` is set before its end, as a run that was stopped counts for nothing.
-fn run_job(experiment: &Experiment, job: Job, stop: &AtomicBool) -> Option<Done> {
+/// Carries out a run. `None` if `stop` is set before its end, as a stopped run does not count.
+fn run_until_stopped(
+    experiment: &Experiment,
+    planned: PlannedRun,
+    stop: &AtomicBool,
+) -> Option<FinishedRun> {
     if stop.load(Ordering::Relaxed) {
         return None;
     }
-    let variant = &experiment.variants[job.variant];
-    let played = sim::play_until(experiment, variant, job.seed, None, stop);
-    if played.is_err() && stop.load(Ordering::Relaxed) {
+    let variant = &experiment.variants[planned.variant];
+    let result = sim::play_until(experiment, variant, planned.seed, None, stop);
+    if result.is_err() && stop.load(Ordering::Relaxed) {
         return None;
     }
-    Some(Done { job, played })
+    Some(FinishedRun { planned, result })
 }
 
-/// Runs an experiment on sockets, a run at a time, as each wants the machine for itself. Once `stop` is set, the run
-/// that is on ends and counts for nothing; what was done is kept.
+/// Runs an experiment on sockets, one run at a time, as each run needs the whole machine. Once `stop` is set, the
+/// current run ends and does not count; the finished runs are kept.
 ///
 /// # Errors
-/// Where a sender does not start or ends by itself, or a port is taken.
-pub fn on_sockets(
+/// If a sender does not start, if it ends by itself, or if a port is in use.
+pub fn run_on_sockets(
     experiment: &Experiment,
     stop: &Arc<AtomicBool>,
     quiet: bool,
-) -> Result<(Outcome, Use), LabError> {
-    let jobs = jobs(experiment);
-    let bar = progress_bar(experiment, jobs.len() as u64, quiet);
+) -> Result<(Outcome, UsageByRun), LabError> {
+    let planned_runs = planned_runs(experiment);
+    let bar = progress_bar(experiment, planned_runs.len() as u64, quiet);
     let mut variants = variants_without_runs(experiment);
-    let mut usage: Use = Vec::new();
-    // Variants take turns within a seed, so that a machine that grows slower does so for all.
-    for job in &jobs {
-        let variant = &experiment.variants[job.variant];
-        let played = match run_in_time(experiment, variant, job.seed, stop) {
-            Ok(played) => played,
+    let mut usage: UsageByRun = Vec::new();
+    // The runs alternate between the variants within a seed, so that a machine that becomes slower affects all of them.
+    for planned in &planned_runs {
+        let variant = &experiment.variants[planned.variant];
+        let run = match run_with_retries(experiment, variant, planned.seed, stop) {
+            Ok(run) => run,
             Err(_) if stop.load(Ordering::Relaxed) => break,
             Err(error) => return Err(error),
         };
-        variants[job.variant].runs.push(Run {
-            seed: job.seed,
-            figures: played.figures,
-            verdict: played.verdict,
+        variants[planned.variant].runs.push(Run {
+            seed: planned.seed,
+            figures: run.figures,
+            verdict: run.verdict,
         });
         usage.push(RunUsage {
             variant: variant.name.clone(),
-            seed: job.seed,
-            used: played.used,
+            seed: planned.seed,
+            per_second: run.used,
         });
         bar.inc(1);
     }
     bar.finish_and_clear();
-    let cut_short = usage.len() < jobs.len();
-    Ok((outcome(experiment, "sockets", variants, cut_short), usage))
+    let incomplete = usage.len() < planned_runs.len();
+    Ok((outcome(experiment, "sockets", variants, incomplete), usage))
 }
 
-/// Does a run on sockets, and again where the machine was too busy for the laboratory itself to keep its times.
-fn run_in_time(
+/// Carries out a run on sockets, and repeats it if the machine was too busy for the laboratory itself to act on time.
+fn run_with_retries(
     experiment: &Experiment,
     variant: &experiment::Variant,
     seed: u64,
     stop: &AtomicBool,
 ) -> Result<sockets::SocketRun, LabError> {
     let mut late = 0.0;
-    for _ in 0..SOCKET_ATTEMPTS {
-        let played = sockets::play(experiment, variant, seed, stop)?;
-        if played.late <= sockets::LATE {
-            return Ok(played);
+    for _ in 0..MAX_SOCKET_ATTEMPTS {
+        let run = sockets::play(experiment, variant, seed, stop)?;
+        if run.late <= sockets::LATE {
+            return Ok(run);
         }
-        late = played.late;
+        late = run.late;
     }
     Err(LabError::MachineTooBusy { late })
 }
 
 fn variants_without_runs(experiment: &Experiment) -> Vec<Variant> {
-    let name = |variant: &experiment::Variant| Variant {
+    let without_runs = |variant: &experiment::Variant| Variant {
         name: variant.name.clone(),
         runs: Vec::new(),
     };
-    experiment.variants.iter().map(name).collect()
+    experiment.variants.iter().map(without_runs).collect()
 }
 
 fn no_turns(variant: &Variant) -> VariantTurns {
@@ -212,11 +219,11 @@
     }
 }
 
-fn progress_bar(experiment: &Experiment, jobs: u64, quiet: bool) -> ProgressBar {
+fn progress_bar(experiment: &Experiment, run_count: u64, quiet: bool) -> ProgressBar {
     let bar = if quiet {
         ProgressBar::hidden()
     } else {
-        ProgressBar::new(jobs)
+        ProgressBar::new(run_count)
     };
     if let Ok(style) = ProgressStyle::with_template("{msg} {wide_bar} {pos}/{len} {eta}") {
         bar.set_style(style);
@@ -225,28 +232,28 @@
     bar
 }
 
-/// An outcome of an experiment, with its failures to be shaded. `form` says how it was run.
+/// The outcome of an experiment, with the periods of its failures. `mode` is `sim` or `sockets`.
 pub fn outcome(
     experiment: &Experiment,
-    form: &str,
+    mode: &str,
     variants: Vec<Variant>,
-    cut_short: bool,
+    incomplete: bool,
 ) -> Outcome {
     Outcome {
         experiment: experiment.name.clone(),
-        about: experiment.about.clone(),
-        form: form.into(),
+        description: experiment.about.clone(),
+        mode: mode.into(),
         length_s: experiment.length / 1e3,
-        cut_short,
-        shades: experiment.failures.iter().map(shade).collect(),
+        incomplete,
+        failure_spans: experiment.failures.iter().map(failure_span).collect(),
         variants,
     }
 }
 
-fn shade(failure: &experiment::Failure) -> FailureSpan {
+fn failure_span(failure: &experiment::Failure) -> FailureSpan {
     FailureSpan {
-        what: failure.what.as_str_name().to_lowercase().replace('_', " "),
+        failure: failure.what.as_str_name().to_lowercase().replace('_', " "),
         start_s: failure.start / 1e3,
-        end_s: failure.end.max(failure.start + LEAST_SHADE) / 1e3,
+        end_s: failure.end.max(failure.start + MIN_SHADED_DURATION) / 1e3,
     }
 }
--- a/crates/lab/src/sim/simulation.rs
+++ b/crates/lab/src/sim/simulation.rs
@@ -241,7 +241,7 @@
             .senders
             .iter()
             .map(|sender| sender.open_messages as u64);
-        self.metrics.held(self.now, open.sum());
+        self.metrics.record_held(self.now, open.sum());
         if self.now < self.experiment.length {
             self.schedule(self.now + SAMPLE_INTERVAL, SimEvent::Sample);
         }
--- a/crates/lab/src/sockets/event_loop.rs
+++ b/crates/lab/src/sockets/event_loop.rs
@@ -135,7 +135,7 @@
 
     fn sample(&mut self) {
         let now = self.now();
-        self.metrics.held(now, self.open_messages);
+        self.metrics.record_held(now, self.open_messages);
         if self.measure_senders(now) {
             self.events.push(now + SAMPLE_INTERVAL, Event::Sample);
         }
--- a/crates/lab/tests/runs.rs
+++ b/crates/lab/tests/runs.rs
@@ -140,7 +140,7 @@
         "stopped"
     );
     let (outcome, _) = martenlatch_lab::run::simulate(&x, &stop, true).unwrap();
-    assert!(outcome.cut_short && outcome.variants.iter().all(|v| v.runs.is_empty()));
+    assert!(outcome.incomplete && outcome.variants.iter().all(|v| v.runs.is_empty()));
 }
 
 fn lab(args: &[&str]) -> (Option<i32>, String, String) {
