--- a/crates/lab/src/error.rs
+++ b/crates/lab/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong in the laboratory's runs, measurements and files.
+//! Errors of the laboratory's runs, measurements and files.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -11,9 +11,9 @@
 /// How a sender's process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessEnd {
-    /// By itself, with an exit code.
+    /// It exited with this code.
     Exited(i32),
-    /// On a signal.
+    /// A signal terminated it.
     Signalled,
 }
 
@@ -26,38 +26,38 @@
     }
 }
 
-/// A failure of the laboratory itself, or of a program under test.
+/// An error of the laboratory itself or of a program under test.
 #[derive(Debug, thiserror::Error)]
 pub enum LabError {
-    /// The run was stopped from outside.
-    #[error("stopped")]
+    /// The run was stopped from outside, for example by Ctrl-C.
+    #[error("the run was stopped")]
     Stopped,
-    /// The event loop could not be made.
-    #[error("no event loop: {0}")]
+    /// The event loop cannot be created.
+    #[error("cannot create the event loop: {0}")]
     EventLoop(#[source] calloop::Error),
-    /// The event loop broke off.
-    #[error("the loop failed: {0}")]
+    /// The event loop failed.
+    #[error("the event loop failed: {0}")]
     Dispatch(#[source] calloop::Error),
-    /// An experiment's text is wrong.
+    /// The text of an experiment is invalid.
     #[error("{0}")]
     Experiment(#[from] FieldError),
-    /// The decision module rejects the settings that a variant leads to.
+    /// The decision module rejects the settings of a variant.
     #[error("variant {variant:?}: {source}")]
     VariantSettings {
         /// The variant's name.
         variant: String,
-        /// What is wrong with the settings.
+        /// Why the settings are rejected.
         source: SettingsError,
     },
     /// The decision module rejects the settings of a measurement.
     #[error("{0}")]
     MeasurementSettings(#[source] SettingsError),
-    /// The machine was too busy for the laboratory to keep its own times, however often it tried.
+    /// The machine was too busy for the laboratory to act on time, in every attempt.
     #[error(
-        "the machine is too busy: three times the laboratory itself was late, at last by {late:.0} ms"
+        "the machine is too busy: the laboratory itself was late in three attempts, in the last one by {late:.0} ms"
     )]
     MachineTooBusy {
-        /// How late the laboratory was the last time, in milliseconds.
+        /// The lateness of the last attempt, in milliseconds.
         late: Millis,
     },
     /// A file or folder cannot be read or written.
@@ -65,22 +65,22 @@
     File {
         /// The file or folder.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A file's text is not the JSON that was expected.
+    /// A file does not contain the expected JSON.
     #[error("{}: {source}", .path.display())]
     Json {
         /// The file.
         path: PathBuf,
-        /// What is wrong with the text.
+        /// Why the text is invalid.
         source: serde_json::Error,
     },
-    /// No temporary folder can be made.
-    #[error("no temporary folder: {0}")]
+    /// No temporary folder can be created.
+    #[error("cannot create a temporary folder: {0}")]
     TemporaryFolder(#[source] io::Error),
     /// No port can be bound for an endpoint.
-    #[error("no port for an endpoint: {0}")]
+    #[error("cannot bind a port for an endpoint: {0}")]
     EndpointPort(#[source] io::Error),
     /// The library that makes system calls fail cannot be built.
     #[error("the library that makes system calls fail cannot be built: {0}")]
@@ -88,138 +88,138 @@
     /// The processes of a run take too much memory.
     #[error("the processes take {used_kb} kB, over half of the machine's memory")]
     TooMuchMemory {
-        /// What they take.
+        /// The memory that they take, in kB.
         used_kb: u64,
     },
     /// No port can be bound.
-    #[error("no port: {0}")]
-    Port(#[source] io::Error),
-    /// All ports of the range that senders listen in are taken.
-    #[error("no free port at {0}")]
+    #[error("cannot bind a port: {0}")]
+    BindPort(#[source] io::Error),
+    /// All ports of the range in which senders listen are in use.
+    #[error("all ports for senders are in use at {0}")]
     NoFreePort(IpAddr),
-    /// The event loop does not take a socket.
-    #[error("no socket: {0}")]
-    Register(#[source] io::Error),
-    /// A sender wrote what is no HTTP request to an endpoint.
-    #[error("a sender wrote what is no request to endpoint {endpoint}")]
-    NoRequest {
+    /// A socket cannot be registered with the event loop.
+    #[error("cannot register a socket with the event loop: {0}")]
+    RegisterSocket(#[source] io::Error),
+    /// A sender wrote data to an endpoint that is not an HTTP request.
+    #[error("a sender wrote data to endpoint {endpoint} that is not an HTTP request")]
+    MalformedRequest {
         /// The endpoint's number.
         endpoint: u32,
     },
-    /// An endpoint was called for a message that no client handed in.
-    #[error("a call for a message that nobody handed in came to endpoint {endpoint}")]
+    /// An endpoint received a call for a message that no client submitted.
+    #[error("endpoint {endpoint} received a call for a message that no client submitted")]
     UnknownMessage {
         /// The endpoint's number.
         endpoint: u32,
     },
-    /// A call does not carry the bytes that its message was handed in with.
-    #[error("message {message} came changed to endpoint {endpoint}")]
+    /// The body of a call differs from the body that the client submitted.
+    #[error("endpoint {endpoint} received message {message} with a changed body")]
     AlteredMessage {
         /// The message's number.
         message: u64,
         /// The endpoint's number.
         endpoint: u32,
     },
-    /// The platform cannot read a status report.
-    #[error("a notice that cannot be read: {line}")]
+    /// The platform cannot parse a status report.
+    #[error("malformed status report: {line}")]
     MalformedReport {
-        /// The line as it came.
+        /// The line as received.
         line: String,
     },
-    /// A status report is about a message that no client handed in.
-    #[error("a notice for a message that nobody handed in: {line}")]
+    /// A status report is about a message that no client submitted.
+    #[error("status report for a message that no client submitted: {line}")]
     UnknownReport {
-        /// The line as it came.
+        /// The line as received.
         line: String,
     },
-    /// The program of a sender is not there.
-    #[error("{}: no such program; build it, or name one in the variant", .0.display())]
-    NoProgram(PathBuf),
+    /// The program of a sender does not exist.
+    #[error("{}: no such program; build it, or name another one in the variant", .0.display())]
+    ProgramNotFound(PathBuf),
     /// A sender's process cannot be started.
-    #[error("sender {name}: {}: {source}", .program.display())]
+    #[error("sender {name}: cannot start {}: {source}", .program.display())]
     StartSender {
         /// The sender's name.
         name: String,
         /// Its program.
         program: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A sender was started and does not serve.
+    /// A sender was started but did not become ready in time.
     #[error("sender {name} was not ready within {seconds} s{last_words}")]
     SenderNotReady {
         /// The sender's name.
         name: String,
-        /// How long it had.
+        /// The time limit, in seconds.
         seconds: u64,
-        /// The last line of its error output, behind a colon, if there is one.
+        /// The last line of its error output after a colon, or empty if there is none.
         last_words: String,
     },
-    /// A sender's process ended unasked.
+    /// A sender's process ended without being asked to.
     #[error("sender {name} ended {end}{last_words}")]
     SenderEnded {
         /// The sender's name.
         name: String,
         /// How it ended.
         end: ProcessEnd,
-        /// The last line of its error output, behind a colon, if there is one.
+        /// The last line of its error output after a colon, or empty if there is none.
         last_words: String,
     },
     /// The limit on a sender's file size cannot be set.
-    #[error("prlimit: {0}")]
+    #[error("cannot limit the file size of a sender: prlimit: {0}")]
     FileSizeLimit(String),
-    /// The sender's process is gone before its measurement.
-    #[error("the sender has ended")]
-    SenderGone,
-    /// A program ended while it was measured.
-    #[error("the program under test has ended")]
+    /// The sender's process ended before its measurement.
+    #[error("the sender ended before its measurement")]
+    SenderEndedBeforeMeasurement,
+    /// A program ended during its measurement.
+    #[error("the program under test ended during its measurement")]
     ProgramEnded,
-    /// The load has no connection to the program under test.
-    #[error("no connection to {to}: {source}")]
+    /// The load generator cannot connect to the program under test.
+    #[error("cannot connect to {to}: {source}")]
     Connect {
         /// The program's address.
         to: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The program under test closed a connection that still had work.
-    #[error("{0} closed a connection under load")]
+    /// The program under test closed a connection that was still in use.
+    #[error("{0} closed a connection that was still in use")]
     ClosedUnderLoad(SocketAddr),
     /// A process cannot be bound to a core.
-    #[error("process {process} cannot be put on one core: {source}")]
+    #[error("process {process} cannot be bound to one core: {source}")]
     PinToCore {
         /// The process's number.
         process: u32,
-        /// What the system said.
+        /// The error of the operating system.
         source: nix::Error,
     },
-    /// The laboratory's own program cannot be found.
-    #[error("{0}")]
+    /// The path of the laboratory's own program cannot be determined.
+    #[error("cannot find the laboratory's own program: {0}")]
     OwnProgram(#[source] io::Error),
     /// The baseline relay cannot be started.
-    #[error("relay: {0}")]
+    #[error("cannot start the baseline relay: {0}")]
     StartRelay(#[source] io::Error),
-    /// The baseline relay was started and does not listen.
-    #[error("relay: it does not listen")]
+    /// The baseline relay was started but does not listen.
+    #[error("the baseline relay does not listen")]
     RelayNotListening,
     /// The baseline relay cannot serve at its address.
-    #[error("relay: {listen}: {source}")]
+    #[error("the baseline relay cannot serve at {listen}: {source}")]
     Relay {
         /// The address.
         listen: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: Box<dyn std::error::Error + Send + Sync>,
     },
 }
 
 impl LabError {
-    /// The error of a file or folder that cannot be read or written.
+    /// Converts the error of reading or writing a file or folder.
     pub fn file(path: &Path) -> impl FnOnce(io::Error) -> LabError {
         let path = path.to_path_buf();
         move |source| LabError::File { path, source }
     }
 
-    /// The error of a file whose text is not the JSON that was expected.
+    /// Converts the error of parsing or writing the JSON of a file.
     pub fn json(path: &Path) -> impl FnOnce(serde_json::Error) -> LabError {
         let path = path.to_path_buf();
         move |source| LabError::Json { path, source }
--- a/crates/lab/src/soak/agent.rs
+++ b/crates/lab/src/soak/agent.rs
@@ -48,9 +48,9 @@
 pub fn open(world: &Arc<World>, sender: usize) -> Result<Vec<SocketAddr>, LabError> {
     (0..AGENTS_PER_SENDER)
         .map(|number| {
-            let listener = TcpListener::bind("127.0.0.1:0").map_err(LabError::Port)?;
-            let address = listener.local_addr().map_err(LabError::Port)?;
-            listener.set_nonblocking(true).map_err(LabError::Port)?;
+            let listener = TcpListener::bind("127.0.0.1:0").map_err(LabError::BindPort)?;
+            let address = listener.local_addr().map_err(LabError::BindPort)?;
+            listener.set_nonblocking(true).map_err(LabError::BindPort)?;
             let agent = Agent {
                 world: world.clone(),
                 sender,
--- a/crates/lab/src/sockets/partners.rs
+++ b/crates/lab/src/sockets/partners.rs
@@ -105,7 +105,7 @@
         }
         match http::parse_request(socket.connection.bytes()) {
             ParsedRequest::Partial(_) => {}
-            ParsedRequest::Invalid(_) => self.fail(LabError::NoRequest { endpoint }),
+            ParsedRequest::Invalid(_) => self.fail(LabError::MalformedRequest { endpoint }),
             ParsedRequest::Complete(request) => {
                 socket.connection.consume(request.consumed);
                 match self.check_request(endpoint, &request) {
--- a/crates/lab/src/sockets/sender_process.rs
+++ b/crates/lab/src/sockets/sender_process.rs
@@ -101,7 +101,7 @@
     /// Where there is no such program, no free port or no room for the folder.
     pub fn prepare(told: &Preparation) -> Result<SenderProcess, LabError> {
         if !told.program.is_file() {
-            return Err(LabError::NoProgram(told.program.to_path_buf()));
+            return Err(LabError::ProgramNotFound(told.program.to_path_buf()));
         }
         let folder = tempfile::Builder::new()
             .prefix("martenlatch-lab-")
--- a/crates/lab/src/sockets/testbed.rs
+++ b/crates/lab/src/sockets/testbed.rs
@@ -239,7 +239,7 @@
         peer: impl FnOnce(Rc<TcpListener>) -> Peer,
     ) -> Result<(), LabError> {
         let key = self.peers.insert(peer(listener.clone()));
-        http::register(&self.handle, listener, key).map_err(LabError::Register)?;
+        http::register(&self.handle, listener, key).map_err(LabError::RegisterSocket)?;
         Ok(())
     }
 
--- a/crates/lab/src/throughput_ceiling/mod.rs
+++ b/crates/lab/src/throughput_ceiling/mod.rs
@@ -81,7 +81,10 @@
     let sender = RunningSender::start(plan.program, &endpoints.addresses)?;
     let relay = RunningRelay::start(&endpoints.addresses)?;
     let sender_target = Target {
-        process: sender.process.process().ok_or(LabError::SenderGone)?,
+        process: sender
+            .process
+            .process()
+            .ok_or(LabError::SenderEndedBeforeMeasurement)?,
         address: sender.process.address,
     };
     let relay_target = Target {
@@ -140,12 +143,12 @@
         let settings = sender_settings();
         let targets: Vec<Value> = endpoints.iter().enumerate().map(list_entry).collect();
         let known = json!({"rev": 1, "all": true, "targets": targets});
-        let silent_agent = TcpListener::bind("127.0.0.1:0").map_err(LabError::Port)?;
+        let silent_agent = TcpListener::bind("127.0.0.1:0").map_err(LabError::BindPort)?;
         let mut process = SenderProcess::prepare(&Preparation {
             number: 0,
             program,
             settings_file: None,
-            discovery: silent_agent.local_addr().map_err(LabError::Port)?,
+            discovery: silent_agent.local_addr().map_err(LabError::BindPort)?,
             platform_settings: &settings,
             seed: SEED,
         })?;
@@ -199,7 +202,7 @@
     fn start(endpoints: &[SocketAddr]) -> Result<RunningRelay, LabError> {
         let address = TcpListener::bind("127.0.0.1:0")
             .and_then(|listener| listener.local_addr())
-            .map_err(LabError::Port)?;
+            .map_err(LabError::BindPort)?;
         let own_program = std::env::current_exe().map_err(LabError::OwnProgram)?;
         let child = Command::new(own_program)
             .args(["relay", "--listen", &address.to_string()])
--- a/crates/lab/tests/runs.rs
+++ b/crates/lab/tests/runs.rs
@@ -137,7 +137,7 @@
         sim::play_until(&x, &x.variants[0], 1, None, &stop)
             .unwrap_err()
             .to_string(),
-        "stopped"
+        "the run was stopped"
     );
     let (outcome, _) = martenlatch_lab::run::simulate(&x, &stop, true).unwrap();
     assert!(outcome.incomplete && outcome.variants.iter().all(|v| v.runs.is_empty()));
