--- a/crates/lab/src/judge/deadlines.rs
+++ b/crates/lab/src/judge/deadlines.rs
@@ -4,69 +4,71 @@
 
 use martenlatch_clock::Millis;
 
-use super::state::DueCheck;
+use super::state::DeadlineCheck;
 use super::{Judge, Rule};
 
-/// After its deadline, a message's final answer may still be on the way for so long.
+/// How long after its deadline the final answer to a message may still be on its way, in milliseconds.
 const REPORT_GRACE: Millis = 300.0;
-/// No final answer is overdue until so long after its sender is ready again.
+/// How long after a sender is ready again its overdue final answers are excused, in milliseconds.
 const GRACE_AFTER_START: Millis = 1_500.0;
-/// While its sender is down, a message is looked at again after so long.
+/// The interval at which a message is checked again while its sender is down, in milliseconds.
 const RECHECK_INTERVAL: Millis = 1_000.0;
 
 impl Judge {
-    /// Has a message looked at once its final answer is overdue.
+    /// Schedules a check of a message for the time when its final answer is overdue.
     pub(super) fn schedule_deadline_check(&mut self, id: u64, deadline: Millis) {
-        let check = DueCheck::new(deadline + REPORT_GRACE, id);
-        self.due_checks.push(Reverse(check));
+        let check = DeadlineCheck::new(deadline + REPORT_GRACE, id);
+        self.deadline_checks.push(Reverse(check));
     }
 
-    /// Looks at all messages whose final answers are overdue by now.
+    /// Checks all messages whose final answers are overdue by now.
     pub(super) fn check_deadlines(&mut self, now: Millis) {
-        while let Some(Reverse(check)) = self.due_checks.peek().copied()
+        while let Some(Reverse(check)) = self.deadline_checks.peek().copied()
             && check.at() < now
         {
-            self.due_checks.pop();
+            self.deadline_checks.pop();
             self.check_deadline(check, now);
         }
     }
 
-    fn check_deadline(&mut self, check: DueCheck, now: Millis) {
+    fn check_deadline(&mut self, check: DeadlineCheck, now: Millis) {
         let id = check.message;
         let Some(message) = self.messages.get_mut(&id) else {
             return;
         };
         let answered = message.delivered.is_some() || message.report.is_some();
         if answered || message.accepted != Some(true) {
-            message.closed = true;
-            self.forget(id);
+            message.deadline_checked = true;
+            self.remove_if_finished(id);
             return;
         }
         let sender = message.sender;
         let excused_until = self.excused_until.get(&sender).copied().unwrap_or(0.0);
         if excused_until.is_infinite() {
-            let again = DueCheck::new(now + RECHECK_INTERVAL, id);
-            self.due_checks.push(Reverse(again));
+            let recheck = DeadlineCheck::new(now + RECHECK_INTERVAL, id);
+            self.deadline_checks.push(Reverse(recheck));
             return;
         }
         if excused_until > check.at() {
-            let again = DueCheck::new(excused_until, id);
-            self.due_checks.push(Reverse(again));
+            let recheck = DeadlineCheck::new(excused_until, id);
+            self.deadline_checks.push(Reverse(recheck));
             return;
         }
-        message.closed = true;
+        message.deadline_checked = true;
         let deadline = message.deadline;
-        let text = format!("taken on by sender {sender}, had no end by its time, {deadline:.1} ms");
-        self.breach(Rule::Lost, Some(id), check.at(), text);
-        self.forget(id);
+        let text = format!(
+            "accepted by sender {sender}, no final answer by its deadline at {deadline:.1} ms"
+        );
+        self.record_breach(Rule::Lost, Some(id), check.at(), text);
+        self.remove_if_finished(id);
     }
 
-    /// A sender that is down, or about to be, owes no answer until it is ready again.
+    /// Excuses overdue answers of a sender that is down or shutting down, until it is ready again.
     pub(super) fn excuse(&mut self, sender: u32) {
         self.excused_until.insert(sender, f64::INFINITY);
     }
 
-    /// A sender that is ready again has a moment to answer what is overdue.
+    /// Excuses overdue answers of a sender that is ready again for a short time.
     pub(super) fn excuse_after_start(&mut self, sender: u32, at: Millis) {
         self.excused_until.insert(sender, at + GRACE_AFTER_START);
     }
--- a/crates/lab/src/judge/mod.rs
+++ b/crates/lab/src/judge/mod.rs
@@ -1,5 +1,5 @@
-//! A judge of the rules. It reads only what crossed between the parties, fact by fact in the order of time, and asks
-//! neither the model nor the sender what was meant. Each group of rules has a file.
+//! The judge of the rules. It reads only the event log of the traffic between the parties, in chronological order, and
+//! uses no state of the model or the sender. Each group of rules has its own file.
 
 mod answers;
 mod calls;
@@ -19,29 +19,29 @@
 use crate::event_log::{EventKind, LoggedEvent};
 use crate::experiment::{Effect, Experiment, Variant};
 use state::{
-    BegunCall, Call, DueCheck, KnownEndpoint, Message, OrderingKey, PossibleRuns, RecentCall,
-    RecentReply, RepeatScope, Route, Wait,
+    Call, DeadlineCheck, KnownEndpoint, Message, OrderingKey, PossibleRuns, RecentCall,
+    RecentReply, RepeatScope, RetryAfter, Route, StartedCall,
 };
 pub use verdict::{Breach, Rule, Verdict};
 
-/// Every time limit is so much longer than its rule says, in milliseconds.
+/// The tolerance that is added to every time limit of the rules, in milliseconds.
 const SLACK: Millis = 50.0;
-/// What was told or sent so long ago, in milliseconds, has come.
-const TRAVEL: Millis = 100.0;
+/// Data sent longer ago than this has arrived, in milliseconds.
+const MAX_TRAVEL_TIME: Millis = 100.0;
 
-/// A verdict holds so many breaches; further ones are only counted.
-const MOST_BREACHES: usize = 100;
+/// The maximum number of breaches that a verdict lists; further ones are only counted.
+const MAX_LISTED_BREACHES: usize = 100;
 
-/// What the rules need to know of a class.
+/// The properties of a message class that the rules depend on.
 #[derive(Clone, Copy, Debug)]
 pub struct ClassRule {
-    /// What a repeat does.
+    /// The effect of repeating a message.
     pub effect: Effect,
-    /// How long an idempotency key is remembered, in milliseconds.
+    /// The idempotency window: how long an idempotency key is remembered, in milliseconds.
     pub window: Millis,
 }
 
-/// Reads a history, and keeps what the rules say of it.
+/// Checks the rules against a history of events.
 #[derive(Debug)]
 pub struct Judge {
     classes: Vec<ClassRule>,
@@ -49,31 +49,31 @@
     messages: HashMap<u64, Message>,
     /// Calls in flight.
     calls: HashMap<u64, Call>,
+    /// The calls that may have run.
     may_have_run: HashMap<RepeatScope, PossibleRuns>,
     recent_replies: VecDeque<RecentReply>,
-    due_checks: BinaryHeap<Reverse<DueCheck>>,
-    waits: HashMap<Route, Wait>,
-    /// Endpoints that drain, and when their sender was notified of that.
-    drains: HashMap<KnownEndpoint, Millis>,
-    /// Messages with an ordering key that are not over, in the order in which they were handed in.
-    ordered: HashMap<OrderingKey, VecDeque<u64>>,
+    deadline_checks: BinaryHeap<Reverse<DeadlineCheck>>,
+    retry_after: HashMap<Route, RetryAfter>,
+    /// Draining endpoints, with the time at which the sender was notified of the draining.
+    draining_since: HashMap<KnownEndpoint, Millis>,
+    /// Unfinished messages with an ordering key, in the order of their submission.
+    ordering_queues: HashMap<OrderingKey, VecDeque<u64>>,
     /// The partner of each endpoint.
-    owners: HashMap<u32, u32>,
-    /// Until when a sender's answers are not overdue: it is down, or has just come back.
+    endpoint_partners: HashMap<u32, u32>,
+    /// Until when overdue answers of a sender are excused, as it is down or has just restarted.
     excused_until: HashMap<u32, Millis>,
-    /// Partners in an outage.
-    out: HashSet<u32>,
-    /// Senders that saw a partner fail during its present or latest outage.
-    saw_failing: HashMap<u32, HashSet<u32>>,
+    partners_in_outage: HashSet<u32>,
+    /// The senders that saw a partner fail during its current or latest outage.
+    saw_failure: HashMap<u32, HashSet<u32>>,
     recent_calls: HashMap<u32, VecDeque<RecentCall>>,
-    /// The first breaches.
+    /// The first breaches, up to `MAX_LISTED_BREACHES`.
     breaches: Vec<Breach>,
     /// The number of all breaches so far, by rule.
     pub counts: BTreeMap<Rule, u64>,
 }
 
 impl Judge {
-    /// A judge for classes in their order, who lets each handed-in message have so many attempts.
+    /// A judge for the given classes, indexed by their numbers, that allows `max_attempts` for each submitted message.
     pub fn new(classes: Vec<ClassRule>, max_attempts: u32) -> Judge {
         Judge {
             classes,
@@ -82,21 +82,21 @@
             calls: HashMap::new(),
             may_have_run: HashMap::new(),
             recent_replies: VecDeque::new(),
-            due_checks: BinaryHeap::new(),
-            waits: HashMap::new(),
-            drains: HashMap::new(),
-            ordered: HashMap::new(),
-            owners: HashMap::new(),
+            deadline_checks: BinaryHeap::new(),
+            retry_after: HashMap::new(),
+            draining_since: HashMap::new(),
+            ordering_queues: HashMap::new(),
+            endpoint_partners: HashMap::new(),
             excused_until: HashMap::new(),
-            out: HashSet::new(),
-            saw_failing: HashMap::new(),
+            partners_in_outage: HashSet::new(),
+            saw_failure: HashMap::new(),
             recent_calls: HashMap::new(),
             breaches: Vec::new(),
             counts: BTreeMap::new(),
         }
     }
 
-    /// A judge of a variant's runs.
+    /// A judge for the runs of a variant.
     pub fn for_variant(experiment: &Experiment, variant: &Variant) -> Judge {
         let rules = experiment
             .world
@@ -110,21 +110,21 @@
         Judge::new(rules, variant.max_attempts)
     }
 
-    /// Takes the next fact; facts must come in the order of time.
-    pub fn observe(&mut self, fact: &LoggedEvent) {
-        let at = fact.at;
+    /// Checks the next event; events must be given in chronological order.
+    pub fn observe(&mut self, event: &LoggedEvent) {
+        let at = event.at;
         self.check_deadlines(at);
-        match fact.kind {
+        match event.kind {
             EventKind::Submitted { .. }
             | EventKind::ClientAnswered { .. }
             | EventKind::StatusReport { .. }
-            | EventKind::Withdrawn { .. } => self.hear_of_message(&fact.kind, at),
+            | EventKind::Withdrawn { .. } => self.observe_message(&event.kind, at),
             EventKind::CallStarted { .. }
             | EventKind::CallArrived { .. }
             | EventKind::CallAnswered { .. }
-            | EventKind::CallFailed { .. } => self.hear_of_call(&fact.kind, at),
+            | EventKind::CallFailed { .. } => self.observe_call(&event.kind, at),
             EventKind::Listed { .. } | EventKind::Outage { .. } | EventKind::Collapsed { .. } => {
-                self.hear_of_partner(&fact.kind, at);
+                self.observe_partner(&event.kind, at);
             }
             EventKind::SenderReady { sender } => self.sender_ready(sender, at),
             EventKind::ShutdownRequested { sender } => self.excuse(sender),
@@ -133,8 +133,8 @@
         }
     }
 
-    fn hear_of_message(&mut self, what: &EventKind, at: Millis) {
-        match *what {
+    fn observe_message(&mut self, kind: &EventKind, at: Millis) {
+        match *kind {
             EventKind::Submitted {
                 origin,
                 id,
@@ -154,17 +154,17 @@
                     key,
                     ..Message::default()
                 };
-                self.handed_in(id, message);
+                self.message_submitted(id, message);
             }
             EventKind::ClientAnswered { id, status } => self.client_answered(id, status, at),
-            EventKind::StatusReport { id, deferred, .. } => self.reported(id, deferred, at),
-            EventKind::Withdrawn { id } => self.withdrawn(id, at),
+            EventKind::StatusReport { id, deferred, .. } => self.report_received(id, deferred, at),
+            EventKind::Withdrawn { id } => self.message_withdrawn(id, at),
             _ => {}
         }
     }
 
-    fn hear_of_call(&mut self, what: &EventKind, at: Millis) {
-        match *what {
+    fn observe_call(&mut self, kind: &EventKind, at: Millis) {
+        match *kind {
             EventKind::CallStarted {
                 call,
                 id: message,
@@ -173,40 +173,37 @@
                 endpoint,
                 ..
             } => {
-                let begun = BegunCall {
+                let started = StartedCall {
                     call,
                     message,
                     sender,
                     partner,
                     endpoint,
                 };
-                self.call_begins(&begun, at);
+                self.call_started(&started, at);
             }
             EventKind::CallArrived { call } => self.call_arrived(call, at),
-            EventKind::CallAnswered { call, reply } => self.call_replied(call, reply, at),
-            EventKind::CallFailed { call, cause: how } => self.call_ended(call, how, at),
+            EventKind::CallAnswered { call, reply } => self.call_answered(call, reply, at),
+            EventKind::CallFailed { call, cause } => self.call_failed(call, cause, at),
             _ => {}
         }
     }
 
-    fn hear_of_partner(&mut self, what: &EventKind, at: Millis) {
-        match *what {
+    fn observe_partner(&mut self, kind: &EventKind, at: Millis) {
+        match *kind {
             EventKind::Listed {
                 sender,
                 endpoint,
                 partner,
-                in_service: on,
-            } => self.listed(KnownEndpoint { sender, endpoint }, partner, on, at),
-            EventKind::Outage {
-                partner,
-                in_outage: out,
-            } => self.outage_changed(partner, out),
-            EventKind::Collapsed { partner } => self.collapsed(partner, at),
+                in_service,
+            } => self.endpoint_listed(KnownEndpoint { sender, endpoint }, partner, in_service, at),
+            EventKind::Outage { partner, in_outage } => self.outage_changed(partner, in_outage),
+            EventKind::Collapsed { partner } => self.partner_collapsed(partner, at),
             _ => {}
         }
     }
 
-    /// Ends the history at an instant, and says what was broken.
+    /// Ends the history at `at` and returns the verdict.
     pub fn end(mut self, at: Millis) -> Verdict {
         self.check_deadlines(at);
         Verdict {
@@ -215,36 +212,36 @@
         }
     }
 
-    fn breach(&mut self, rule: Rule, id: Option<u64>, at: Millis, text: String) {
+    fn record_breach(&mut self, rule: Rule, id: Option<u64>, at: Millis, text: String) {
         *self.counts.entry(rule).or_insert(0) += 1;
-        if self.breaches.len() < MOST_BREACHES {
+        if self.breaches.len() < MAX_LISTED_BREACHES {
             self.breaches.push(Breach { rule, id, at, text });
         }
     }
 
     fn sender_ready(&mut self, sender: u32, at: Millis) {
         self.excuse_after_start(sender, at);
-        self.waits.retain(|route, _| route.sender != sender);
+        self.retry_after.retain(|route, _| route.sender != sender);
     }
 
     fn sender_ended(&mut self, sender: u32) {
         self.excuse(sender);
-        // Its next process may not know of a delivery. An idempotent message may be delivered once more; a
-        // non-idempotent one is looked at by its own rule.
+        // Its next process may not know of a delivery. An idempotent message may be delivered once more; a repeat of a
+        // non-idempotent one is covered by `Rule::NoSecondEffect`.
         for message in self.messages.values_mut() {
             if message.sender == sender {
-                message.delivery_unheard = true;
+                message.delivery_may_be_unknown = true;
             }
         }
     }
 
-    /// Drops a message that is over and has no call in flight.
-    fn forget(&mut self, id: u64) {
-        let over = self
+    /// Removes a message whose deadline check is done and that has no call in flight.
+    fn remove_if_finished(&mut self, id: u64) {
+        let finished = self
             .messages
             .get(&id)
-            .is_some_and(|message| message.in_flight == 0 && message.closed);
-        if over {
+            .is_some_and(|message| message.in_flight == 0 && message.deadline_checked);
+        if finished {
             self.messages.remove(&id);
             self.may_have_run.remove(&RepeatScope::Message(id));
         }
--- a/crates/lab/src/judge/ordering.rs
+++ b/crates/lab/src/judge/ordering.rs
@@ -1,4 +1,4 @@
-//! [`Rule::Order`]: messages of one ordering key go one at a time, in the order in which they were handed in.
+//! [`Rule::Order`]: messages with the same ordering key are sent one at a time, in the order of their submission.
 
 use martenlatch_clock::Millis;
 
@@ -6,7 +6,8 @@
 use super::{Judge, Rule};
 
 impl Judge {
-    /// A call begins for a message: all that was handed in before it with its key must be over, with nothing in flight.
+    /// Checks, when a call starts, that all messages submitted earlier with the same ordering key are finished and have
+    /// no call in flight.
     pub(super) fn check_order(&mut self, id: u64, at: Millis) {
         let Some(message) = self.messages.get(&id) else {
             return;
@@ -15,19 +16,23 @@
         let Some(key) = message.key else {
             return;
         };
-        let queue = self.ordered.entry(OrderingKey { sender, key }).or_default();
-        let is_over = |id: &u64| !self.messages.get(id).is_some_and(Message::is_open);
+        let queue = self
+            .ordering_queues
+            .entry(OrderingKey { sender, key })
+            .or_default();
+        let is_finished = |id: &u64| !self.messages.get(id).is_some_and(Message::is_open);
         while queue
             .front()
-            .is_some_and(|first| *first != id && is_over(first))
+            .is_some_and(|first| *first != id && is_finished(first))
         {
             queue.pop_front();
         }
         if let Some(first) = queue.front().copied()
             && first < id
         {
-            let text = format!("sent before message {first} of its key was over");
-            self.breach(Rule::Order, Some(id), at, text);
+            let text =
+                format!("sent before message {first} with the same ordering key was finished");
+            self.record_breach(Rule::Order, Some(id), at, text);
         }
     }
 }
--- a/crates/lab/src/judge/retry_after.rs
+++ b/crates/lab/src/judge/retry_after.rs
@@ -2,36 +2,45 @@
 
 use martenlatch_clock::Millis;
 
-use super::state::{Call, Route, Told, Wait};
-use super::{Judge, Rule, SLACK, TRAVEL};
+use super::state::{Call, ReplyEffect, RetryAfter, Route};
+use super::{Judge, MAX_TRAVEL_TIME, Rule, SLACK};
 
 impl Judge {
-    /// Notes that a partner told a sender to wait. A longer wait that was told before holds as well.
-    pub(super) fn note_wait(&mut self, call: u64, route: Route, told: Millis, until: Millis) {
-        let before = self.waits.get(&route).copied();
-        if before.is_none_or(|earlier| until >= earlier.until) {
-            self.waits.insert(route, Wait { told, until });
-            self.note_reply(told, call, Told::Wait { route, before });
+    /// Records a Retry-After that a partner sent to a sender. An earlier one that ends later stays in force.
+    pub(super) fn record_retry_after(
+        &mut self,
+        call: u64,
+        route: Route,
+        sent_at: Millis,
+        until: Millis,
+    ) {
+        let previous = self.retry_after.get(&route).copied();
+        if previous.is_none_or(|earlier| until >= earlier.until) {
+            self.retry_after
+                .insert(route, RetryAfter { sent_at, until });
+            self.record_reply(sent_at, call, ReplyEffect::RetryAfter { route, previous });
         }
     }
 
-    /// Puts the earlier wait back in the place of one that its sender could not hear of.
-    pub(super) fn restore_wait(&mut self, route: Route, before: Option<Wait>) {
-        self.waits.remove(&route);
-        self.waits.extend(before.map(|wait| (route, wait)));
+    /// Restores the previous Retry-After in place of one that its sender may not have received.
+    pub(super) fn restore_retry_after(&mut self, route: Route, previous: Option<RetryAfter>) {
+        self.retry_after.remove(&route);
+        self.retry_after
+            .extend(previous.map(|earlier| (route, earlier)));
     }
 
-    /// A call has come to its partner, which its sender may have been told to leave alone.
-    pub(super) fn check_wait(&mut self, call: &Call, at: Millis) {
-        let Some(Wait { told, until }) = self.waits.get(&call.route()).copied() else {
+    /// Checks, when a call reaches its partner, that its sender knew of no Retry-After of that partner.
+    pub(super) fn check_retry_after(&mut self, call: &Call, at: Millis) {
+        let Some(RetryAfter { sent_at, until }) = self.retry_after.get(&call.route()).copied()
+        else {
             return;
         };
-        if at > told + TRAVEL + SLACK && at < until - SLACK {
+        if at > sent_at + MAX_TRAVEL_TIME + SLACK && at < until - SLACK {
             let Route { sender, partner } = call.route();
             let text = format!(
-                "came to partner {partner}, which told sender {sender} at {told:.1} ms to wait until {until:.1} ms"
+                "reached partner {partner}, which sent sender {sender} at {sent_at:.1} ms a Retry-After until {until:.1} ms"
             );
-            self.breach(Rule::Waits, Some(call.message), at, text);
+            self.record_breach(Rule::Waits, Some(call.message), at, text);
         }
     }
 }
--- a/crates/lab/src/judge/state.rs
+++ b/crates/lab/src/judge/state.rs
@@ -1,30 +1,31 @@
-//! What a judge remembers of a history.
+//! The state that a judge keeps while it reads a history.
 
 use std::collections::HashSet;
 
 use martenlatch_clock::Millis;
 
-/// A message as it was handed in to one sender.
+/// One submission of a client's message to one sender.
 #[derive(Debug, Default)]
 pub(super) struct Message {
-    /// The client's message; it may be handed in several times.
+    /// The client's message, which may be submitted several times.
     pub origin: u64,
     pub sender: u32,
     pub class: u32,
     pub partner: u32,
     pub deadline: Millis,
-    /// Its client was told that it is accepted, or that it is not.
+    /// Whether its client was told that it is accepted; `None` before the answer.
     pub accepted: Option<bool>,
     pub delivered: Option<Millis>,
     /// Its sender may not know of the delivery: it cancelled the call while the reply was on its way, or has ended
     /// since.
-    pub delivery_unheard: bool,
+    pub delivery_may_be_unknown: bool,
     pub report: Option<FinalReport>,
-    /// Calls that were begun for it, and how many of them are in flight.
+    /// The number of calls that were started for it.
     pub calls: u32,
+    /// The number of these calls that are in flight.
     pub in_flight: u32,
-    /// Its deadline has been looked at.
-    pub closed: bool,
+    /// Whether its final answer has been checked after its deadline.
+    pub deadline_checked: bool,
     /// Its ordering key.
     pub key: Option<u64>,
 }
@@ -35,9 +36,9 @@
         self.in_flight > 0 || (self.delivered.is_none() && self.report.is_none())
     }
 
-    /// When it was delivered, where its sender must know of that.
+    /// The time of its delivery, if its sender must know of the delivery.
     pub fn known_delivery(&self) -> Option<Millis> {
-        self.delivered.filter(|_| !self.delivery_unheard)
+        self.delivered.filter(|_| !self.delivery_may_be_unknown)
     }
 }
 
@@ -45,7 +46,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FinalReport {
     pub at: Millis,
-    /// It says that the message has not run, and may be handed in again.
+    /// Whether it states that the message has not run and may be submitted again.
     pub deferred: bool,
 }
 
@@ -57,11 +58,11 @@
     pub sender: u32,
     pub partner: u32,
     pub class: u32,
-    pub since: Millis,
+    pub started_at: Millis,
 }
 
 impl Call {
-    /// Whose call to whom it is.
+    /// Its sender and its partner.
     pub fn route(&self) -> Route {
         Route {
             sender: self.sender,
@@ -70,9 +71,9 @@
     }
 }
 
-/// A call that begins.
+/// A call that has just started.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct BegunCall {
+pub(super) struct StartedCall {
     pub call: u64,
     pub message: u64,
     pub sender: u32,
@@ -101,16 +102,16 @@
     pub key: u64,
 }
 
-/// A Retry-After that a partner told a sender.
+/// A Retry-After that a partner sent to a sender.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Wait {
-    pub told: Millis,
+pub(super) struct RetryAfter {
+    pub sent_at: Millis,
     pub until: Millis,
 }
 
-/// The messages that a rule on repeats sees as one. A non-idempotent message is one however often its client hands it
-/// in; with an idempotency key, a sender knows only what was handed in to it, and clients hand in again inside the
-/// key's window.
+/// The submissions that the rules on repeats treat as one message. All submissions of a non-idempotent message count
+/// as one. With an idempotency key, each submission counts separately: a sender knows only the messages submitted to
+/// it, and clients submit again within the key's window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum RepeatScope {
     Origin(u64),
@@ -120,53 +121,56 @@
 /// Calls that may have run.
 #[derive(Debug)]
 pub(super) struct PossibleRuns {
-    /// When the first of them left.
-    pub since: Millis,
+    /// The start of the first of them.
+    pub first_started_at: Millis,
     pub calls: HashSet<u64>,
 }
 
-/// A reply that was written a moment ago: its sender may have cancelled the call before it could hear.
+/// A recently written reply. Its sender may have cancelled the call before the reply arrived.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RecentReply {
     pub at: Millis,
     pub call: u64,
-    pub told: Told,
+    pub effect: ReplyEffect,
 }
 
-/// What a reply said that its sender must have heard to be held to it.
+/// The effect of a reply on the state of the judge. It binds the sender only if the sender has received the reply.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Told {
-    /// A message was served.
-    Served { message: u64 },
-    /// A sender must not call a partner; with the wait that held before, if any.
-    Wait { route: Route, before: Option<Wait> },
+pub(super) enum ReplyEffect {
+    /// A message was delivered.
+    Delivered { message: u64 },
+    /// A Retry-After came into force in place of the previous one.
+    RetryAfter {
+        route: Route,
+        previous: Option<RetryAfter>,
+    },
 }
 
-/// A call that came to a partner a moment ago.
+/// A call that was started recently.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RecentCall {
     pub at: Millis,
     pub sender: u32,
 }
 
-/// When a message is looked at for its final answer. The order is that of the instants, then of the messages.
+/// A scheduled check of a message for its final answer. Checks are ordered by time, then by message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct DueCheck {
-    /// The instant's bits: instants are positive, and so keep their order.
+pub(super) struct DeadlineCheck {
+    /// The bits of the time. Times are positive, so their bits have the same order.
     at_bits: u64,
     pub message: u64,
 }
 
-impl DueCheck {
-    /// A look at a message at an instant.
-    pub fn new(at: Millis, message: u64) -> DueCheck {
-        DueCheck {
+impl DeadlineCheck {
+    /// A check of `message` at `at`.
+    pub fn new(at: Millis, message: u64) -> DeadlineCheck {
+        DeadlineCheck {
             at_bits: at.to_bits(),
             message,
         }
     }
 
-    /// When the message is looked at.
+    /// The time of the check.
     pub fn at(&self) -> Millis {
         f64::from_bits(self.at_bits)
     }
--- a/crates/lab/src/judge/verdict.rs
+++ b/crates/lab/src/judge/verdict.rs
@@ -1,4 +1,4 @@
-//! The rules, and what a judge found about them.
+//! The rules and the verdict of a judge.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -6,41 +6,41 @@
 use martenlatch_clock::Millis;
 use serde::{Deserialize, Serialize};
 
-/// A rule.
+/// A rule that the senders must keep. Reports and results contain the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Rule {
-    /// Each message that was accepted gets one final answer, and nothing is sent for it afterwards.
+    /// Each accepted message gets one final answer, and no call of it starts afterwards.
     OneAnswer,
-    /// And it gets it by its deadline.
+    /// Each accepted message gets its final answer by its deadline.
     Lost,
-    /// A non-idempotent message that may have run is not sent again, nor reported as safe to hand in again.
+    /// A non-idempotent message that may have run is not sent again, nor reported as safe to submit again.
     NoSecondEffect,
-    /// A message with an idempotency key is not repeated once the key may be forgotten.
+    /// A message with an idempotency key is not repeated after its idempotency window.
     KeyWindow,
     /// Nothing is sent to a partner during its Retry-After.
     Waits,
-    /// Nothing new goes to an endpoint that drains, 1 s after its sender was notified of that.
+    /// No call starts to a draining endpoint more than 1 s after its sender was notified of the draining.
     Drains,
-    /// No partner that warms up is made to collapse by senders that saw it fail.
+    /// Senders that saw a partner fail do not make it collapse while it warms up.
     NoneToppled,
-    /// A handed-in message has a limited number of attempts.
+    /// The number of attempts at a submitted message is limited.
     Attempts,
-    /// A message goes to its own partner's endpoints.
+    /// A message is sent only to the endpoints of its own partner.
     RightPartner,
-    /// Messages of one ordering key go one at a time, in the order in which they were accepted.
+    /// Messages with the same ordering key are sent one at a time, in the order in which they were accepted.
     Order,
 }
 
-/// A rule that was broken.
+/// A breach of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Breach {
-    /// Which rule.
+    /// The rule.
     pub rule: Rule,
-    /// The handed-in message that it is about; none where it is about a partner.
+    /// The submission that it concerns, or `None` if it concerns a partner.
     pub id: Option<u64>,
-    /// When, in milliseconds from the start of the run.
+    /// The time of the breach, in milliseconds from the start of the run.
     pub at: Millis,
-    /// What happened, with its instants.
+    /// A description with the relevant times.
     pub text: String,
 }
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// What a judge found.
+/// The verdict of a judge on a history.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Verdict {
     /// The first hundred breaches.
--- a/crates/lab/tests/runs.rs
+++ b/crates/lab/tests/runs.rs
@@ -221,7 +221,9 @@
     std::fs::write(dirs[0].join("facts.jsonl"), broken).unwrap();
     let (code, text, _) = lab(&["judge", dirs[0].to_str().unwrap()]);
     assert!(
-        code == Some(3) && text.contains("Lost at ") && text.contains("had no end by its time"),
+        code == Some(3)
+            && text.contains("Lost at ")
+            && text.contains("no final answer by its deadline"),
         "{text}"
     );
     let _ = std::fs::remove_dir_all(out);
