--- a/crates/lab/src/commands/compare.rs
+++ b/crates/lab/src/commands/compare.rs
@@ -1,4 +1,4 @@
-//! `compare`: two results of the same experiment, side by side.
+//! `compare`: compares two results of the same experiment.
 
 use std::path::Path;
 
@@ -9,16 +9,16 @@
 
 use super::{Conclusion, report};
 
-/// Differences of more standard errors than this are what the seeds alone would rarely make.
+/// Differences of more than this number of standard errors rarely result from the choice of seeds alone.
 const SIGNIFICANT_ERRORS: f64 = 2.0;
 
-/// Prints the differences of each variant's figures, seed by seed.
+/// Prints for each variant the mean differences of its figures, taken seed by seed.
 pub fn compare(base: &Path, other: &Path) -> miette::Result<Conclusion> {
     let base_outcome = Outcome::open(base).map_err(report)?;
     let other_outcome = Outcome::open(other).map_err(report)?;
     if base_outcome.experiment != other_outcome.experiment {
         return Err(miette!(
-            "{:?} and {:?} are not the same experiment",
+            "the results are of different experiments, {:?} and {:?}",
             base_outcome.experiment,
             other_outcome.experiment
         ));
--- a/crates/lab/src/commands/list.rs
+++ b/crates/lab/src/commands/list.rs
@@ -1,4 +1,4 @@
-//! `list`: the shipped experiments.
+//! `list`: lists the shipped experiments.
 
 use std::path::PathBuf;
 
@@ -6,7 +6,7 @@
 
 use super::{Conclusion, file_report, report, shipped_experiments};
 
-/// Prints the name of each shipped experiment, and what it is about.
+/// Prints the name and the description of each shipped experiment.
 pub fn list() -> miette::Result<Conclusion> {
     for file in experiment_files()? {
         let experiment = Experiment::open(&file).map_err(report)?;
--- a/crates/lab/src/commands/members.rs
+++ b/crates/lab/src/commands/members.rs
@@ -1,4 +1,4 @@
-//! `members`: membership at size, in simulated time.
+//! `members`: measures membership for several group sizes in simulated time.
 
 use martenlatch_lab::members::{self, Figures};
 use martenlatch_lab::outcome::SampleStatistics;
@@ -7,7 +7,7 @@
 use super::Conclusion;
 use crate::cli::MembersOptions;
 
-/// Prints the figures of each number of members and each loss.
+/// Prints the figures for each combination of group size and datagram loss.
 pub fn members(options: &MembersOptions) -> miette::Result<Conclusion> {
     let sizes_allowed = options
         .members
@@ -15,9 +15,11 @@
         .all(|size| (1..=1_000).contains(size));
     let losses_allowed = options.loss.iter().all(|loss| (0.0..1.0).contains(loss));
     if !sizes_allowed || !losses_allowed {
-        return Err(miette!("members are 1 to 1000, --loss is 0 to under 1"));
+        return Err(miette!(
+            "the number of members must be 1 to 1000 and --loss must be at least 0 and less than 1"
+        ));
     }
-    print_head();
+    print_header();
     for size in &options.members {
         for loss in &options.loss {
             let by_seed: Vec<Figures> = (1..=options.repeats.max(1))
@@ -32,7 +34,7 @@
     Ok(Conclusion::RulesKept)
 }
 
-fn print_head() {
+fn print_header() {
     println!(
         "{:>8} {:>6} {:>11} {:>13} {:>18} {:>18} {:>13} {:>8}",
         "members",
@@ -50,30 +52,30 @@
     let mean = |read: fn(&Figures) -> f64| {
         SampleStatistics::of(&by_seed.iter().map(read).collect::<Vec<_>>()).mean
     };
-    let spans = |read: fn(&Figures) -> Option<f64>| {
-        format_spans(&by_seed.iter().map(read).collect::<Vec<_>>())
+    let durations = |read: fn(&Figures) -> Option<f64>| {
+        format_durations(&by_seed.iter().map(read).collect::<Vec<_>>())
     };
     println!(
         "{size:>8} {loss:>6} {:>11.0} {:>13.2} {:>18} {:>18} {:>13.1} {:>8.1}",
         mean(|figures| figures.bytes),
         mean(|figures| figures.datagrams),
-        spans(|figures| figures.death),
-        spans(|figures| figures.join),
+        durations(|figures| figures.death),
+        durations(|figures| figures.join),
         mean(|figures| figures.false_deaths as f64),
         mean(|figures| figures.unknown as f64),
     );
 }
 
-/// The median and the longest of spans over seeds, in seconds; those that did not come to an end are counted.
-fn format_spans(spans: &[Option<f64>]) -> String {
-    let mut ended: Vec<f64> = spans.iter().flatten().copied().collect();
+/// The median and the longest duration over the seeds, in seconds, and the number of seeds without an end (`None`).
+fn format_durations(durations: &[Option<f64>]) -> String {
+    let mut ended: Vec<f64> = durations.iter().flatten().copied().collect();
     ended.sort_by(f64::total_cmp);
     let Some(longest) = ended.last() else {
         return "never".into();
     };
     let median = ended[ended.len() / 2];
     let text = format!("{:.1} ({:.1})", median / 1e3, longest / 1e3);
-    match spans.len() - ended.len() {
+    match durations.len() - ended.len() {
         0 => text,
         never => format!("{text}, {never} never"),
     }
--- a/crates/lab/src/commands/mod.rs
+++ b/crates/lab/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! What the commands do. Errors become one line each, at the edge of the program.
+//! The commands of the program. Each error is reported as one line.
 
 pub mod compare;
 pub mod judge;
@@ -15,10 +15,10 @@
 
 use miette::Report;
 
-/// What a command has found.
+/// The conclusion of a command, which determines the exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Conclusion {
-    /// Every rule was kept, or none was judged.
+    /// Every rule was kept, or the command does not judge rules.
     RulesKept,
     /// A rule was broken.
     RuleBroken,
@@ -34,22 +34,23 @@
     }
 }
 
-/// An error as its text alone.
+/// Converts an error to a report of its text alone.
 fn report(error: impl Display) -> Report {
     Report::msg(error.to_string())
 }
 
-/// The error of a file or folder.
+/// Converts the error of a file or folder to a report that starts with its path.
 fn file_report<E: Display>(path: &Path) -> impl FnOnce(E) -> Report {
     let path = path.to_path_buf();
     move |error| Report::msg(format!("{}: {error}", path.display()))
 }
 
-/// Where the shipped experiments are: beside the working folder, or where the laboratory was built.
+/// The folder of the shipped experiments: `lab/experiments` in the working folder if it exists, otherwise in the source
+/// tree from which the laboratory was built.
 fn shipped_experiments() -> PathBuf {
-    let here = PathBuf::from("lab/experiments");
-    if here.is_dir() {
-        here
+    let local = PathBuf::from("lab/experiments");
+    if local.is_dir() {
+        local
     } else {
         Path::new(env!("CARGO_MANIFEST_DIR")).join("../../lab/experiments")
     }
--- a/crates/lab/src/commands/relay.rs
+++ b/crates/lab/src/commands/relay.rs
@@ -1,11 +1,11 @@
-//! `relay`: the baseline relay that `roof` starts.
+//! `relay`: runs the baseline relay; `roof` starts it.
 
 use martenlatch_lab::baseline_relay;
 
 use super::{Conclusion, report};
 use crate::cli::RelayOptions;
 
-/// Relays until it is told to end.
+/// Relays until a signal ends it.
 pub fn relay(options: RelayOptions) -> miette::Result<Conclusion> {
     let options = baseline_relay::RelayOptions {
         listen: options.listen,
--- a/crates/lab/src/commands/roof.rs
+++ b/crates/lab/src/commands/roof.rs
@@ -1,4 +1,4 @@
-//! `roof`: the sender's throughput ceiling against the baseline relay.
+//! `roof`: compares the throughput ceiling of the sender with that of the baseline relay.
 
 use std::time::Duration;
 
@@ -10,10 +10,12 @@
 use super::{Conclusion, report};
 use crate::cli::RoofOptions;
 
-/// Measures both programs, and prints their figures and ratios.
+/// Measures both programs and prints their figures and ratios.
 pub fn roof(options: &RoofOptions) -> miette::Result<Conclusion> {
     if !(0.1..=600.0).contains(&options.seconds) || !(1..=1_000).contains(&options.turns) {
-        return Err(miette!("--seconds is 0.1 to 600, --turns 1 to 1000"));
+        return Err(miette!(
+            "--seconds must be 0.1 to 600 and --turns must be 1 to 1000"
+        ));
     }
     let program = options.program.clone().unwrap_or_else(beside);
     let ceiling = throughput_ceiling::measure(&Plan {
@@ -33,13 +35,14 @@
 }
 
 fn print_figure(name: &str, ceiling: &ThroughputCeiling, read: fn(&Turn) -> f64) {
-    let values = |turns: &[Turn]| SampleStatistics::of(&turns.iter().map(read).collect::<Vec<_>>());
+    let statistics =
+        |turns: &[Turn]| SampleStatistics::of(&turns.iter().map(read).collect::<Vec<_>>());
     let pairs = ceiling.sender.iter().zip(&ceiling.relay);
     let ratios: Vec<f64> = pairs
         .map(|(sender, relay)| read(sender) / read(relay))
         .collect();
-    let sender = values(&ceiling.sender);
-    let relay = values(&ceiling.relay);
+    let sender = statistics(&ceiling.sender);
+    let relay = statistics(&ceiling.relay);
     let ratio = SampleStatistics::of(&ratios);
     println!(
         "{name:<28}{:>10.1} ±{:<6.1}{:>10.1} ±{:<6.1}{:>9.3} ±{:<.3}",
--- a/crates/lab/src/commands/turns.rs
+++ b/crates/lab/src/commands/turns.rs
@@ -1,4 +1,4 @@
-//! `turns`: what one turn of the decision module costs with so many messages held.
+//! `turns`: measures the duration of one turn of the decision module for several numbers of held messages.
 
 use std::path::Path;
 
@@ -8,7 +8,7 @@
 use super::{Conclusion, file_report, report};
 use crate::cli::TurnsOptions;
 
-/// Prints the measurements, and plots their medians.
+/// Prints the measurements and plots their medians.
 pub fn turns(options: &TurnsOptions) -> miette::Result<Conclusion> {
     println!(
         "{:>8} {:>13} {:>11} {:>11} {:>11}",
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! The laboratory: a model of partners and their faults, a judge of the rules that reads only what crossed between the
-//! parties, and experiments that compare variants of the sender on the same seeds. Nothing in it is part of the sender.
+//! The laboratory: a model of partners and their faults, a judge that checks the rules using only the traffic between
+//! the parties, and experiments that compare variants of the sender with the same seeds. It is not part of the sender.
 
 pub mod baseline_relay;
 pub mod clients;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! The laboratory's program: it plays experiments, compares and judges what they left, and measures.
+//! The program of the laboratory: runs experiments, compares and judges their results, and takes measurements.
 
 mod cli;
 mod commands;
@@ -10,15 +10,15 @@
 use cli::{Cli, Command};
 use commands::Conclusion;
 
-/// The exit codes of a command that does not end well.
+/// The exit codes of a command that does not succeed.
 struct ExitCodes {
     /// A rule was broken.
     rule_broken: u8,
-    /// Something cannot be read, written or played.
+    /// The command failed, for example because a file cannot be read or written.
     failed: u8,
 }
 
-const USUAL_CODES: ExitCodes = ExitCodes {
+const DEFAULT_CODES: ExitCodes = ExitCodes {
     rule_broken: 3,
     failed: 1,
 };
@@ -43,10 +43,10 @@
 
 fn main() -> ExitCode {
     let command = Cli::parse().command;
-    // A soak tells by its exit code whether it was played at all.
+    // The exit code of a soak distinguishes a broken rule (1) from a soak that could not be carried out (2).
     let codes = match command {
         Command::Soak(_) => SOAK_CODES,
-        _ => USUAL_CODES,
+        _ => DEFAULT_CODES,
     };
     match run(command) {
         Ok(Conclusion::RulesKept) => ExitCode::SUCCESS,
--- a/crates/lab/src/report/html.rs
+++ b/crates/lab/src/report/html.rs
@@ -1,4 +1,4 @@
-//! The frame of a report's page.
+//! The head of a report page, and the escaping of text in it.
 
 use crate::outcome::Outcome;
 
@@ -7,7 +7,7 @@
     text-align:right;border-bottom:1px solid #ddd}td:first-child,th:first-child{text-align:left}\
     .bad{color:#a00}";
 
-/// Text as it may stand in a page.
+/// Escapes text for use in HTML.
 pub fn escaped(text: &str) -> String {
     text.replace('&', "&amp;")
         .replace('<', "&lt;")
@@ -15,22 +15,22 @@
         .replace('"', "&quot;")
 }
 
-/// The page's beginning, with what was played and how.
+/// The beginning of the page: the name and description of the experiment, and how it was run.
 pub(super) fn head(outcome: &Outcome) -> String {
     let name = escaped(&outcome.experiment);
-    let about = escaped(&outcome.description);
-    let form = match outcome.mode.as_str() {
+    let description = escaped(&outcome.description);
+    let mode = match outcome.mode.as_str() {
         "sim" => "In simulated time",
         _ => "On sockets",
     };
-    let cut_short = if outcome.incomplete {
+    let incomplete_note = if outcome.incomplete {
         ", <b>cut short: not every run was played</b>"
     } else {
         ""
     };
     format!(
         "<!doctype html><html lang=en><meta charset=utf-8><title>{name}</title><style>{STYLE}</style>\
-         <h1>{name}</h1><p>{about}</p><p>{form}, {:.0} s{cut_short}.</p>",
+         <h1>{name}</h1><p>{description}</p><p>{mode}, {:.0} s{incomplete_note}.</p>",
         outcome.length_s
     )
 }
--- a/crates/lab/src/report/mod.rs
+++ b/crates/lab/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! The report of an outcome: one page of HTML that needs nothing else, with plots in it.
+//! The report of an outcome: a self-contained HTML page with embedded plots.
 
 mod html;
 mod plot;
@@ -10,19 +10,20 @@
 pub use html::escaped;
 pub use plot::{Axes, Line, Point, plot};
 
-/// A variant's runs are listed with so many breaches each at most.
-const BREACHES_PER_RUN: usize = 20;
+/// The maximum number of breaches that are listed for each run.
+const MAX_LISTED_BREACHES: usize = 20;
 
-/// The page. `machine` holds what is the machine's and not the seeds', as ready parts of the page.
-pub fn page(outcome: &Outcome, machine: &[String]) -> String {
+/// The HTML page. `machine_sections` are complete HTML sections on measurements of this machine, which do not follow
+/// from the seeds.
+pub fn page(outcome: &Outcome, machine_sections: &[String]) -> String {
     let mut page = html::head(outcome);
     page += &comparison(outcome);
     page += &plots_over_time(outcome);
     page += &latency_plot(outcome);
-    page += &failures(&outcome.failure_spans);
-    page += &breaches(&outcome.variants);
-    for part in machine {
-        page += part;
+    page += &failure_list(&outcome.failure_spans);
+    page += &breach_lists(&outcome.variants);
+    for section in machine_sections {
+        page += section;
     }
     page += "</html>\n";
     page
@@ -54,7 +55,7 @@
         + "</table><p>Means over the seeds, with their standard deviation; differences are taken seed by seed.</p>"
 }
 
-/// A line of each variant.
+/// One plot line per variant.
 fn lines(outcome: &Outcome, points: impl Fn(&Variant) -> Vec<Point>) -> Vec<Line> {
     outcome
         .variants
@@ -87,7 +88,7 @@
     plots
 }
 
-/// One figure of each second, the mean over the seeds.
+/// The mean over the seeds of a figure of each second.
 fn over_time(variant: &Variant, read: fn(&SecondFigures) -> f64) -> Vec<Point> {
     let seconds = |run: &crate::outcome::Run| run.figures.seconds.len();
     let longest = variant.runs.iter().map(seconds).max().unwrap_or(0);
@@ -107,21 +108,21 @@
         .collect()
 }
 
-/// The share that was delivered of the worth asked for in each second, smoothed over three.
+/// The delivered share of the worth submitted in each second, smoothed over three seconds.
 fn share_served(variant: &Variant) -> Vec<Point> {
-    let asked = over_time(variant, |second| second.submitted_worth);
-    let got = over_time(variant, |second| second.delivered_worth);
-    let smoothed = |line: &[Point], at: usize| {
+    let submitted = over_time(variant, |second| second.submitted_worth);
+    let delivered = over_time(variant, |second| second.delivered_worth);
+    let window_sum = |line: &[Point], at: usize| {
         line[at.saturating_sub(1)..(at + 2).min(line.len())]
             .iter()
             .map(|point| point.y)
             .sum::<f64>()
     };
-    (0..asked.len())
-        .filter(|at| smoothed(&asked, *at) > 0.0)
+    (0..submitted.len())
+        .filter(|at| window_sum(&submitted, *at) > 0.0)
         .map(|at| Point {
-            x: asked[at].x,
-            y: smoothed(&got, at) / smoothed(&asked, at),
+            x: submitted[at].x,
+            y: window_sum(&delivered, at) / window_sum(&submitted, at),
         })
         .collect()
 }
@@ -146,35 +147,35 @@
     )
 }
 
-fn failures(shades: &[FailureSpan]) -> String {
-    if shades.is_empty() {
+fn failure_list(spans: &[FailureSpan]) -> String {
+    if spans.is_empty() {
         return String::new();
     }
     let mut list = String::from("<h2>What went wrong</h2><ul>");
-    for shade in shades {
-        let what = escaped(&shade.failure);
+    for span in spans {
+        let failure = escaped(&span.failure);
         let _ = write!(
             list,
-            "<li>{what}: {:.1} to {:.1} s</li>",
-            shade.start_s, shade.end_s
+            "<li>{failure}: {:.1} to {:.1} s</li>",
+            span.start_s, span.end_s
         );
     }
     list + "</ul>"
 }
 
-fn breaches(variants: &[Variant]) -> String {
+fn breach_lists(variants: &[Variant]) -> String {
     let mut html = String::from("<h2>The rules</h2>");
     for variant in variants {
         let name = escaped(&variant.name);
-        let _ = write!(html, "<h3>{name}</h3>{}", breaches_of(variant));
+        let _ = write!(html, "<h3>{name}</h3>{}", breach_list(variant));
     }
     html
 }
 
-fn breaches_of(variant: &Variant) -> String {
+fn breach_list(variant: &Variant) -> String {
     let mut list = String::new();
     for run in &variant.runs {
-        for breach in run.verdict.breaches.iter().take(BREACHES_PER_RUN) {
+        for breach in run.verdict.breaches.iter().take(MAX_LISTED_BREACHES) {
             let text = escaped(&breach.to_string());
             let _ = writeln!(list, "<li>seed {}: {text}</li>", run.seed);
         }
--- a/crates/lab/src/report/plot.rs
+++ b/crates/lab/src/report/plot.rs
@@ -1,4 +1,4 @@
-//! Plots of lines, as SVG.
+//! Line plots as SVG.
 
 use std::error::Error;
 
@@ -7,6 +7,7 @@
 
 use crate::outcome::FailureSpan;
 
+/// The width and height of a plot; this and the following sizes are in pixels.
 const SIZE: (u32, u32) = (900, 260);
 const CAPTION_FONT: (&str, i32) = ("sans-serif", 15);
 const MARGIN: i32 = 6;
@@ -14,12 +15,14 @@
 const Y_LABEL_AREA: i32 = 56;
 const LINE_WIDTH: u32 = 2;
 const LEGEND_WIDTH: i32 = 18;
-/// Room above the highest point, and on a logarithmic scale below the lowest.
-const ROOM_ABOVE: f64 = 1.05;
-const ROOM_BELOW: f64 = 0.8;
-/// A logarithmic scale begins no lower.
-const LEAST_LOG_X: f64 = 1.0;
-const LEAST_LOG_Y: f64 = 1e-3;
+/// The upper end of the y axis, as a multiple of the highest value.
+const TOP_MARGIN_FACTOR: f64 = 1.05;
+/// The lower end of a logarithmic y axis, as a multiple of the lowest value.
+const BOTTOM_MARGIN_FACTOR: f64 = 0.8;
+/// The lowest permitted start of a logarithmic x axis.
+const MIN_LOG_X: f64 = 1.0;
+/// The lowest value that a logarithmic y axis takes into account.
+const MIN_LOG_Y: f64 = 1e-3;
 
 const COLOURS: [RGBColor; 6] = [
     RGBColor(31, 119, 180),
@@ -33,9 +36,9 @@
 /// A point of a line.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Point {
-    /// Its place on the x axis.
+    /// Its position on the x axis.
     pub x: f64,
-    /// Its value.
+    /// Its position on the y axis.
     pub y: f64,
 }
 
@@ -51,14 +54,14 @@
 /// The axes of a plot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Axes<'a> {
-    /// What the x axis counts.
+    /// The label of the x axis.
     pub x_label: &'a str,
-    /// Both axes are logarithmic.
+    /// Whether both axes are logarithmic, instead of linear.
     pub logarithmic: bool,
 }
 
 impl<'a> Axes<'a> {
-    /// Linear axes that begin at zero.
+    /// Linear axes that start at zero.
     pub fn linear(x_label: &'a str) -> Axes<'a> {
         Axes {
             x_label,
@@ -75,15 +78,15 @@
     }
 }
 
-/// The part of the plane that a plot shows.
+/// The ranges of the two axes.
 #[derive(Clone, Copy)]
 struct Area {
-    least: Point,
-    most: Point,
+    min: Point,
+    max: Point,
 }
 
 impl Area {
-    /// The area of all finite points; none where nothing could be seen in it.
+    /// The area that shows all finite points, or `None` if it would be empty.
     fn around(lines: &[Line], logarithmic: bool) -> Option<Area> {
         let points = || {
             lines
@@ -91,26 +94,26 @@
                 .flat_map(|line| &line.points)
                 .filter(|point| point.x.is_finite() && point.y.is_finite())
         };
-        let most = Point {
+        let max = Point {
             x: points().map(|point| point.x).fold(0.0, f64::max),
-            y: points().map(|point| point.y).fold(0.0, f64::max) * ROOM_ABOVE,
+            y: points().map(|point| point.y).fold(0.0, f64::max) * TOP_MARGIN_FACTOR,
         };
-        if most.x <= 0.0 || most.y <= 0.0 {
+        if max.x <= 0.0 || max.y <= 0.0 {
             return None;
         }
-        let mut least = Point { x: 0.0, y: 0.0 };
+        let mut min = Point { x: 0.0, y: 0.0 };
         if logarithmic {
-            let least_x = points().map(|point| point.x).fold(f64::INFINITY, f64::min);
-            let least_y = points().map(|point| point.y).fold(f64::INFINITY, f64::min);
-            least.x = least_x.max(LEAST_LOG_X);
-            least.y = least_y.max(LEAST_LOG_Y) * ROOM_BELOW;
+            let min_x = points().map(|point| point.x).fold(f64::INFINITY, f64::min);
+            let min_y = points().map(|point| point.y).fold(f64::INFINITY, f64::min);
+            min.x = min_x.max(MIN_LOG_X);
+            min.y = min_y.max(MIN_LOG_Y) * BOTTOM_MARGIN_FACTOR;
         }
-        Some(Area { least, most })
+        Some(Area { min, max })
     }
 }
 
-/// A plot of lines over an x axis, with what went wrong shaded. Empty where nothing can be drawn.
-pub fn plot(title: &str, axes: Axes, lines: &[Line], shades: &[FailureSpan]) -> String {
+/// The SVG of a plot of lines, with the periods of failures shaded. Empty if there is nothing to draw.
+pub fn plot(title: &str, axes: Axes, lines: &[Line], failure_spans: &[FailureSpan]) -> String {
     let Some(area) = Area::around(lines, axes.logarithmic) else {
         return String::new();
     };
@@ -118,7 +121,7 @@
     let drawing = Drawing {
         x_label: axes.x_label,
         lines,
-        shades,
+        failure_spans,
         area,
     };
     let drawn = draw(&mut svg, title, axes.logarithmic, &drawing);
@@ -131,7 +134,7 @@
     logarithmic: bool,
     drawing: &Drawing,
 ) -> Result<(), Box<dyn Error>> {
-    let Area { least, most } = drawing.area;
+    let Area { min, max } = drawing.area;
     let root = SVGBackend::with_string(svg, SIZE).into_drawing_area();
     let mut builder = ChartBuilder::on(&root);
     builder
@@ -140,23 +143,23 @@
         .x_label_area_size(X_LABEL_AREA)
         .y_label_area_size(Y_LABEL_AREA);
     if logarithmic {
-        let x_axis = (least.x..most.x).log_scale();
-        let y_axis = (least.y..most.y).log_scale();
+        let x_axis = (min.x..max.x).log_scale();
+        let y_axis = (min.y..max.y).log_scale();
         drawing.draw_on(builder.build_cartesian_2d(x_axis, y_axis)?)?;
     } else {
-        let x_axis = least.x..most.x;
-        let y_axis = least.y..most.y;
+        let x_axis = min.x..max.x;
+        let y_axis = min.y..max.y;
         drawing.draw_on(builder.build_cartesian_2d(x_axis, y_axis)?)?;
     }
     root.present()?;
     Ok(())
 }
 
-/// What is drawn on a chart, whatever its axes are.
+/// The contents of a chart, independent of its axes.
 struct Drawing<'a> {
     x_label: &'a str,
     lines: &'a [Line],
-    shades: &'a [FailureSpan],
+    failure_spans: &'a [FailureSpan],
     area: Area,
 }
 
@@ -176,8 +179,8 @@
             .x_desc(self.x_label)
             .light_line_style(WHITE.mix(0.0))
             .draw()?;
-        for shade in self.shades {
-            chart.draw_series(std::iter::once(self.shaded(shade)))?;
+        for span in self.failure_spans {
+            chart.draw_series(std::iter::once(self.shaded(span)))?;
         }
         for (line, colour) in self.lines.iter().zip(COLOURS.iter().copied().cycle()) {
             let points = line.points.iter().map(|point| (point.x, point.y));
@@ -195,9 +198,9 @@
         Ok(())
     }
 
-    fn shaded(&self, shade: &FailureSpan) -> Rectangle<(f64, f64)> {
-        let Area { least, most } = self.area;
-        let corners = [(shade.start_s, least.y), (shade.end_s.min(most.x), most.y)];
+    fn shaded(&self, span: &FailureSpan) -> Rectangle<(f64, f64)> {
+        let Area { min, max } = self.area;
+        let corners = [(span.start_s, min.y), (span.end_s.min(max.x), max.y)];
         Rectangle::new(corners, BLACK.mix(0.08).filled())
     }
 }
