--- a/crates/lab/tests/judge/endpoints.rs
+++ b/crates/lab/tests/judge/endpoints.rs
@@ -1,68 +1,76 @@
-//! Calls go to endpoints of their own partner that do not drain, and do not make it collapse.
+//! Calls go only to endpoints of their own partner, not to draining ones, and do not make a partner collapse.
 
 use martenlatch_lab::event_log::EventKind;
 use martenlatch_lab::judge::Rule;
 use martenlatch_lab::model::partner::Reply;
 use rstest::rstest;
 
-use crate::history::{UNSAFE, again, history, listed, notice, replied, sent, taken, verdict};
+use crate::history::{
+    UNSAFE, accepted, accepted_at, broken_rules, call_to, chronological, listing, reply, report,
+};
 
 #[rstest]
-#[case::in_time(1_040.0, &[])]
-#[case::too_late(1_200.0, &[Rule::Drains])]
-fn a_drain_binds_a_second_after_it_was_told(#[case] at: f64, #[case] want: &[Rule]) {
+#[case::within_the_second(1_040.0, &[])]
+#[case::after_the_second(1_200.0, &[Rule::Drains])]
+fn calls_to_a_draining_endpoint_may_start_for_one_second(
+    #[case] at: f64,
+    #[case] expected: &[Rule],
+) {
     let list = vec![
-        listed(1, 7, true, 0.0),
-        listed(1, 7, false, 100.0),
-        listed(1, 7, false, 600.0),
+        listing(1, 7, true, 0.0),
+        listing(1, 7, false, 100.0),
+        listing(1, 7, false, 600.0),
     ];
-    let end = vec![replied(1, Reply::Served, at + 400.0)];
+    let end = vec![reply(1, Reply::Served, at + 400.0)];
     assert_eq!(
-        verdict(&history(vec![
+        broken_rules(&chronological(vec![
             list,
-            taken(1, UNSAFE),
-            sent(1, 1, 1, at + 0.0),
+            accepted(1, UNSAFE),
+            call_to(1, 1, 1, at + 0.0),
             end
         ])),
-        want
+        expected
     );
 }
 
 #[test]
-fn a_message_goes_to_its_own_partner_and_has_so_many_attempts() {
-    let list = vec![listed(9, 8, true, 0.0)];
-    let end = vec![replied(1, Reply::Served, 400.0)];
+fn a_call_to_another_partners_endpoint_and_an_attempt_over_the_limit_are_breaches() {
+    let list = vec![listing(9, 8, true, 0.0)];
+    let end = vec![reply(1, Reply::Served, 400.0)];
     assert_eq!(
-        verdict(&history(vec![
+        broken_rules(&chronological(vec![
             list,
-            taken(1, UNSAFE),
-            sent(1, 1, 9, 5.0),
+            accepted(1, UNSAFE),
+            call_to(1, 1, 9, 5.0),
             end
         ])),
         [Rule::RightPartner]
     );
-    let tries = |count: u64| {
-        let mut parts = vec![taken(1, UNSAFE), vec![notice(1, true, 9_000.0)]];
+    let broken_rules_after = |count: u64| {
+        let mut parts = vec![accepted(1, UNSAFE), vec![report(1, true, 9_000.0)]];
         for call in 0..count {
             let at = 500.0 * call as f64;
             parts.extend([
-                sent(call, 1, 1, at),
-                vec![replied(call, Reply::Refused(None), at + 100.0)],
+                call_to(call, 1, 1, at),
+                vec![reply(call, Reply::Refused(None), at + 100.0)],
             ]);
         }
-        verdict(&history(parts))
+        broken_rules(&chronological(parts))
     };
-    assert_eq!((tries(3), tries(4)), (vec![], vec![Rule::Attempts]));
+    assert_eq!(
+        (broken_rules_after(3), broken_rules_after(4)),
+        (vec![], vec![Rule::Attempts])
+    );
 }
 
 #[rstest]
-#[case::by_one_that_saw(true, &[Rule::NoneToppled])]
-#[case::by_one_that_did_not(false, &[])]
-fn a_cold_partner_is_not_pushed_over_by_those_that_saw_it_fail(
-    #[case] saw: bool,
-    #[case] want: &[Rule],
+#[case::collapse_by_a_sender_that_saw_the_failure(true, &[Rule::NoneToppled])]
+#[case::collapse_by_a_sender_that_did_not(false, &[])]
+fn a_collapse_is_a_breach_only_if_its_senders_saw_the_partner_fail(
+    #[case] saw_failure: bool,
+    #[case] expected: &[Rule],
 ) {
-    let out = vec![
+    let outage = vec![
         (
             0.0,
             EventKind::Outage {
@@ -78,25 +86,25 @@
             },
         ),
     ];
-    let mut parts = vec![out, vec![(7_000.0, EventKind::Collapsed { partner: 7 })]];
+    let mut parts = vec![outage, vec![(7_000.0, EventKind::Collapsed { partner: 7 })]];
     for call in 0..10 {
         let at = 5_500.0 + 100.0 * call as f64;
         let ended = vec![
-            replied(call, Reply::Refused(None), at + 40.0),
-            notice(call, true, at + 50.0),
+            reply(call, Reply::Refused(None), at + 40.0),
+            report(call, true, at + 50.0),
         ];
         parts.extend([
-            again(call, call, UNSAFE, at),
-            sent(call, call, 1, at),
+            accepted_at(call, call, UNSAFE, at),
+            call_to(call, call, 1, at),
             ended,
         ]);
     }
-    if saw {
+    if saw_failure {
         let ended = vec![
-            replied(90, Reply::Refused(None), 60.0),
-            notice(90, true, 80.0),
+            reply(90, Reply::Refused(None), 60.0),
+            report(90, true, 80.0),
         ];
-        parts.extend([taken(90, UNSAFE), sent(90, 90, 1, 5.0), ended]);
+        parts.extend([accepted(90, UNSAFE), call_to(90, 90, 1, 5.0), ended]);
     }
-    assert_eq!(verdict(&history(parts)), want);
+    assert_eq!(broken_rules(&chronological(parts)), expected);
 }
--- a/crates/lab/tests/judge/history.rs
+++ b/crates/lab/tests/judge/history.rs
@@ -1,4 +1,4 @@
-//! Histories for the judge, and its verdicts on them.
+//! Builds histories for the judge and returns its verdicts on them.
 
 use martenlatch_lab::event_log::{EventKind, LoggedEvent};
 use martenlatch_lab::experiment::Effect;
@@ -12,7 +12,7 @@
 pub const KEYED: u32 = 1;
 
 /// The rules that a judge finds broken in a history that ends at 100 s.
-pub fn verdict(facts: &[(f64, EventKind)]) -> Vec<Rule> {
+pub fn broken_rules(events: &[(f64, EventKind)]) -> Vec<Rule> {
     let classes = vec![
         ClassRule {
             effect: Effect::Unsafe,
@@ -24,7 +24,7 @@
         },
     ];
     let mut judge = Judge::new(classes, 3);
-    for (at, kind) in facts {
+    for (at, kind) in events {
         judge.observe(&LoggedEvent {
             at: *at,
             kind: kind.clone(),
@@ -41,13 +41,13 @@
     verdict.counts.into_keys().collect()
 }
 
-/// A message that is handed in at the start of the run and accepted.
-pub fn taken(id: u64, class: u32) -> Vec<(f64, EventKind)> {
-    again(id, id, class, 0.0)
+/// A message that is submitted at the start of the run and accepted.
+pub fn accepted(id: u64, class: u32) -> Vec<(f64, EventKind)> {
+    accepted_at(id, id, class, 0.0)
 }
 
-/// A handing in of a message at an instant, taken on; its time is up at 16 s.
-pub fn again(origin: u64, id: u64, class: u32, at: f64) -> Vec<(f64, EventKind)> {
+/// A submission of a message at `at` that is accepted; the deadline of the message is at 16 s.
+pub fn accepted_at(origin: u64, id: u64, class: u32, at: f64) -> Vec<(f64, EventKind)> {
     let (sender, partner, first, deadline) = (0, 7, 0.0, 16_000.0);
     vec![
         (
@@ -67,9 +67,9 @@
     ]
 }
 
-/// A call of a message to an endpoint, whose last byte comes 10 ms later.
-pub fn sent(call: u64, id: u64, endpoint: u32, at: f64) -> Vec<(f64, EventKind)> {
-    let (sender, partner, fresh) = (0, 7, false);
+/// A call of a message that starts at `at` and whose last byte reaches the endpoint 10 ms later.
+pub fn call_to(call: u64, id: u64, endpoint: u32, at: f64) -> Vec<(f64, EventKind)> {
+    let (sender, partner, new_connection) = (0, 7, false);
     vec![
         (
             at,
@@ -79,7 +79,7 @@
                 sender,
                 partner,
                 endpoint,
-                new_connection: fresh,
+                new_connection,
             },
         ),
         (at + 10.0, EventKind::CallArrived { call }),
@@ -87,12 +87,12 @@
 }
 
 /// The reply to a call.
-pub fn replied(call: u64, reply: Reply, at: f64) -> (f64, EventKind) {
+pub fn reply(call: u64, reply: Reply, at: f64) -> (f64, EventKind) {
     (at, EventKind::CallAnswered { call, reply })
 }
 
 /// A status report on a message.
-pub fn notice(id: u64, deferred: bool, at: f64) -> (f64, EventKind) {
+pub fn report(id: u64, deferred: bool, at: f64) -> (f64, EventKind) {
     (
         at,
         EventKind::StatusReport {
@@ -104,22 +104,22 @@
     )
 }
 
-/// An entry of the endpoint list that sender 0 is notified of.
-pub fn listed(endpoint: u32, partner: u32, on: bool, at: f64) -> (f64, EventKind) {
+/// A notification of sender 0 about an entry of the endpoint list.
+pub fn listing(endpoint: u32, partner: u32, in_service: bool, at: f64) -> (f64, EventKind) {
     (
         at,
         EventKind::Listed {
             sender: 0,
             endpoint,
             partner,
-            in_service: on,
+            in_service,
         },
     )
 }
 
-/// Parts of a history, in the order of time.
-pub fn history(mut parts: Vec<Vec<(f64, EventKind)>>) -> Vec<(f64, EventKind)> {
-    let mut all: Vec<(f64, EventKind)> = parts.drain(..).flatten().collect();
-    all.sort_by(|a, b| a.0.total_cmp(&b.0));
-    all
+/// Joins the parts of a history in chronological order.
+pub fn chronological(mut parts: Vec<Vec<(f64, EventKind)>>) -> Vec<(f64, EventKind)> {
+    let mut events: Vec<(f64, EventKind)> = parts.drain(..).flatten().collect();
+    events.sort_by(|a, b| a.0.total_cmp(&b.0));
+    events
 }
--- a/crates/lab/tests/judge/main.rs
+++ b/crates/lab/tests/judge/main.rs
@@ -1,4 +1,4 @@
-//! The judge against histories written by hand: one that breaks each rule, and one beside it that only nearly does.
+//! Tests of the judge on hand-written histories. For each rule, one history breaks it and a similar one just keeps it.
 
 mod answers;
 mod endpoints;
--- a/crates/lab/tests/judge/repeats.rs
+++ b/crates/lab/tests/judge/repeats.rs
@@ -1,49 +1,54 @@
-//! What may have run is repeated only where its class allows that.
+//! A message that may have run is repeated only if its class allows that.
 
 use martenlatch_lab::event_log::{CallFailure, EventKind};
 use martenlatch_lab::judge::Rule;
 use martenlatch_lab::model::partner::Reply;
 use rstest::rstest;
 
-use crate::history::{KEYED, UNSAFE, again, history, notice, replied, sent, taken, verdict};
+use crate::history::{
+    KEYED, UNSAFE, accepted, accepted_at, broken_rules, call_to, chronological, reply, report,
+};
 
 #[rstest]
-#[case::refused(Some(Reply::Refused(None)), None, UNSAFE, 500.0, &[])]
+#[case::rejected(Some(Reply::Refused(None)), None, UNSAFE, 500.0, &[])]
 #[case::never_sent(None, Some(CallFailure::NeverSent), UNSAFE, 500.0, &[])]
 #[case::reset(None, Some(CallFailure::Reset), UNSAFE, 500.0, &[Rule::NoSecondEffect])]
-#[case::died(None, Some(CallFailure::SenderEnded), UNSAFE, 500.0, &[Rule::NoSecondEffect])]
-#[case::error(Some(Reply::Failed), None, UNSAFE, 500.0, &[Rule::NoSecondEffect])]
-#[case::still_out(None, None, UNSAFE, 500.0, &[Rule::NoSecondEffect])]
-#[case::keyed_in_its_window(None, Some(CallFailure::TimedOut), KEYED, 5_900.0, &[])]
-#[case::keyed_out_of_it(None, Some(CallFailure::TimedOut), KEYED, 6_100.0, &[Rule::KeyWindow])]
+#[case::sender_ended(None, Some(CallFailure::SenderEnded), UNSAFE, 500.0, &[Rule::NoSecondEffect])]
+#[case::failed(Some(Reply::Failed), None, UNSAFE, 500.0, &[Rule::NoSecondEffect])]
+#[case::still_in_flight(None, None, UNSAFE, 500.0, &[Rule::NoSecondEffect])]
+#[case::keyed_within_its_window(None, Some(CallFailure::TimedOut), KEYED, 5_900.0, &[])]
+#[case::keyed_after_its_window(None, Some(CallFailure::TimedOut), KEYED, 6_100.0, &[Rule::KeyWindow])]
 #[case::keyed_that_never_ran(Some(Reply::Refused(None)), None, KEYED, 9_000.0, &[])]
-fn what_may_have_run_is_repeated_only_where_its_class_allows(
-    #[case] reply: Option<Reply>,
-    #[case] silence: Option<CallFailure>,
+fn a_message_that_may_have_run_is_repeated_only_if_its_class_allows(
+    #[case] answer: Option<Reply>,
+    #[case] failure: Option<CallFailure>,
     #[case] class: u32,
-    #[case] second: f64,
-    #[case] want: &[Rule],
+    #[case] repeated_at: f64,
+    #[case] expected: &[Rule],
 ) {
-    let first: Vec<_> = reply.map(|r| replied(1, r, 100.0)).into_iter().collect();
-    let ended: Vec<_> = silence
+    let answered: Vec<_> = answer
+        .map(|answer| reply(1, answer, 100.0))
+        .into_iter()
+        .collect();
+    let failed: Vec<_> = failure
         .map(|cause| (100.0, EventKind::CallFailed { call: 1, cause }))
         .into_iter()
         .collect();
-    let last = vec![replied(2, Reply::Served, second + 300.0)];
+    let last = vec![reply(2, Reply::Served, repeated_at + 300.0)];
     let parts = vec![
-        taken(1, class),
-        sent(1, 1, 1, 5.0),
-        first,
-        ended,
-        sent(2, 1, 1, second),
+        accepted(1, class),
+        call_to(1, 1, 1, 5.0),
+        answered,
+        failed,
+        call_to(2, 1, 1, repeated_at),
         last,
     ];
-    assert_eq!(verdict(&history(parts)), want);
+    assert_eq!(broken_rules(&chronological(parts)), expected);
 }
 
 #[test]
-fn an_unsafe_message_is_one_whoever_hands_it_in_and_may_not_be_called_harmless_to_repeat() {
-    let lost = vec![
+fn a_non_idempotent_message_that_may_have_run_is_not_deferred_nor_sent_for_another_submission() {
+    let timed_out_and_deferred = vec![
         (
             100.0,
             EventKind::CallFailed {
@@ -51,27 +56,32 @@
                 cause: CallFailure::TimedOut,
             },
         ),
-        notice(1, true, 110.0),
+        report(1, true, 110.0),
+    ];
+    let parts = vec![
+        accepted(1, UNSAFE),
+        call_to(1, 1, 1, 5.0),
+        timed_out_and_deferred.clone(),
     ];
-    let parts = vec![taken(1, UNSAFE), sent(1, 1, 1, 5.0), lost.clone()];
     assert_eq!(
-        verdict(&history(parts)),
+        broken_rules(&chronological(parts)),
         [Rule::NoSecondEffect],
-        "given up as never run"
+        "reported as deferred"
     );
-    let end = vec![replied(2, Reply::Served, 900.0)];
-    let undeliverable = vec![lost[0].clone(), notice(1, false, 110.0)];
+    let end = vec![reply(2, Reply::Served, 900.0)];
+    let timed_out_and_undeliverable =
+        vec![timed_out_and_deferred[0].clone(), report(1, false, 110.0)];
     let parts = vec![
-        taken(1, UNSAFE),
-        sent(1, 1, 1, 5.0),
-        undeliverable,
-        again(1, 2, UNSAFE, 500.0),
-        sent(2, 2, 1, 600.0),
+        accepted(1, UNSAFE),
+        call_to(1, 1, 1, 5.0),
+        timed_out_and_undeliverable,
+        accepted_at(1, 2, UNSAFE, 500.0),
+        call_to(2, 2, 1, 600.0),
         end,
     ];
     assert_eq!(
-        verdict(&history(parts)),
+        broken_rules(&chronological(parts)),
         [Rule::NoSecondEffect],
-        "another sender sends it again"
+        "sent again for a second submission"
     );
 }
--- a/crates/lab/tests/judge/waits.rs
+++ b/crates/lab/tests/judge/waits.rs
@@ -1,39 +1,41 @@
-//! A Retry-After binds its sender once it was told, and until it restarts.
+//! A Retry-After binds a sender once it has arrived, and until the sender restarts.
 
 use martenlatch_lab::event_log::{CallFailure, EventKind};
 use martenlatch_lab::judge::Rule;
 use martenlatch_lab::model::partner::Reply;
 use rstest::rstest;
 
-use crate::history::{KEYED, UNSAFE, again, history, notice, replied, sent, taken, verdict};
+use crate::history::{
+    KEYED, UNSAFE, accepted, accepted_at, broken_rules, call_to, chronological, reply, report,
+};
 
 #[rstest]
-#[case::in_travel(140.0, &[])]
-#[case::too_early(1_000.0, &[Rule::Waits])]
-#[case::when_it_is_over(2_060.0, &[])]
-fn a_told_wait_binds_all_messages(#[case] at: f64, #[case] want: &[Rule]) {
-    let told = vec![
-        replied(1, Reply::Refused(Some(2_000.0)), 50.0),
-        notice(1, true, 60.0),
+#[case::before_it_arrived(140.0, &[])]
+#[case::during_it(1_000.0, &[Rule::Waits])]
+#[case::after_it(2_060.0, &[])]
+fn a_retry_after_binds_all_messages_of_its_sender(#[case] at: f64, #[case] expected: &[Rule]) {
+    let rejected = vec![
+        reply(1, Reply::Refused(Some(2_000.0)), 50.0),
+        report(1, true, 60.0),
     ];
-    let end = vec![replied(2, Reply::Served, at + 300.0)];
+    let end = vec![reply(2, Reply::Served, at + 300.0)];
     let parts = vec![
-        taken(1, UNSAFE),
-        sent(1, 1, 1, 5.0),
-        told,
-        taken(2, KEYED),
-        sent(2, 2, 2, at),
+        accepted(1, UNSAFE),
+        call_to(1, 1, 1, 5.0),
+        rejected,
+        accepted(2, KEYED),
+        call_to(2, 2, 2, at),
         end,
     ];
-    assert_eq!(verdict(&history(parts)), want);
+    assert_eq!(broken_rules(&chronological(parts)), expected);
 }
 
 #[test]
-fn a_wait_that_a_sender_called_off_too_soon_to_hear_does_not_bind_it_and_one_heard_before_still_does()
- {
-    let off = |at: f64| {
-        let told = vec![
-            replied(1, Reply::Refused(Some(2_000.0)), 50.0),
+fn a_retry_after_that_its_sender_cannot_have_received_is_ignored_and_an_earlier_one_stays_in_force()
+{
+    let broken_rules_if_cancelled_at = |at: f64| {
+        let rejected = vec![
+            reply(1, Reply::Refused(Some(2_000.0)), 50.0),
             (
                 at,
                 EventKind::CallFailed {
@@ -42,23 +44,29 @@
                 },
             ),
         ];
-        let end = vec![notice(1, true, 900.0), replied(2, Reply::Served, 1_300.0)];
-        verdict(&history(vec![
-            taken(1, KEYED),
-            sent(1, 1, 1, 5.0),
-            told,
-            taken(2, KEYED),
-            sent(2, 2, 2, 1_000.0),
+        let end = vec![report(1, true, 900.0), reply(2, Reply::Served, 1_300.0)];
+        broken_rules(&chronological(vec![
+            accepted(1, KEYED),
+            call_to(1, 1, 1, 5.0),
+            rejected,
+            accepted(2, KEYED),
+            call_to(2, 2, 2, 1_000.0),
             end,
         ]))
     };
-    assert_eq!((off(55.0), off(400.0)), (vec![], vec![Rule::Waits]));
+    assert_eq!(
+        (
+            broken_rules_if_cancelled_at(55.0),
+            broken_rules_if_cancelled_at(400.0)
+        ),
+        (vec![], vec![Rule::Waits])
+    );
     let first = vec![
-        replied(1, Reply::Refused(Some(2_000.0)), 50.0),
-        notice(1, true, 60.0),
+        reply(1, Reply::Refused(Some(2_000.0)), 50.0),
+        report(1, true, 60.0),
     ];
     let second = vec![
-        replied(2, Reply::Refused(Some(9_000.0)), 120.0),
+        reply(2, Reply::Refused(Some(9_000.0)), 120.0),
         (
             125.0,
             EventKind::CallFailed {
@@ -67,58 +75,61 @@
             },
         ),
     ];
-    let end = vec![notice(2, true, 900.0), replied(3, Reply::Served, 1_300.0)];
+    let end = vec![report(2, true, 900.0), reply(3, Reply::Served, 1_300.0)];
     let parts = vec![
-        taken(1, KEYED),
-        sent(1, 1, 1, 5.0),
+        accepted(1, KEYED),
+        call_to(1, 1, 1, 5.0),
         first,
-        taken(2, KEYED),
-        sent(2, 2, 1, 40.0),
+        accepted(2, KEYED),
+        call_to(2, 2, 1, 40.0),
         second,
-        taken(3, KEYED),
-        sent(3, 3, 1, 1_000.0),
+        accepted(3, KEYED),
+        call_to(3, 3, 1, 1_000.0),
         end,
     ];
     assert_eq!(
-        verdict(&history(parts)),
+        broken_rules(&chronological(parts)),
         [Rule::Waits],
-        "the one before holds on"
+        "the earlier Retry-After stays in force"
     );
 }
 
 #[test]
-fn a_restart_ends_a_wait_and_excuses_an_end_for_a_moment() {
-    let told = vec![
-        replied(1, Reply::Refused(Some(9_000.0)), 50.0),
-        notice(1, true, 60.0),
+fn a_restart_ends_a_retry_after_and_excuses_a_late_final_answer_for_a_short_time() {
+    let rejected = vec![
+        reply(1, Reply::Refused(Some(9_000.0)), 50.0),
+        report(1, true, 60.0),
     ];
-    let life = vec![
+    let restart = vec![
         (100.0, EventKind::SenderEnded { sender: 0 }),
         (900.0, EventKind::SenderReady { sender: 0 }),
     ];
-    let end = vec![replied(2, Reply::Served, 1_500.0)];
+    let end = vec![reply(2, Reply::Served, 1_500.0)];
     let parts = vec![
-        taken(1, UNSAFE),
-        sent(1, 1, 1, 5.0),
-        told,
-        life,
-        again(2, 2, KEYED, 950.0),
-        sent(2, 2, 2, 1_000.0),
+        accepted(1, UNSAFE),
+        call_to(1, 1, 1, 5.0),
+        rejected,
+        restart,
+        accepted_at(2, 2, KEYED, 950.0),
+        call_to(2, 2, 2, 1_000.0),
         end,
     ];
-    assert_eq!(verdict(&history(parts)), []);
-    let down = |ready: f64, end: f64| {
-        let life = vec![
+    assert_eq!(broken_rules(&chronological(parts)), []);
+    let broken_rules_if_reported_at = |ready: f64, report_at: f64| {
+        let restart = vec![
             (15_000.0, EventKind::ShutdownRequested { sender: 0 }),
             (15_900.0, EventKind::SenderEnded { sender: 0 }),
             (ready, EventKind::SenderReady { sender: 0 }),
         ];
-        verdict(&history(vec![
-            taken(1, UNSAFE),
-            life,
-            vec![notice(1, true, end)],
+        broken_rules(&chronological(vec![
+            accepted(1, UNSAFE),
+            restart,
+            vec![report(1, true, report_at)],
         ]))
     };
-    assert_eq!(down(17_000.0, 18_400.0), []);
-    assert_eq!(down(17_000.0, 18_700.0), [Rule::Lost]);
+    assert_eq!(broken_rules_if_reported_at(17_000.0, 18_400.0), []);
+    assert_eq!(
+        broken_rules_if_reported_at(17_000.0, 18_700.0),
+        [Rule::Lost]
+    );
 }
