--- a/crates/lab/src/commands/run.rs
+++ b/crates/lab/src/commands/run.rs
@@ -28,7 +28,7 @@
     let mut experiment = Experiment::open(&file).map_err(report)?;
     experiment.seed = options.seed.unwrap_or(experiment.seed);
     experiment.repeats = options.repeats.unwrap_or(experiment.repeats).max(1);
-    let (outcome, machine_section) = run_variants(&experiment, options)?;
+    let (outcome, machine_section) = run_in_mode(&experiment, options)?;
     let out = &options.out;
     outcome.write(out).map_err(report)?;
     let page = out.join("report.html");
@@ -44,7 +44,7 @@
     Ok(Conclusion::of(outcome.clean()))
 }
 
-/// The file of an experiment, which is given by a path or by the name of a shipped experiment.
+/// The path of an experiment that is given by a path or by the name of a shipped experiment.
 fn find_experiment(file: &Path) -> PathBuf {
     let is_path = file.extension().is_some() || file.components().count() > 1;
     if is_path || file.exists() {
@@ -54,10 +54,7 @@
 }
 
 /// Runs in the requested mode. Returns the outcome and the section of the report on this machine.
-fn run_variants(
-    experiment: &Experiment,
-    options: &RunOptions,
-) -> miette::Result<(Outcome, String)> {
+fn run_in_mode(experiment: &Experiment, options: &RunOptions) -> miette::Result<(Outcome, String)> {
     let stop = stop_on_signal()?;
     if options.sockets {
         let (outcome, usage) =
@@ -108,7 +105,7 @@
     let cpu = usage_lines(usage, |now, before| (now.cpu_ms - before.cpu_ms) / 10.0);
     let plot =
         |title: &str, lines: &[Line]| report::plot(title, Axes::linear("seconds"), lines, &[]);
-    String::from("<h2>EventKind the senders used on this machine</h2>")
+    String::from("<h2>What the senders used on this machine</h2>")
         + &plot("Memory of all senders, MiB", &memory)
         + &plot("Processor of all senders, percent of a core", &cpu)
 }
--- a/crates/lab/src/metrics/mod.rs
+++ b/crates/lab/src/metrics/mod.rs
@@ -21,7 +21,7 @@
 
 /// The latency histogram counts tenths of a millisecond.
 const LATENCY_UNITS_PER_MS: f64 = 10.0;
-/// The longest latency of the histogram: one hour, in its units.
+/// The longest latency that the histogram can count: one hour, in tenths of a millisecond.
 const MAX_LATENCY_UNITS: u64 = 36_000_000;
 /// The significant digits of the histogram.
 const LATENCY_DIGITS: u8 = 3;
@@ -91,6 +91,7 @@
     calls: HashMap<u64, Call>,
     newcomers: Newcomers,
     latency: Histogram<u64>,
+    /// The worth of the messages of each class.
     by_class: Vec<Worth>,
     connections: u64,
     wasted_calls: u64,
@@ -120,7 +121,7 @@
         }
     }
 
-    /// The figures of the second that contains `at`. All times after the end of the run count to the last second.
+    /// The figures of the second that contains `at`. Times after the end of the run count for the last second.
     fn second(&mut self, at: Millis) -> &mut SecondFigures {
         let last = self.figures.seconds.len() - 1;
         let second = ((at - self.start) / 1e3).max(0.0) as usize;
@@ -145,7 +146,7 @@
             EventKind::CallStarted {
                 call,
                 id,
-                new_connection: fresh,
+                new_connection,
                 sender,
                 partner,
                 ..
@@ -153,7 +154,7 @@
                 let route = Route { partner, sender };
                 self.newcomers
                     .call_started(call, route, at, &mut self.figures);
-                self.call_started(call, id, fresh, at);
+                self.call_started(call, id, new_connection, at);
             }
             EventKind::CallExecuted { call } => {
                 if let Some(call) = self.calls.get_mut(&call) {
@@ -278,7 +279,7 @@
         figures.worst_class = self.by_class.iter().map(Worth::share).fold(1.0, f64::min);
     }
 
-    /// Computes the costs per message.
+    /// Computes the costs per message; until then, `calls` and `rejections` are total numbers.
     fn add_costs(&mut self) {
         let figures = &mut self.figures;
         let messages = figures.messages.max(1) as f64;
--- a/crates/lab/src/metrics/newcomers.rs
+++ b/crates/lab/src/metrics/newcomers.rs
@@ -7,7 +7,7 @@
 
 use super::figures::Figures;
 
-/// How long after it joins the calls of a newcomer count as its first calls, in milliseconds.
+/// The period after a sender joins in which its calls count as its first calls, in milliseconds.
 const FIRST_CALLS_PERIOD: Millis = 10_000.0;
 /// A Retry-After reaches its sender within this time, in milliseconds.
 const MAX_TRAVEL_TIME: Millis = 100.0;
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Default)]
 struct RetryAfter {
     until: Millis,
-    received_at: Millis,
+    sent_at: Millis,
 }
 
 /// Counts the calls of newcomers.
@@ -38,6 +38,7 @@
 pub(super) struct Newcomers {
     /// The longest Retry-After of each partner for each sender that is still running.
     retry_after: HashMap<Route, RetryAfter>,
+    /// The senders that joined.
     newcomers: HashMap<u32, Newcomer>,
     /// Calls in flight that newcomers started within `FIRST_CALLS_PERIOD`.
     first_calls: HashSet<u64>,
@@ -49,11 +50,11 @@
     /// A sender joins: records which Retry-After the other senders know by then.
     pub fn joined(&mut self, sender: u32, at: Millis) {
         let mut known_retry_after = HashMap::<u32, Millis>::new();
-        for (route, wait) in &self.retry_after {
+        for (route, retry_after) in &self.retry_after {
             // A Retry-After that is still on its way to its sender is not known yet.
-            if wait.received_at + MAX_TRAVEL_TIME < at {
+            if retry_after.sent_at + MAX_TRAVEL_TIME < at {
                 let longest = known_retry_after.entry(route.partner).or_default();
-                *longest = longest.max(wait.until);
+                *longest = longest.max(retry_after.until);
             }
         }
         let newcomer = Newcomer {
@@ -63,7 +64,7 @@
         self.newcomers.insert(sender, newcomer);
     }
 
-    /// A sender's process has ended, which loses every Retry-After that it knew.
+    /// A sender's process has ended, and with it its knowledge of every Retry-After.
     pub fn sender_ended(&mut self, sender: u32) {
         self.retry_after.retain(|route, _| route.sender != sender);
     }
@@ -100,10 +101,7 @@
         let until = at + retry_after.unwrap_or(0.0);
         let known = self.retry_after.entry(route).or_default();
         if until > known.until {
-            *known = RetryAfter {
-                until,
-                received_at: at,
-            };
+            *known = RetryAfter { until, sent_at: at };
         }
     }
 
--- a/crates/lab/src/outcome.rs
+++ b/crates/lab/src/outcome.rs
@@ -1,4 +1,4 @@
-//! The outcome of an experiment: the runs of every variant, the comparison of each variant with the first over the same
+//! The outcome of an experiment: the runs of every variant, the comparison of each variant with the first for the same
 //! seeds, and the file that stores them. It contains only values that follow from the seeds, and no measurements of the
 //! machine.
 
@@ -47,7 +47,7 @@
             .collect()
     }
 
-    fn breaches(&self) -> u64 {
+    fn breach_count(&self) -> u64 {
         self.runs.iter().map(|run| run.verdict.total()).sum()
     }
 }
@@ -142,10 +142,10 @@
         }
         let count = values.len() as f64;
         let mean = values.iter().sum::<f64>() / count;
-        let squared_errors = values.iter().map(|value| (value - mean).powi(2));
-        let squared_error = squared_errors.sum::<f64>();
+        let squares = values.iter().map(|value| (value - mean).powi(2));
+        let sum_of_squares = squares.sum::<f64>();
         let deviation = if values.len() > 1 {
-            (squared_error / (count - 1.0)).sqrt()
+            (sum_of_squares / (count - 1.0)).sqrt()
         } else {
             0.0
         };
@@ -199,7 +199,7 @@
                 "\n{} ({} seeds, {} breaches)\n",
                 variant.name,
                 variant.runs.len(),
-                variant.breaches()
+                variant.breach_count()
             );
             for figure in COMPARED_FIGURES {
                 text += table_line(variant, base, figure).trim_end();
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -43,7 +43,7 @@
 /// The resource usage of the senders in each run on sockets.
 pub type UsageByRun = Vec<RunUsage>;
 
-/// A run that is to be carried out.
+/// A run to carry out: the index of its variant, and its seed.
 #[derive(Clone, Copy)]
 struct PlannedRun {
     variant: usize,
@@ -71,7 +71,7 @@
     bar.finish_and_clear();
     let incomplete = finished_runs.len() < planned_runs.len();
     let mut variants = variants_without_runs(experiment);
-    let mut turns: TurnsByVariant = variants.iter().map(no_turns).collect();
+    let mut turns: TurnsByVariant = variants.iter().map(without_turns).collect();
     for FinishedRun { planned, result } in finished_runs {
         let run = result?;
         turns[planned.variant].turns.add_all(&run.turns);
@@ -111,7 +111,7 @@
         for _ in 0..cores.min(planned_runs.len()) {
             scope.spawn(|| {
                 while let Some(planned) = planned_runs.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let Some(finished) = run_until_stopped(experiment, *planned, stop) else {
+                    let Some(finished) = run_unless_stopped(experiment, *planned, stop) else {
                         return;
                     };
                     finished_runs
@@ -131,7 +131,7 @@
 }
 
 /// Carries out a run. `None` if `stop` is set before its end, as a stopped run does not count.
-fn run_until_stopped(
+fn run_unless_stopped(
     experiment: &Experiment,
     planned: PlannedRun,
     stop: &AtomicBool,
@@ -212,7 +212,7 @@
     experiment.variants.iter().map(without_runs).collect()
 }
 
-fn no_turns(variant: &Variant) -> VariantTurns {
+fn without_turns(variant: &Variant) -> VariantTurns {
     VariantTurns {
         variant: variant.name.clone(),
         turns: Turns::default(),
