--- a/crates/lab/src/commands/members.rs
+++ b/crates/lab/src/commands/members.rs
@@ -29,7 +29,7 @@
         }
     }
     println!(
-        "bytes and datagrams: sent by a member; false deaths: in a minute, over all members and views"
+        "bytes and datagrams: sent by each member; false deaths: per minute, over all members and views"
     );
     Ok(Conclusion::RulesKept)
 }
--- a/crates/lab/src/error.rs
+++ b/crates/lab/src/error.rs
@@ -21,7 +21,7 @@
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             ProcessEnd::Exited(code) => write!(out, "with exit code {code}"),
-            ProcessEnd::Signalled => out.write_str("on a signal"),
+            ProcessEnd::Signalled => out.write_str("by a signal"),
         }
     }
 }
@@ -85,10 +85,10 @@
     /// The library that makes system calls fail cannot be built.
     #[error("the library that makes system calls fail cannot be built: {0}")]
     BuildShim(String),
-    /// The processes of a run take too much memory.
-    #[error("the processes take {used_kb} kB, over half of the machine's memory")]
+    /// The processes of a run use more than half of the machine's memory.
+    #[error("the processes of the run use {used_kb} kB, more than half of the machine's memory")]
     TooMuchMemory {
-        /// The memory that they take, in kB.
+        /// The memory that they use, in kB.
         used_kb: u64,
     },
     /// No port can be bound.
--- a/crates/lab/tests/judge/history.rs
+++ b/crates/lab/tests/judge/history.rs
@@ -8,7 +8,7 @@
 /// The class of non-idempotent messages.
 pub const UNSAFE: u32 = 0;
 
-/// The class of messages with an idempotency key, which lasts 6 s.
+/// The class of messages with an idempotency key, whose window is 6 s.
 pub const KEYED: u32 = 1;
 
 /// The rules that a judge finds broken in a history that ends at 100 s.
