--- a/crates/lab/src/commands/compare.rs
+++ b/crates/lab/src/commands/compare.rs
@@ -1,22 +1,24 @@
-//! `compare`: two results of the same experiment, side by side.
+//! `compare`: compares two results of the same experiment.
 
 use std::path::Path;
 
-use martenlatch_lab::outcome::{ComparedFigure, FIGURES, Outcome, SampleStatistics, Variant};
+use martenlatch_lab::outcome::{
+    COMPARED_FIGURES, ComparedFigure, Outcome, SampleStatistics, Variant,
+};
 use miette::miette;
 
 use super::{Conclusion, report};
 
-/// Differences of more standard errors than this are what the seeds alone would rarely make.
+/// Differences of more than this number of standard errors rarely result from the choice of seeds alone.
 const SIGNIFICANT_ERRORS: f64 = 2.0;
 
-/// Prints the differences of each variant's figures, seed by seed.
+/// Prints for each variant the mean differences of its figures, taken seed by seed.
 pub fn compare(base: &Path, other: &Path) -> miette::Result<Conclusion> {
     let base_outcome = Outcome::open(base).map_err(report)?;
     let other_outcome = Outcome::open(other).map_err(report)?;
     if base_outcome.experiment != other_outcome.experiment {
         return Err(miette!(
-            "{:?} and {:?} are not the same experiment",
+            "the results are of different experiments, {:?} and {:?}",
             base_outcome.experiment,
             other_outcome.experiment
         ));
@@ -34,7 +36,7 @@
             continue;
         };
         println!("{}", variant.name);
-        for figure in FIGURES {
+        for figure in COMPARED_FIGURES {
             print_difference(variant, base, figure);
         }
     }
--- a/crates/lab/src/report/mod.rs
+++ b/crates/lab/src/report/mod.rs
@@ -1,28 +1,29 @@
-//! The report of an outcome: one page of HTML that needs nothing else, with plots in it.
+//! The report of an outcome: a self-contained HTML page with embedded plots.
 
 mod html;
 mod plot;
 
 use std::fmt::Write;
 
-use crate::metrics::{Figures, Second};
-use crate::outcome::{FIGURES, FailureSpan, Outcome, SampleStatistics, Variant};
+use crate::metrics::{Figures, SecondFigures};
+use crate::outcome::{COMPARED_FIGURES, FailureSpan, Outcome, SampleStatistics, Variant};
 pub use html::escaped;
 pub use plot::{Axes, Line, Point, plot};
 
-/// A variant's runs are listed with so many breaches each at most.
-const BREACHES_PER_RUN: usize = 20;
+/// The maximum number of breaches that are listed for each run.
+const MAX_LISTED_BREACHES: usize = 20;
 
-/// The page. `machine` holds what is the machine's and not the seeds', as ready parts of the page.
-pub fn page(outcome: &Outcome, machine: &[String]) -> String {
+/// The HTML page. `machine_sections` are complete HTML sections on measurements of this machine, which do not follow
+/// from the seeds.
+pub fn page(outcome: &Outcome, machine_sections: &[String]) -> String {
     let mut page = html::head(outcome);
     page += &comparison(outcome);
     page += &plots_over_time(outcome);
     page += &latency_plot(outcome);
-    page += &failures(&outcome.shades);
-    page += &breaches(&outcome.variants);
-    for part in machine {
-        page += part;
+    page += &failure_list(&outcome.failure_spans);
+    page += &breach_lists(&outcome.variants);
+    for section in machine_sections {
+        page += section;
     }
     page += "</html>\n";
     page
@@ -37,7 +38,7 @@
             table += "<th>against the first";
         }
     }
-    for figure in FIGURES {
+    for figure in COMPARED_FIGURES {
         let _ = write!(table, "<tr><td>{}", figure.name);
         for (number, variant) in outcome.variants.iter().enumerate() {
             let own = SampleStatistics::of(&variant.values(figure.read));
@@ -54,7 +55,7 @@
         + "</table><p>Means over the seeds, with their standard deviation; differences are taken seed by seed.</p>"
 }
 
-/// A line of each variant.
+/// One plot line per variant.
 fn lines(outcome: &Outcome, points: impl Fn(&Variant) -> Vec<Point>) -> Vec<Line> {
     outcome
         .variants
@@ -69,22 +70,26 @@
 fn plots_over_time(outcome: &Outcome) -> String {
     let plot = |title: &str, points: &dyn Fn(&Variant) -> Vec<Point>| {
         let axes = Axes::linear("seconds");
-        plot(title, axes, &lines(outcome, points), &outcome.shades)
+        plot(title, axes, &lines(outcome, points), &outcome.failure_spans)
     };
     let mut plots = String::new();
     plots += &plot(
         "Share served, by when it was first handed in",
         &share_served,
     );
-    plots += &plot("Worth delivered a second", &|v| over_time(v, |s| s.got));
+    plots += &plot("Worth delivered a second", &|v| {
+        over_time(v, |s| s.delivered_worth)
+    });
     plots += &plot("Calls a second", &|v| over_time(v, |s| s.calls as f64));
-    plots += &plot("Refusals a second", &|v| over_time(v, |s| s.refused as f64));
-    plots += &plot("Messages held", &|v| over_time(v, |s| s.held as f64));
+    plots += &plot("Refusals a second", &|v| {
+        over_time(v, |s| s.rejected_calls as f64)
+    });
+    plots += &plot("Messages held", &|v| over_time(v, |s| s.max_held as f64));
     plots
 }
 
-/// One figure of each second, the mean over the seeds.
-fn over_time(variant: &Variant, read: fn(&Second) -> f64) -> Vec<Point> {
+/// The mean over the seeds of a figure of each second.
+fn over_time(variant: &Variant, read: fn(&SecondFigures) -> f64) -> Vec<Point> {
     let seconds = |run: &crate::outcome::Run| run.figures.seconds.len();
     let longest = variant.runs.iter().map(seconds).max().unwrap_or(0);
     (0..longest)
@@ -103,21 +108,21 @@
         .collect()
 }
 
-/// The share that was delivered of the worth asked for in each second, smoothed over three.
+/// The delivered share of the worth submitted in each second, smoothed over three seconds.
 fn share_served(variant: &Variant) -> Vec<Point> {
-    let asked = over_time(variant, |second| second.asked);
-    let got = over_time(variant, |second| second.got);
-    let smoothed = |line: &[Point], at: usize| {
+    let submitted = over_time(variant, |second| second.submitted_worth);
+    let delivered = over_time(variant, |second| second.delivered_worth);
+    let window_sum = |line: &[Point], at: usize| {
         line[at.saturating_sub(1)..(at + 2).min(line.len())]
             .iter()
             .map(|point| point.y)
             .sum::<f64>()
     };
-    (0..asked.len())
-        .filter(|at| smoothed(&asked, *at) > 0.0)
+    (0..submitted.len())
+        .filter(|at| window_sum(&submitted, *at) > 0.0)
         .map(|at| Point {
-            x: asked[at].x,
-            y: smoothed(&got, at) / smoothed(&asked, at),
+            x: submitted[at].x,
+            y: window_sum(&delivered, at) / window_sum(&submitted, at),
         })
         .collect()
 }
@@ -142,35 +147,35 @@
     )
 }
 
-fn failures(shades: &[FailureSpan]) -> String {
-    if shades.is_empty() {
+fn failure_list(spans: &[FailureSpan]) -> String {
+    if spans.is_empty() {
         return String::new();
     }
     let mut list = String::from("<h2>What went wrong</h2><ul>");
-    for shade in shades {
-        let what = escaped(&shade.what);
+    for span in spans {
+        let failure = escaped(&span.failure);
         let _ = write!(
             list,
-            "<li>{what}: {:.1} to {:.1} s</li>",
-            shade.start_s, shade.end_s
+            "<li>{failure}: {:.1} to {:.1} s</li>",
+            span.start_s, span.end_s
         );
     }
     list + "</ul>"
 }
 
-fn breaches(variants: &[Variant]) -> String {
+fn breach_lists(variants: &[Variant]) -> String {
     let mut html = String::from("<h2>The rules</h2>");
     for variant in variants {
         let name = escaped(&variant.name);
-        let _ = write!(html, "<h3>{name}</h3>{}", breaches_of(variant));
+        let _ = write!(html, "<h3>{name}</h3>{}", breach_list(variant));
     }
     html
 }
 
-fn breaches_of(variant: &Variant) -> String {
+fn breach_list(variant: &Variant) -> String {
     let mut list = String::new();
     for run in &variant.runs {
-        for breach in run.verdict.breaches.iter().take(BREACHES_PER_RUN) {
+        for breach in run.verdict.breaches.iter().take(MAX_LISTED_BREACHES) {
             let text = escaped(&breach.to_string());
             let _ = writeln!(list, "<li>seed {}: {text}</li>", run.seed);
         }
--- a/crates/lab/src/sim/calls.rs
+++ b/crates/lab/src/sim/calls.rs
@@ -8,7 +8,7 @@
 use super::sender::Connection;
 use super::simulation::Simulation;
 use super::variant_settings::CONNECT_TIMEOUT;
-use crate::event_log::{Silence, What};
+use crate::event_log::{CallFailure, EventKind};
 use crate::model::fault_schedule::ActiveFaults;
 use crate::model::partner::Reply;
 use crate::network::{self, Direction};
@@ -68,13 +68,13 @@
             sent_at: self.now,
             reset_after_last_byte: resets.after_last_byte,
         });
-        self.record(What::Call {
+        self.record(EventKind::CallStarted {
             call,
             id,
             sender,
             partner,
             endpoint,
-            fresh: connection.is_new(),
+            new_connection: connection.is_new(),
         });
         self.schedule(self.now + timeout, SimEvent::CallTimeout { call });
         self.cross_network(call, connection, &faults, resets.before_last_byte);
@@ -121,48 +121,48 @@
             // On an open connection no loss is scheduled, so the call ends by its timeout.
             if is_new {
                 let at = self.now + CONNECT_TIMEOUT;
-                self.schedule_loss(at, call, Silence::NeverSent, Outcome::Unreachable);
+                self.schedule_loss(at, call, CallFailure::NeverSent, Outcome::Unreachable);
             }
         } else if is_stale {
             let at = arrives_at + latency;
-            self.schedule_loss(at, call, Silence::Reset, Outcome::StaleConnection);
+            self.schedule_loss(at, call, CallFailure::Reset, Outcome::StaleConnection);
         } else if reset_before {
             let outcome = if is_new {
                 Outcome::Unreachable
             } else {
                 Outcome::NotSent
             };
-            self.schedule_loss(arrives_at, call, Silence::NeverSent, outcome);
+            self.schedule_loss(arrives_at, call, CallFailure::NeverSent, outcome);
         } else {
             self.schedule(arrives_at, SimEvent::CallAtPartner { call });
         }
     }
 
-    fn schedule_loss(&mut self, at: Millis, call: u64, how: Silence, outcome: Outcome) {
+    fn schedule_loss(&mut self, at: Millis, call: u64, how: CallFailure, outcome: Outcome) {
         self.schedule(at, SimEvent::CallLost { call, how, outcome });
     }
 
     /// Resets the connection of a call after its last byte. The sender notices one latency later.
     pub(super) fn reset_call(&mut self, call: u64) {
         let at = self.now + self.latency(call, Direction::ToSender);
-        self.schedule_loss(at, call, Silence::Reset, Outcome::ConnectionLost);
+        self.schedule_loss(at, call, CallFailure::Reset, Outcome::ConnectionLost);
     }
 
     /// Writes a partner's reply, which reaches the sender one latency later.
     pub(super) fn reply(&mut self, call: u64, reply: Reply) {
         if self.calls.contains_key(&call) {
-            self.record(What::Replied { call, reply });
+            self.record(EventKind::CallAnswered { call, reply });
             let at = self.now + self.latency(call, Direction::ToSender);
             self.schedule(at, SimEvent::AnswerAtSender { call, reply });
         }
     }
 
     /// Ends a call without an answer, and closes its connection.
-    pub(super) fn lose_call(&mut self, call: u64, how: Silence, outcome: Outcome) {
+    pub(super) fn lose_call(&mut self, call: u64, how: CallFailure, outcome: Outcome) {
         if !self.calls.contains_key(&call) {
             return;
         }
-        self.record(What::Ended { call, how });
+        self.record(EventKind::CallFailed { call, cause: how });
         if let Some(ended) = self.end_call(call, outcome) {
             self.connections[ended.endpoint as usize] -= 1;
         }
--- a/crates/lab/src/sim/event.rs
+++ b/crates/lab/src/sim/event.rs
@@ -3,7 +3,7 @@
 use martenlatch_clock::Millis;
 use martenlatch_policy::interface::{EndpointState, Outcome};
 
-use crate::event_log::Silence;
+use crate::event_log::CallFailure;
 use crate::model::partner::Reply;
 
 /// An event of a simulated run. Events that must be ignored after a sender's process has ended carry the process's
@@ -32,7 +32,7 @@
     /// A call ends for its sender without an answer.
     CallLost {
         call: u64,
-        how: Silence,
+        how: CallFailure,
         outcome: Outcome,
     },
     /// A call times out at its sender.
--- a/crates/lab/src/sim/faults.rs
+++ b/crates/lab/src/sim/faults.rs
@@ -2,7 +2,7 @@
 
 use super::event::SimEvent;
 use super::simulation::Simulation;
-use crate::event_log::What;
+use crate::event_log::EventKind;
 use crate::experiment::FailureKind;
 use crate::model::environment::{ListedState, REPLACEMENT_OVERLAP};
 
@@ -10,9 +10,9 @@
     /// Begins and ends the outages of partners after a failure has begun or ended.
     pub(super) fn update_outages(&mut self) {
         for change in self.environment.update_outages(self.now) {
-            self.record(What::Out {
+            self.record(EventKind::Outage {
                 partner: change.partner,
-                out: change.in_outage,
+                in_outage: change.in_outage,
             });
         }
     }
@@ -23,7 +23,7 @@
         let sender = failure.sender;
         match failure.kind {
             FailureKind::Join => {
-                self.record(What::Joins { sender });
+                self.record(EventKind::SenderJoined { sender });
                 self.start_sender(sender);
             }
             FailureKind::Sigkill => self.kill(sender, failure.size),
--- a/crates/lab/src/sim/simulation.rs
+++ b/crates/lab/src/sim/simulation.rs
@@ -14,7 +14,7 @@
 use crate::clients::Clients;
 use crate::delay_queue::DelayQueue;
 use crate::error::LabError;
-use crate::event_log::{LoggedEvent, Silence, What};
+use crate::event_log::{CallFailure, EventKind, LoggedEvent};
 use crate::experiment::{Experiment, Failure, FailureKind, Variant};
 use crate::judge::Judge;
 use crate::load::{self, PlannedMessage};
@@ -124,10 +124,10 @@
     }
 
     /// Passes an event to the judge, the metrics and the sink.
-    pub fn record(&mut self, what: What) {
-        let event = LoggedEvent { at: self.now, what };
-        self.judge.hear(&event);
-        self.metrics.hear(&event);
+    pub fn record(&mut self, kind: EventKind) {
+        let event = LoggedEvent { at: self.now, kind };
+        self.judge.observe(&event);
+        self.metrics.observe(&event);
         if let Some(sink) = self.sink.as_mut() {
             sink(&event);
         }
@@ -200,7 +200,7 @@
             SimEvent::AnswerAtSender { call, reply } => self.answer_at_sender(call, reply),
             SimEvent::CallLost { call, how, outcome } => self.lose_call(call, how, outcome),
             SimEvent::CallTimeout { call } => {
-                self.lose_call(call, Silence::TimedOut, Outcome::TimedOut)
+                self.lose_call(call, CallFailure::TimedOut, Outcome::TimedOut)
             }
             SimEvent::StatusReport(report) => self.status_report(report),
             SimEvent::OutagesChange => self.update_outages(),
@@ -245,7 +245,7 @@
             .senders
             .iter()
             .map(|sender| sender.open_messages as u64);
-        self.metrics.held(self.now, open.sum());
+        self.metrics.record_held(self.now, open.sum());
         if self.now < self.experiment.length {
             self.schedule(self.now + SAMPLE_INTERVAL, SimEvent::Sample);
         }
--- a/crates/lab/src/sim/turn.rs
+++ b/crates/lab/src/sim/turn.rs
@@ -8,7 +8,7 @@
 use super::CLOCK_ORIGIN;
 use super::event::SimEvent;
 use super::simulation::Simulation;
-use crate::event_log::Silence;
+use crate::event_log::CallFailure;
 
 impl Simulation<'_> {
     /// Runs a turn of a sender's decision module, unless the process of that incarnation has ended.
@@ -71,7 +71,7 @@
         let message = self.senders[sender as usize].held.get(&id.0);
         let call = message.and_then(|message| message.calls.get(&attempt));
         if let Some(call) = call.copied() {
-            self.lose_call(call, Silence::CalledOff, Outcome::Cancelled);
+            self.lose_call(call, CallFailure::Cancelled, Outcome::Cancelled);
         }
     }
 
--- a/crates/lab/src/sockets/clients.rs
+++ b/crates/lab/src/sockets/clients.rs
@@ -8,7 +8,7 @@
 use super::lab_socket::{ClientConnection, LabSocket, is_closed};
 use super::testbed::{SubmittedMessage, Testbed};
 use crate::clients::{ClientMessage, SenderChoice};
-use crate::event_log::What;
+use crate::event_log::EventKind;
 use crate::experiment::Effect;
 
 /// How long a client waits for the answer to a message that it submitted.
@@ -107,7 +107,7 @@
         };
         self.messages.insert(message, submitted);
         self.open_messages += 1;
-        self.record(What::Submitted {
+        self.record(EventKind::Submitted {
             origin,
             id: message,
             sender,
@@ -181,7 +181,7 @@
                 self.sockets.remove(key);
             }
         }
-        self.record(What::Answered {
+        self.record(EventKind::ClientAnswered {
             id: message,
             status: answer.status,
         });
--- a/crates/lab/src/sockets/discovery.rs
+++ b/crates/lab/src/sockets/discovery.rs
@@ -10,7 +10,7 @@
 use super::event::Event;
 use super::lab_socket::{AgentConnection, LabSocket, is_closed};
 use super::testbed::Testbed;
-use crate::event_log::What;
+use crate::event_log::EventKind;
 use crate::model::environment::ListedState;
 
 /// Time between two heartbeats on the watches.
@@ -143,11 +143,11 @@
         let change = json!({"rev": revision, "all": false, "targets": [entry]}).to_string();
         let watch_keys = self.watch_connections(Some(sender));
         if up && !watch_keys.is_empty() {
-            self.record(What::Listed {
+            self.record(EventKind::Listed {
                 sender,
                 endpoint,
                 partner: self.environment.partner_of(endpoint),
-                on: state == ListedState::Active,
+                in_service: state == ListedState::Active,
             });
         }
         for key in watch_keys {
--- a/crates/lab/src/sockets/event_loop.rs
+++ b/crates/lab/src/sockets/event_loop.rs
@@ -142,7 +142,7 @@
 
     fn sample(&mut self) {
         let now = self.now();
-        self.metrics.held(now, self.open_messages);
+        self.metrics.record_held(now, self.open_messages);
         if self.sample_senders(now) {
             self.events.push(now + SAMPLE_INTERVAL, Event::Sample);
         }
--- a/crates/lab/src/sockets/faults.rs
+++ b/crates/lab/src/sockets/faults.rs
@@ -7,7 +7,7 @@
 use super::lab_socket::LabSocket;
 use super::partners::CloseMode;
 use super::testbed::{EndpointSocket, Testbed};
-use crate::event_log::{Silence, What};
+use crate::event_log::{CallFailure, EventKind};
 use crate::experiment::FailureKind;
 use crate::model::environment::{ListedState, REPLACEMENT_OVERLAP, Replacement};
 
@@ -20,9 +20,9 @@
         let now = self.now();
         self.apply_full_disks(now);
         for change in self.environment.update_outages(now) {
-            self.record(What::Out {
+            self.record(EventKind::Outage {
                 partner: change.partner,
-                out: change.in_outage,
+                in_outage: change.in_outage,
             });
         }
         // Accepts connections that were left waiting while a partner was unreachable.
@@ -82,11 +82,11 @@
     /// Records that a sender is about to be killed or shut down, so that its end does not count as a crash.
     fn expect_end(&mut self, sender: u32, restart_after: Millis) {
         self.senders[sender as usize].restart_after = Some(restart_after);
-        self.record(What::Told { sender });
+        self.record(EventKind::ShutdownRequested { sender });
     }
 
     fn join_sender(&mut self, sender: u32) {
-        self.record(What::Joins { sender });
+        self.record(EventKind::SenderJoined { sender });
         if let Err(error) = self.launch(sender) {
             self.fail(error);
         }
@@ -150,9 +150,9 @@
         for (key, call) in self.connections_of(endpoint) {
             if let Some(call) = call {
                 self.calls.remove(&call);
-                self.record(What::Ended {
+                self.record(EventKind::CallFailed {
                     call,
-                    how: Silence::Reset,
+                    cause: CallFailure::Reset,
                 });
             }
             self.drop_endpoint_connection(key, CloseMode::Reset);
--- a/crates/lab/src/sockets/partners.rs
+++ b/crates/lab/src/sockets/partners.rs
@@ -11,7 +11,7 @@
 use super::lab_socket::{EndpointConnection, LabSocket, is_closed};
 use super::testbed::{Call, Testbed};
 use crate::error::LabError;
-use crate::event_log::{Silence, What};
+use crate::event_log::{CallFailure, EventKind};
 use crate::experiment::Effect;
 use crate::model::fault_schedule::ConnectionResets;
 use crate::network::{self, Direction};
@@ -107,7 +107,7 @@
         }
         match http::parse_request(socket.connection.bytes()) {
             ParsedRequest::Partial(_) => {}
-            ParsedRequest::Invalid(_) => self.fail(LabError::NoRequest { endpoint }),
+            ParsedRequest::Invalid(_) => self.fail(LabError::MalformedRequest { endpoint }),
             ParsedRequest::Complete(request) => {
                 socket.connection.consume(request.consumed);
                 match self.check_request(endpoint, &request) {
@@ -175,13 +175,13 @@
             reset_when_running: resets.after_last_byte,
         };
         self.calls.insert(call, started);
-        self.record(What::Call {
+        self.record(EventKind::CallStarted {
             call,
             id: number,
             sender,
             partner,
             endpoint,
-            fresh,
+            new_connection: fresh,
         });
         if resets.before_last_byte || stale {
             // The sender cannot tell this call from one that has run.
@@ -195,9 +195,9 @@
 
     /// Ends a call by resetting its connection.
     pub fn reset_call(&mut self, call: u64, connection: usize) {
-        self.record(What::Ended {
+        self.record(EventKind::CallFailed {
             call,
-            how: Silence::Reset,
+            cause: CallFailure::Reset,
         });
         self.calls.remove(&call);
         self.drop_endpoint_connection(connection, CloseMode::Reset);
@@ -210,11 +210,11 @@
         };
         let message = self.messages.get(&cancelled.message);
         let sender = message.map_or(0, |message| message.sender);
-        let how = if self.senders[sender as usize].up {
-            Silence::CalledOff
+        let cause = if self.senders[sender as usize].up {
+            CallFailure::Cancelled
         } else {
-            Silence::Died
+            CallFailure::SenderEnded
         };
-        self.record(What::Ended { call, how });
+        self.record(EventKind::CallFailed { call, cause });
     }
 }
--- a/crates/lab/src/sockets/processes.rs
+++ b/crates/lab/src/sockets/processes.rs
@@ -8,7 +8,7 @@
 use super::resource_usage::ResourceUsage;
 use super::testbed::Testbed;
 use crate::error::{LabError, ProcessEnd};
-use crate::event_log::What;
+use crate::event_log::EventKind;
 use crate::model::environment::ListedState;
 
 /// Time between two checks whether a sender is ready, before the run begins.
@@ -73,14 +73,14 @@
         let listed = slot.listed_endpoints.clone();
         for (endpoint, state) in listed {
             let partner = self.environment.partner_of(endpoint);
-            self.record(What::Listed {
+            self.record(EventKind::Listed {
                 sender,
                 endpoint,
                 partner,
-                on: state == ListedState::Active,
+                in_service: state == ListedState::Active,
             });
         }
-        self.record(What::Ready { sender });
+        self.record(EventKind::SenderReady { sender });
     }
 
     /// Samples the resource usage of all senders, and detects those that have ended; false if one has crashed.
@@ -121,7 +121,7 @@
         let restart_after = slot.restart_after.unwrap_or(0.0);
         slot.up = false;
         slot.incarnation += 1;
-        self.record(What::Gone { sender });
+        self.record(EventKind::SenderEnded { sender });
         self.events
             .push(self.now() + restart_after, Event::RestartSender { sender });
     }
--- a/crates/lab/src/sockets/reports.rs
+++ b/crates/lab/src/sockets/reports.rs
@@ -8,7 +8,7 @@
 use super::event::SubmissionFailure;
 use super::testbed::Testbed;
 use crate::error::LabError;
-use crate::event_log::What;
+use crate::event_log::EventKind;
 
 /// A status report about a message.
 struct StatusReport {
@@ -51,11 +51,11 @@
     }
 
     fn apply_report(&mut self, sender: u32, report: &StatusReport) {
-        self.record(What::Notice {
+        self.record(EventKind::StatusReport {
             sender,
             id: report.message,
             deferred: report.deferred,
-            again: report.retry_after,
+            retry_after: report.retry_after,
         });
         if !self.finish_message(report.message) {
             return;
--- a/crates/lab/src/sockets/sender_process.rs
+++ b/crates/lab/src/sockets/sender_process.rs
@@ -101,7 +101,7 @@
     /// If the program does not exist, no port is free, or the folder cannot be created.
     pub fn prepare(options: &SenderOptions) -> Result<SenderProcess, LabError> {
         if !options.program.is_file() {
-            return Err(LabError::NoProgram(options.program.to_path_buf()));
+            return Err(LabError::ProgramNotFound(options.program.to_path_buf()));
         }
         let folder = tempfile::Builder::new()
             .prefix("martenlatch-lab-")
--- a/crates/lab/src/sockets/testbed.rs
+++ b/crates/lab/src/sockets/testbed.rs
@@ -19,7 +19,7 @@
 use crate::clients::Clients;
 use crate::delay_queue::DelayQueue;
 use crate::error::LabError;
-use crate::event_log::{LoggedEvent, What};
+use crate::event_log::{EventKind, LoggedEvent};
 use crate::experiment::{Experiment, Variant};
 use crate::judge::Judge;
 use crate::load::{self, PlannedMessage};
@@ -247,7 +247,7 @@
         wrap: impl FnOnce(Rc<TcpListener>) -> LabSocket,
     ) -> Result<(), LabError> {
         let key = self.sockets.insert(wrap(listener.clone()));
-        http::register(&self.handle, listener, key).map_err(LabError::Register)?;
+        http::register(&self.handle, listener, key).map_err(LabError::RegisterSocket)?;
         Ok(())
     }
 
@@ -262,13 +262,13 @@
     }
 
     /// Passes an event at the current time to the judge and the metrics.
-    pub fn record(&mut self, what: What) {
+    pub fn record(&mut self, kind: EventKind) {
         let event = LoggedEvent {
             at: self.now(),
-            what,
+            kind,
         };
-        self.judge.hear(&event);
-        self.metrics.hear(&event);
+        self.judge.observe(&event);
+        self.metrics.observe(&event);
     }
 
     /// Ends the run with an error.
--- a/crates/lab/tests/hostile.rs
+++ b/crates/lab/tests/hostile.rs
@@ -4,7 +4,7 @@
 
 use std::collections::HashMap;
 
-use martenlatch_lab::event_log::{LoggedEvent, What};
+use martenlatch_lab::event_log::{EventKind, LoggedEvent};
 use martenlatch_lab::experiment::Experiment;
 use martenlatch_lab::model::partner::Reply;
 use martenlatch_lab::model::site::Site;
@@ -39,8 +39,8 @@
     let mut latencies: HashMap<u64, Option<f64>> = HashMap::new();
     let (mut origins, mut calls, mut sum) =
         (HashMap::new(), HashMap::new(), OtherPartners::default());
-    let sink = |event: &LoggedEvent| match event.what {
-        What::Submitted {
+    let sink = |event: &LoggedEvent| match event.kind {
+        EventKind::Submitted {
             origin,
             id,
             partner,
@@ -50,13 +50,13 @@
             origins.insert(id, (origin, at));
             latencies.entry(origin).or_insert(None);
         }
-        What::Call {
+        EventKind::CallStarted {
             call, id, partner, ..
         } if partner != misbehaving => {
             calls.insert(call, id);
             sum.calls += 1.0;
         }
-        What::Replied { call, reply } => match (calls.get(&call), reply) {
+        EventKind::CallAnswered { call, reply } => match (calls.get(&call), reply) {
             (Some(id), Reply::Served) => {
                 let (origin, at) = origins[id];
                 latencies
--- a/crates/lab/tests/orders/calls.rs
+++ b/crates/lab/tests/orders/calls.rs
@@ -1,7 +1,7 @@
 //! The turns of the fleet's decision modules, and the calls that the senders make.
 
 use martenlatch_clock::{Millis, millis, nanos};
-use martenlatch_lab::event_log::{Silence, What};
+use martenlatch_lab::event_log::{CallFailure, EventKind};
 use martenlatch_lab::model::partner::{COLLAPSE_FACTOR, COLLAPSE_WINDOW, Reply};
 use martenlatch_policy::interface::{Action, Event, MessageId, Outcome};
 use martenlatch_wal::{AttemptRecord, FinalStatus};
@@ -58,8 +58,8 @@
             |call: &Call| (call.sender, call.id, call.attempt) == (sender, id, attempt);
         let (call, _) = self.calls.iter().find(|(_, call)| is_cancelled(call))?;
         let call = *call;
-        let how = Silence::CalledOff;
-        self.record(What::Ended { call, how });
+        let cause = CallFailure::Cancelled;
+        self.record(EventKind::CallFailed { call, cause });
         self.end_call(call, Outcome::Cancelled)
             .map(|notification| notification.event)
     }
@@ -88,13 +88,13 @@
         self.coverage.retries += usize::from(attempt > 0);
         let same_message = |call: &Call| (call.sender, call.id) == (sender, id);
         self.coverage.hedges += usize::from(self.calls.values().any(same_message));
-        self.record(What::Call {
+        self.record(EventKind::CallStarted {
             call,
             id,
             sender: sender as u32,
             partner,
             endpoint,
-            fresh: true,
+            new_connection: true,
         });
         self.calls.insert(
             call,
@@ -113,12 +113,12 @@
     /// Delivers a call to its partner. The call ends at once if the partner is in an outage.
     fn arrive(&mut self, call: u64, partner: u32) -> Option<Event> {
         if self.in_outage.contains(&partner) {
-            let how = Silence::NeverSent;
-            self.record(What::Ended { call, how });
+            let cause = CallFailure::NeverSent;
+            self.record(EventKind::CallFailed { call, cause });
             let notification = self.end_call(call, Outcome::Unreachable);
             return notification.map(|notification| notification.event);
         }
-        self.record(What::Arrived { call });
+        self.record(EventKind::CallArrived { call });
         self.collapse_under_load(partner);
         None
     }
@@ -138,7 +138,7 @@
         let max_arrivals = COLLAPSE_FACTOR * CAPACITY * warmth * COLLAPSE_WINDOW / 1e3;
         if arrivals.len() as f64 > max_arrivals && !self.collapsed {
             self.collapsed = true;
-            self.record(What::Toppled { partner });
+            self.record(EventKind::Collapsed { partner });
         }
     }
 
@@ -177,11 +177,11 @@
         wal.append_final_status(id, status);
         wal.append_closed(id, &message.record.id);
         if !self.drops_reports {
-            self.record(What::Notice {
+            self.record(EventKind::StatusReport {
                 sender: sender as u32,
                 id,
                 deferred: matches!(status, FinalStatus::Deferred(_)),
-                again: None,
+                retry_after: None,
             });
         }
         None
@@ -203,27 +203,32 @@
             return;
         };
         self.coverage.retry_afters += usize::from(matches!(reply, Reply::Rejected(Some(_))));
-        self.record(What::Replied { call, reply });
+        self.record(EventKind::CallAnswered { call, reply });
         self.end_call_and_run_turns(call, outcome);
     }
 
     /// Ends the selected call without an answer.
-    pub fn lose_selected_call(&mut self, selector: CallSelector, how: Silence, outcome: Outcome) {
+    pub fn lose_selected_call(
+        &mut self,
+        selector: CallSelector,
+        cause: CallFailure,
+        outcome: Outcome,
+    ) {
         let selected = match selector {
             CallSelector::Oldest => self.calls.keys().next(),
             CallSelector::Newest => self.calls.keys().next_back(),
         };
         if let Some(call) = selected.copied() {
-            self.lose_call(call, how, outcome);
+            self.lose_call(call, cause, outcome);
         }
     }
 
     /// Ends a call without an answer. With `NotSent`, its endpoint has withdrawn the message.
-    pub fn lose_call(&mut self, call: u64, how: Silence, outcome: Outcome) {
+    pub fn lose_call(&mut self, call: u64, cause: CallFailure, outcome: Outcome) {
         if outcome == Outcome::NotSent {
             self.withdraw(call);
         }
-        self.record(What::Ended { call, how });
+        self.record(EventKind::CallFailed { call, cause });
         self.end_call_and_run_turns(call, outcome);
     }
 
@@ -236,7 +241,7 @@
             let wal = sender.wal.as_mut().unwrap();
             wal.append_closed(id, &message.record.id);
             self.coverage.withdrawals += 1;
-            self.record(What::Withdrawn { id });
+            self.record(EventKind::Withdrawn { id });
         }
     }
 
--- a/crates/lab/tests/orders/fleet.rs
+++ b/crates/lab/tests/orders/fleet.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use martenlatch_clock::{Millis, nanos};
-use martenlatch_lab::event_log::{LoggedEvent, Silence, What};
+use martenlatch_lab::event_log::{CallFailure, EventKind, LoggedEvent};
 use martenlatch_lab::experiment::Effect;
 use martenlatch_lab::judge::{ClassRule, Judge};
 use martenlatch_lab::model::partner::{COLLAPSE_FACTOR, COLLAPSE_WINDOW};
@@ -206,8 +206,8 @@
         }
     }
 
-    pub fn record(&mut self, what: What) {
-        self.judge.hear(&LoggedEvent { at: self.now, what });
+    pub fn record(&mut self, kind: EventKind) {
+        self.judge.observe(&LoggedEvent { at: self.now, kind });
     }
 
     pub fn endpoint_entry(&self, endpoint: u32) -> EndpointEntry {
@@ -227,11 +227,11 @@
 
     /// Records that a sender is notified of an endpoint.
     pub fn record_listed_endpoint(&mut self, sender: usize, endpoint: u32) {
-        self.record(What::Listed {
+        self.record(EventKind::Listed {
             sender: sender as u32,
             endpoint,
             partner: ENDPOINT_PARTNERS[endpoint as usize],
-            on: !self.draining.contains(&endpoint),
+            in_service: !self.draining.contains(&endpoint),
         });
     }
 
@@ -244,7 +244,7 @@
             self.record_listed_endpoint(number, endpoint);
         }
         let sender = number as u32;
-        self.record(What::Ready { sender });
+        self.record(EventKind::SenderReady { sender });
         let entries = (0..ENDPOINTS).map(|endpoint| self.endpoint_entry(endpoint));
         let mut events = vec![Event::EndpointList(entries.collect())];
         let started = &mut self.senders[number];
@@ -278,11 +278,11 @@
             .collect();
         for call in lost_calls {
             self.calls.remove(&call);
-            let how = Silence::Died;
-            self.record(What::Ended { call, how });
+            let cause = CallFailure::SenderEnded;
+            self.record(EventKind::CallFailed { call, cause });
         }
         let sender = number as u32;
-        self.record(What::Gone { sender });
+        self.record(EventKind::SenderEnded { sender });
         let killed = &mut self.senders[number];
         killed.policy = None;
         killed.wal = None;
@@ -298,7 +298,7 @@
         self.next_id += 1;
         let deadline = self.now + DEADLINE;
         let key = (class == ORDERED).then_some(1);
-        self.record(What::Submitted {
+        self.record(EventKind::Submitted {
             origin: id,
             id,
             sender: sender as u32,
@@ -315,12 +315,12 @@
         if !waits_for_answer {
             wal.append_closed(id, &record.id);
             self.coverage.clients_left += 1;
-            return self.record(What::Answered { id, status: 0 });
+            return self.record(EventKind::ClientAnswered { id, status: 0 });
         }
         accepting
             .held
             .insert(id, HeldMessage { record, open: true });
-        self.record(What::Answered { id, status: 202 });
+        self.record(EventKind::ClientAnswered { id, status: 202 });
         let accepted = Event::MessageAccepted {
             id: MessageId(id),
             destination: DestinationId(partner.into()),
--- a/crates/lab/tests/orders/steps.rs
+++ b/crates/lab/tests/orders/steps.rs
@@ -1,7 +1,7 @@
 //! The steps of an order, and how the fleet performs them.
 
 use martenlatch_clock::{Millis, nanos};
-use martenlatch_lab::event_log::{Silence, What};
+use martenlatch_lab::event_log::{CallFailure, EventKind};
 use martenlatch_lab::judge::Rule;
 use martenlatch_lab::model::partner::Reply;
 use martenlatch_policy::interface::{Event, Outcome};
@@ -84,7 +84,7 @@
             self.now = self.now.max(at);
             match (timeout, wake) {
                 (Some(timeout), _) if timeout.at <= at => {
-                    self.lose_call(timeout.call, Silence::TimedOut, Outcome::TimedOut);
+                    self.lose_call(timeout.call, CallFailure::TimedOut, Outcome::TimedOut);
                 }
                 (_, Some(wake)) => {
                     self.senders[wake.sender].wake_at = None;
@@ -132,17 +132,20 @@
                 self.answer_selected_call(selector, reply, overloaded);
             }
             Step::Reset(selector) => {
-                self.lose_selected_call(selector, Silence::Reset, Outcome::ConnectionLost)
+                self.lose_selected_call(selector, CallFailure::Reset, Outcome::ConnectionLost)
             }
             Step::Withdraw(selector) => {
-                self.lose_selected_call(selector, Silence::NeverSent, Outcome::NotSent)
+                self.lose_selected_call(selector, CallFailure::NeverSent, Outcome::NotSent)
             }
             Step::Wait(duration) => self.advance_time(duration),
             Step::Drain(endpoint) => self.drain(endpoint),
             Step::BeginOutage(partner) => {
                 self.in_outage.insert(partner);
                 self.recovered_at.remove(&partner);
-                self.record(What::Out { partner, out: true });
+                self.record(EventKind::Outage {
+                    partner,
+                    in_outage: true,
+                });
             }
             Step::EndOutage(partner) => self.end_outage(partner),
             Step::Kill(sender) => self.kill(sender),
@@ -166,14 +169,17 @@
         if self.in_outage.remove(&partner) {
             self.recovered_at.insert(partner, self.now);
             let out = false;
-            self.record(What::Out { partner, out });
+            self.record(EventKind::Outage {
+                partner,
+                in_outage: out,
+            });
         }
     }
 
     /// The rules that are broken so far. Records an event first, so that the judge knows the time even if nothing else
     /// happens.
     pub fn broken_rules(&mut self) -> Vec<Rule> {
-        self.record(What::Joins { sender: 0 });
+        self.record(EventKind::SenderJoined { sender: 0 });
         self.judge.counts.keys().copied().collect()
     }
 
--- a/crates/lab/tests/runs.rs
+++ b/crates/lab/tests/runs.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-use martenlatch_lab::event_log::What;
+use martenlatch_lab::event_log::EventKind;
 use martenlatch_lab::experiment::Experiment;
 use martenlatch_lab::sim;
 use rstest::rstest;
@@ -64,10 +64,10 @@
 #[test]
 fn each_failure_of_an_experiment_takes_effect() {
     // Guards against an experiment that passes only because its failures never occur.
-    let count = |name: &str, matching: fn(&What) -> bool| {
+    let count = |name: &str, matching: fn(&EventKind) -> bool| {
         let (experiment, mut seen) = (shipped_experiment(name), 0);
         let sink = |event: &martenlatch_lab::event_log::LoggedEvent| {
-            seen += usize::from(matching(&event.what));
+            seen += usize::from(matching(&event.kind));
         };
         sim::run(
             &experiment,
@@ -78,22 +78,49 @@
         .unwrap();
         seen
     };
-    use martenlatch_lab::event_log::Silence::*;
+    use martenlatch_lab::event_log::CallFailure::*;
     use martenlatch_lab::model::partner::Reply;
-    assert_eq!(count("restart", |w| matches!(w, What::Gone { .. })), 3);
-    assert!(count("restart", |w| matches!(w, What::Ended { how: Died, .. })) > 3);
-    assert!(count("hang", |w| matches!(w, What::Ended { how: TimedOut, .. })) > 20);
-    assert!(count("network", |w| matches!(w, What::Ended { how: Reset, .. })) > 20);
+    assert_eq!(
+        count("restart", |w| matches!(w, EventKind::SenderEnded { .. })),
+        3
+    );
+    assert!(
+        count("restart", |w| matches!(
+            w,
+            EventKind::CallFailed {
+                cause: SenderEnded,
+                ..
+            }
+        )) > 3
+    );
+    assert!(
+        count("hang", |w| matches!(
+            w,
+            EventKind::CallFailed {
+                cause: TimedOut,
+                ..
+            }
+        )) > 20
+    );
     assert!(
         count("network", |w| matches!(
             w,
-            What::Ended { how: NeverSent, .. }
+            EventKind::CallFailed { cause: Reset, .. }
         )) > 20
     );
     assert!(
         count("network", |w| matches!(
             w,
-            What::Replied {
+            EventKind::CallFailed {
+                cause: NeverSent,
+                ..
+            }
+        )) > 20
+    );
+    assert!(
+        count("network", |w| matches!(
+            w,
+            EventKind::CallAnswered {
                 reply: Reply::Malformed,
                 ..
             }
@@ -102,13 +129,16 @@
     assert!(
         count("rolling-replacement", |w| matches!(
             w,
-            What::Listed { on: false, .. }
+            EventKind::Listed {
+                in_service: false,
+                ..
+            }
         )) > 80
     );
     assert!(
         count("cold-return", |w| matches!(
             w,
-            What::Replied {
+            EventKind::CallAnswered {
                 reply: Reply::Rejected(Some(_)),
                 ..
             }
@@ -126,10 +156,10 @@
         sim::run_unless_stopped(&experiment, &experiment.variants[0], 1, None, &stop)
             .unwrap_err()
             .to_string(),
-        "stopped"
+        "the run was stopped"
     );
     let (outcome, _) = martenlatch_lab::run::simulate(&experiment, &stop, true).unwrap();
-    assert!(outcome.cut_short && outcome.variants.iter().all(|v| v.runs.is_empty()));
+    assert!(outcome.incomplete && outcome.variants.iter().all(|v| v.runs.is_empty()));
 }
 
 /// Runs the laboratory; its exit code, output and error output.
@@ -212,7 +242,9 @@
     std::fs::write(dirs[0].join("facts.jsonl"), facts_without_ends).unwrap();
     let (code, text, _) = run_lab(&["judge", dirs[0].to_str().unwrap()]);
     assert!(
-        code == Some(3) && text.contains("Lost at ") && text.contains("had no end by its time"),
+        code == Some(3)
+            && text.contains("Lost at ")
+            && text.contains("no final answer by its deadline"),
         "{text}"
     );
     let _ = std::fs::remove_dir_all(out);
